--- a/internal/callerapi/answer.go
+++ b/internal/callerapi/answer.go
@@ -58,7 +58,7 @@
 	return api.Coverage{
 		Complete:     coverage.Complete(),
 		Share:        coverage.Share(),
-		Asked:        coverage.Asked,
+		Asked:        coverage.Requested,
 		Missing:      missing,
 		PartsCovered: coverage.PartsCovered,
 		PartsTotal:   coverage.PartsTotal,
--- a/internal/callerapi/callerapi_test.go
+++ b/internal/callerapi/callerapi_test.go
@@ -54,7 +54,7 @@
 	answer := &query.Answer{
 		Version:  7,
 		Records:  []backend.Record{{Key: "a", Score: 2, Payload: []byte(`{"x":1}`)}, {Key: "b", Score: 1, Payload: []byte("plain")}},
-		Coverage: query.Coverage{Asked: keyspace.Full, CoveredWidth: keyspace.Size, PartsCovered: 4, PartsTotal: 4},
+		Coverage: query.Coverage{Requested: keyspace.Full, CoveredWidth: keyspace.Size, PartsCovered: 4, PartsTotal: 4},
 	}
 	return &serve.Result{Answer: answer, Template: &template.Template{Revision: 3}, Arm: "control"}
 }
@@ -177,7 +177,7 @@
 	)
 
 	It("says the coverage of an answer that is withheld", func() {
-		short := &query.CoverageError{Version: 7, Coverage: query.Coverage{Asked: keyspace.Full, CoveredWidth: keyspace.Size / 2,
+		short := &query.CoverageError{Version: 7, Coverage: query.Coverage{Requested: keyspace.Full, CoveredWidth: keyspace.Size / 2,
 			Missing: []keyspace.Range{{Start: keyspace.Size / 2, End: keyspace.Size}}, PartsCovered: 1, PartsTotal: 2}}
 		short.Failure = &outcome.Error{Reason: outcome.ReasonCoverageTooLow}
 		pipeline.run = failing(short)
@@ -190,9 +190,9 @@
 	It("streams early states, a restart and the answer, in order", func() {
 		taken := make(chan struct{})
 		pipeline.run = func(_ context.Context, _ *serve.Request, partial query.PartialFunc) (*serve.Result, error) {
-			partial(query.Partial{Version: 6, Coverage: query.Coverage{CoveredWidth: 1, Asked: keyspace.Full}})
+			partial(query.Partial{Version: 6, Coverage: query.Coverage{CoveredWidth: 1, Requested: keyspace.Full}})
 			<-taken
-			partial(query.Partial{Version: 7, Restarted: true, Coverage: query.Coverage{CoveredWidth: 1, Asked: keyspace.Full}})
+			partial(query.Partial{Version: 7, Restarted: true, Coverage: query.Coverage{CoveredWidth: 1, Requested: keyspace.Full}})
 			return wholeResult(), nil
 		}
 		response := send(api.StreamPath, "application/json", goodBody)
@@ -213,7 +213,7 @@
 	It("announces a restart that only the answer shows", func() {
 		written := make(chan struct{})
 		pipeline.run = func(_ context.Context, _ *serve.Request, partial query.PartialFunc) (*serve.Result, error) {
-			partial(query.Partial{Version: 6, Coverage: query.Coverage{CoveredWidth: 1, Asked: keyspace.Full}})
+			partial(query.Partial{Version: 6, Coverage: query.Coverage{CoveredWidth: 1, Requested: keyspace.Full}})
 			<-written
 			result := wholeResult()
 			result.Answer.Version, result.Answer.Restarts = 7, 1
@@ -234,7 +234,7 @@
 
 	It("ends a stream that fails after its first line with an error", func() {
 		pipeline.run = func(_ context.Context, _ *serve.Request, partial query.PartialFunc) (*serve.Result, error) {
-			partial(query.Partial{Version: 6, Coverage: query.Coverage{CoveredWidth: 1, Asked: keyspace.Full}})
+			partial(query.Partial{Version: 6, Coverage: query.Coverage{CoveredWidth: 1, Requested: keyspace.Full}})
 			time.Sleep(50 * time.Millisecond)
 			return nil, &outcome.Error{Reason: outcome.ReasonDeadline}
 		}
--- a/internal/serve/pipeline_test.go
+++ b/internal/serve/pipeline_test.go
@@ -68,7 +68,7 @@
 		return nil, n.err
 	}
 	return &query.Answer{Version: 3, Records: []backend.Record{{Key: "k", Score: 7}}, Coverage: query.Coverage{
-		Asked: keyspace.Full, CoveredWidth: keyspace.Size}, ExtraLoad: query.ExtraLoad{Primary: 1}}, nil
+		Requested: keyspace.Full, CoveredWidth: keyspace.Size}, ExtraLoad: query.ExtraLoad{Primary: 1}}, nil
 }
 
 func request() *Request {
--- a/pkg/query/adapters.go
+++ b/pkg/query/adapters.go
@@ -45,21 +45,21 @@
 	return b.pool.For(key, arm, spec)
 }
 
-// IgnoreEvents is an Observer that does nothing, to embed in one that wants only
+// NopObserver is an Observer that does nothing, to embed in one that wants only
 // some of the events.
-type IgnoreEvents struct{}
+type NopObserver struct{}
 
 // SubRequestFinished implements Observer.
-func (IgnoreEvents) SubRequestFinished(target.Target, AttemptKind, time.Duration, error) {}
+func (NopObserver) SubRequestFinished(target.Target, AttemptKind, time.Duration, error) {}
 
 // LateResponse implements Observer.
-func (IgnoreEvents) LateResponse(target.Service) {}
+func (NopObserver) LateResponse(target.Service) {}
 
 // CorruptResponse implements Observer.
-func (IgnoreEvents) CorruptResponse(target.Service, target.ServerID) {}
+func (NopObserver) CorruptResponse(target.Service, target.ServerID) {}
 
 // Restarted implements Observer.
-func (IgnoreEvents) Restarted(target.Service, target.Version, target.Version) {}
+func (NopObserver) Restarted(target.Service, target.Version, target.Version) {}
 
 // unlimited is the Limits of an executor that was given none.
 type unlimited struct{}
--- a/pkg/query/answer.go
+++ b/pkg/query/answer.go
@@ -27,7 +27,7 @@
 // coverage states which part of the asked range is covered.
 func (p *pass) coverage() Coverage {
 	result := Coverage{
-		Asked:        p.pinned.asked,
+		Requested:    p.pinned.asked,
 		CoveredWidth: p.covered.Width(),
 		Missing:      p.covered.Missing(p.pinned.asked),
 		PartsTotal:   len(p.pinned.parts),
--- a/pkg/query/execute_test.go
+++ b/pkg/query/execute_test.go
@@ -63,7 +63,7 @@
 	GinkgoHelper()
 	Expect(answer.Version).To(Equal(version))
 	Expect(answer.Coverage.Complete()).To(BeTrue())
-	want := b.world.data.Evaluate(version, b.request.Query, []keyspace.Range{answer.Coverage.Asked}, b.request.Limit)
+	want := b.world.data.Evaluate(version, b.request.Query, []keyspace.Range{answer.Coverage.Requested}, b.request.Limit)
 	Expect(answer.Records).To(Equal(want.Records))
 	Expect(answer.ScoreSum).To(Equal(want.ScoreSum))
 }
@@ -88,7 +88,7 @@
 
 // lateCounter counts late answers.
 type lateCounter struct {
-	query.IgnoreEvents
+	query.NopObserver
 	count atomic.Int64
 }
 
--- a/pkg/query/executor.go
+++ b/pkg/query/executor.go
@@ -75,7 +75,7 @@
 		options.Latency = latency.NewTracker()
 	}
 	if options.Observer == nil {
-		options.Observer = IgnoreEvents{}
+		options.Observer = NopObserver{}
 	}
 	if options.AnswerMargin == 0 {
 		options.AnswerMargin = DefaultAnswerMargin
--- a/pkg/query/failure.go
+++ b/pkg/query/failure.go
@@ -25,7 +25,7 @@
 
 // Error implements error.
 func (e *CoverageError) Error() string {
-	return fmt.Sprintf("%s; covered %.4f of %s at version %d", e.Failure, e.Coverage.Share(), e.Coverage.Asked, e.Version)
+	return fmt.Sprintf("%s; covered %.4f of %s at version %d", e.Failure, e.Coverage.Share(), e.Coverage.Requested, e.Version)
 }
 
 // Unwrap returns the *outcome.Error.
--- a/pkg/query/property_test.go
+++ b/pkg/query/property_test.go
@@ -84,8 +84,8 @@
 	if answer.Coverage.Complete() != (answer.StopReason == policy.StopAllParts) {
 		report("complete %v but stopped for %s", answer.Coverage.Complete(), answer.StopReason)
 	}
-	if got.caller.Key != "" && !answer.Coverage.Asked.Contains(keyspace.Position(got.caller.Key)) {
-		report("asked %s does not hold the key", answer.Coverage.Asked)
+	if got.caller.Key != "" && !answer.Coverage.Requested.Contains(keyspace.Position(got.caller.Key)) {
+		report("asked %s does not hold the key", answer.Coverage.Requested)
 	}
 	return found
 }
@@ -108,7 +108,7 @@
 	for _, gap := range coverage.Missing {
 		missing.Add(gap)
 	}
-	return missing.Missing(coverage.Asked)
+	return missing.Missing(coverage.Requested)
 }
 
 // checkContent compares records and coverage with the oracle.
--- a/pkg/query/query.go
+++ b/pkg/query/query.go
@@ -60,9 +60,9 @@
 
 // Coverage states which part of the asked key space an answer covers.
 type Coverage struct {
-	// Asked is the range that the request was about: the whole key space, or
+	// Requested is the range that the request covers: the whole key space, or
 	// the one part that holds its key.
-	Asked keyspace.Range
+	Requested keyspace.Range
 	// CoveredWidth counts the covered positions, each once.
 	CoveredWidth uint32
 	// Missing lists the uncovered ranges in ascending order.
@@ -73,14 +73,16 @@
 }
 
 // Complete reports whether every asked position is covered.
-func (c Coverage) Complete() bool { return c.CoveredWidth == c.Asked.Width() && len(c.Missing) == 0 }
+func (c Coverage) Complete() bool {
+	return c.CoveredWidth == c.Requested.Width() && len(c.Missing) == 0
+}
 
 // Share returns the covered share of the asked range, 0 to 1.
 func (c Coverage) Share() float64 {
-	if c.Asked.Width() == 0 {
+	if c.Requested.Width() == 0 {
 		return 0
 	}
-	return float64(c.CoveredWidth) / float64(c.Asked.Width())
+	return float64(c.CoveredWidth) / float64(c.Requested.Width())
 }
 
 // ExtraLoad counts the sub-requests that a request caused.
