--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -241,7 +241,7 @@
 		},
 	})
 	n.state.roster = owner.NewRoster(*local, settings.Zones, n.state.fleet)
-	n.owners = owner.NewClient(n.state.roster, n.transport, n.known.Board, ownerEvents{node: n})
+	n.owners = owner.NewClient(n.state.roster, n.transport, n.known.Admitter, ownerEvents{node: n})
 	n.openAnnouncer()
 	n.openTeller()
 	if settings.Bounds.LimitWindowSeconds > 0 {
--- a/internal/edge/room.go
+++ b/internal/edge/room.go
@@ -16,7 +16,7 @@
 		Known: n.known, Roster: n.state.roster, Transport: n.transport, Told: newRoomLog(n.logger).write,
 	})
 	n.figures.gauge("services_short_of_room", "Services of which this node lets in only a part of the requests.", func() float64 {
-		return float64(n.known.Board.Limited())
+		return float64(n.known.Admitter.LimitedServices())
 	})
 }
 
@@ -37,15 +37,15 @@
 }
 
 // write logs the shares of each service for which a line is due.
-func (l *roomLog) write(message []loadshed.Measured) {
+func (l *roomLog) write(message []loadshed.Measurement) {
 	for _, each := range message {
 		if each.Shares.IsFull() {
-			if l.lines.ends(each.Key, each.At) {
+			if l.lines.ends(each.Key, each.MeasuredAt) {
 				l.logger.Info("room again", "service", each.Service)
 			}
 			continue
 		}
-		if !l.lines.begins(each.Key, each.At) {
+		if !l.lines.begins(each.Key, each.MeasuredAt) {
 			continue
 		}
 		l.logger.Warn("short of room", "service", each.Service, "shares", each.Shares.Ranks, "tenants", each.Shares.Tenants)
@@ -56,11 +56,11 @@
 // is short of room.
 func appendAdmission(list []any, result fanout.Result) []any {
 	admission := result.Admission
-	if admission.Share >= 1 || admission.Scarcest == "" {
+	if admission.Share >= 1 || admission.LimitingService == "" {
 		return list
 	}
-	return append(list, "short_service", admission.Scarcest, "share", roundShare(admission.Share),
-		"share_age_ms", admission.Age.Milliseconds(), "priority", admission.Class.Priority)
+	return append(list, "short_service", admission.LimitingService, "share", roundShare(admission.Share),
+		"share_age_ms", admission.ShareAge.Milliseconds(), "priority", admission.Class.Priority)
 }
 
 // roundShare rounds a share for a log line.
--- a/internal/edge/state_lines_test.go
+++ b/internal/edge/state_lines_test.go
@@ -27,8 +27,8 @@
 	for step := range 20 {
 		at := began.Add(time.Duration(step) * roomLogSpan / 10)
 		key := loadshed.Key{Service: "a"}
-		log.write([]loadshed.Measured{{Key: key, Shares: short, At: at}})
-		log.write([]loadshed.Measured{{Key: key, At: at.Add(roomLogSpan / 20)}})
+		log.write([]loadshed.Measurement{{Key: key, Shares: short, MeasuredAt: at}})
+		log.write([]loadshed.Measurement{{Key: key, MeasuredAt: at.Add(roomLogSpan / 20)}})
 	}
 	g.Expect(sink.lines).To(And(BeNumerically(">=", 2), BeNumerically("<=", 6)))
 }
--- a/internal/front/conversation.go
+++ b/internal/front/conversation.go
@@ -176,7 +176,7 @@
 		case result.Reason == fanout.StopQuarantined:
 			wait = c.quarantineWait()
 		case result.Admission.Share < 1:
-			wait = spreadWait(max(c.refusedFor(plan), leastRoomWait), result.Admission.Behind)
+			wait = spreadWait(max(c.refusedFor(plan), leastRoomWait), result.Admission.Shortfall)
 		case result.Shed > 0:
 			wait = max(wait, c.refusedFor(plan))
 		}
--- a/pkg/fanout/admission.go
+++ b/pkg/fanout/admission.go
@@ -33,7 +33,7 @@
 	if room == nil {
 		return true
 	}
-	r.lot = room.Lots.Draw(r.contentHash(), r.lot, r.began)
+	r.lot = room.Sampler.Sample(r.contentHash(), r.lot, r.began)
 	r.admission = r.admit(r.began)
 	return r.admission.IsAdmitted
 }
@@ -52,18 +52,18 @@
 // isScarce reports whether the service of a part has room for only a part of the requests like
 // this one.
 func (r *run) isScarce(part *part, now time.Time) bool {
-	return r.runner.Room != nil && r.runner.Room.Board.ShareOf(r.load(part.service), r.class(), now) < 1
+	return r.runner.Room != nil && r.runner.Room.Admitter.ShareOf(r.load(part.service), r.class(), now) < 1
 }
 
 // admit decides about the request by what is known of its services at a moment.
 func (r *run) admit(now time.Time) loadshed.Decision {
-	return r.runner.Room.Board.Admit(r.plan.Services, r.regions().Key(), r.plan.Required, r.class(), r.lot, now)
+	return r.runner.Room.Admitter.Admit(r.plan.Services, r.regions().Key(), r.plan.Required, r.class(), r.lot, now)
 }
 
 // spareOthers marks the services that have no room for the request and without which it can be
 // answered as spared: they are left to requests that need them.
 func (r *run) spareOthers() {
-	spared := r.admission.Spared
+	spared := r.admission.Skipped
 	if r.plan.Collect != nil {
 		spared = r.plan.Collect.Spared
 	}
@@ -158,8 +158,8 @@
 		r.work = r.runner.Fleet.Profile(r.plan.Kind, r.plan.Assumed).Mean
 	}
 	part.isOffered = true
-	r.runner.Room.Meters.Offer(r.load(part.service), loadshed.Offered{
-		Class: r.class(), Work: r.work, Share: r.admittedShare(index, now), ForOthers: part.owned,
+	r.runner.Room.Meters.RecordAdmitted(r.load(part.service), loadshed.AdmittedRequest{
+		Class: r.class(), Work: r.work, Share: r.admittedShare(index, now), ForPeers: part.owned,
 	}, now)
 }
 
@@ -168,7 +168,7 @@
 func (r *run) admittedShare(index int, now time.Time) float64 {
 	switch collect := r.plan.Collect; {
 	case collect == nil:
-		return r.runner.Room.Board.ShareOf(r.load(r.parts[index].service), r.class(), now)
+		return r.runner.Room.Admitter.ShareOf(r.load(r.parts[index].service), r.class(), now)
 	case collect.AdmittedShares != nil:
 		return collect.AdmittedShares[index]
 	}
@@ -178,12 +178,12 @@
 // admittedShares returns the part of the requests like this one that each service has room
 // for; nil if none is short of it.
 func (r *run) admittedShares(services []string, now time.Time) []float64 {
-	if r.runner.Room == nil || r.runner.Room.Board.IsIdle() {
+	if r.runner.Room == nil || r.runner.Room.Admitter.AdmitsAll() {
 		return nil
 	}
 	shares := make([]float64, len(services))
 	for position, service := range services {
-		shares[position] = r.runner.Room.Board.ShareOf(r.load(service), r.class(), now)
+		shares[position] = r.runner.Room.Admitter.ShareOf(r.load(service), r.class(), now)
 	}
 	return shares
 }
@@ -191,6 +191,6 @@
 // noteServedPart counts a part that was noted as offered and is answered.
 func (r *run) noteServedPart(part *part) {
 	if part.isOffered {
-		r.runner.Room.Meters.Serve(r.load(part.service), r.work)
+		r.runner.Room.Meters.RecordServed(r.load(part.service), r.work)
 	}
 }
--- a/pkg/fanout/admission_test.go
+++ b/pkg/fanout/admission_test.go
@@ -46,14 +46,14 @@
 		w.add("a", "a1", quick("a"))
 		w.add("b", "b1", quick("b"))
 		room := w.inRoom()
-		room.Board.Take(loadshed.Key{Service: "a"}, share(0), time.Now())
+		room.Admitter.Update(loadshed.Key{Service: "a"}, share(0), time.Now())
 		asked := plan("a", "b")
 		asked.Required = 2
 		result, took := w.run(asked)
 		g.Expect(took).To(BeZero())
 		g.Expect(result.Reason).To(Equal(fanout.StopNotOffered))
 		g.Expect(result.Outcome).To(Equal(outcome.NotRun))
-		g.Expect(result.Admission.Scarcest).To(Equal("a"))
+		g.Expect(result.Admission.LimitingService).To(Equal("a"))
 		g.Expect(w.arrivals("a1", "b1")).To(BeZero())
 	})
 }
@@ -77,7 +77,7 @@
 			})
 			time.Sleep(time.Millisecond)
 		}
-		room.Board.Take(loadshed.Key{Service: "a"}, share(0), time.Now())
+		room.Admitter.Update(loadshed.Key{Service: "a"}, share(0), time.Now())
 		result, took := w.run(plan("a", "b", "c"))
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 		g.Expect(result.Got).To(Equal(2))
@@ -93,7 +93,7 @@
 		w.add("b", "b1", exchangetest.Answer{Status: 500, Cut: -1})
 		w.add("c", "c1", quick("c"))
 		room := w.inRoom()
-		room.Board.Take(loadshed.Key{Service: "a"}, share(0), time.Now())
+		room.Admitter.Update(loadshed.Key{Service: "a"}, share(0), time.Now())
 		asked := plan("a", "b", "c")
 		asked.MaxAttempts = 1
 		result, _ := w.run(asked)
@@ -111,8 +111,8 @@
 			result, _ := w.run(plan("a"))
 			g.Expect(result.Got).To(Equal(1))
 		}
-		g.Expect(room.Board.IsIdle()).To(BeTrue())
-		shares, _ := room.Meters.Of(loadshed.Key{Service: "a"}, time.Now())
+		g.Expect(room.Admitter.AdmitsAll()).To(BeTrue())
+		shares, _ := room.Meters.Shares(loadshed.Key{Service: "a"}, time.Now())
 		g.Expect(shares.Of(loadshed.Class{})).To(Equal(1.0))
 	})
 }
@@ -135,7 +135,7 @@
 		room := w.inRoom()
 		g.Expect(hedgesAfter(g, w, "wide", 190*time.Millisecond)).To(Equal(1))
 		for _, service := range []string{"short", "lost"} {
-			room.Board.Take(loadshed.Key{Service: service}, share(0.9999), time.Now())
+			room.Admitter.Update(loadshed.Key{Service: service}, share(0.9999), time.Now())
 		}
 		g.Expect(hedgesAfter(g, w, "short", 190*time.Millisecond)).To(BeZero())
 		g.Expect(hedgesAfter(g, w, "lost", 300*time.Millisecond)).To(Equal(1))
--- a/pkg/fanout/fanout.go
+++ b/pkg/fanout/fanout.go
@@ -199,22 +199,22 @@
 
 // Room is what a node knows of the room at services.
 type Room struct {
-	// Board holds what this node was told and has measured, Meters measures the services whose
-	// servers it asks, and Lots draws the lots of its clients' requests.
-	Board  *loadshed.Board
-	Meters *loadshed.Meters
-	Lots   *loadshed.Lots
+	// Admitter holds the shares that this node received and measured, Meters measures the services
+	// whose servers it asks, and Sampler assigns sampling values to its clients' requests.
+	Admitter *loadshed.Admitter
+	Meters   *loadshed.Meters
+	Sampler  *loadshed.Sampler
 }
 
 // NewRoom returns what a node knows that has measured nothing and was told nothing.
 func NewRoom(queues loadshed.Queues) *Room {
-	board := loadshed.NewBoard()
-	return &Room{Board: board, Meters: loadshed.NewMeters(queues, board), Lots: &loadshed.Lots{}}
+	admitter := loadshed.NewAdmitter()
+	return &Room{Admitter: admitter, Meters: loadshed.NewMeters(queues, admitter), Sampler: &loadshed.Sampler{}}
 }
 
 // Sweep forgets what is old. It is called every second or so.
 func (r *Room) Sweep(now time.Time) {
-	r.Board.Sweep(now)
+	r.Admitter.Sweep(now)
 	r.Meters.Sweep(now)
 }
 
--- a/pkg/fanout/spared_test.go
+++ b/pkg/fanout/spared_test.go
@@ -58,7 +58,7 @@
 // it to others.
 func (w *world) leaveToOthers(service string) {
 	w.runner.Room = fanout.NewRoom(w.fleet)
-	w.runner.Room.Board.Take(loadshed.Key{Service: service}, share(0), time.Now())
+	w.runner.Room.Admitter.Update(loadshed.Key{Service: service}, share(0), time.Now())
 }
 
 // TestASparedPartStaysWithItsOwner once another part has failed: the one server that may run the
--- a/pkg/fleet/choose.go
+++ b/pkg/fleet/choose.go
@@ -89,7 +89,7 @@
 		Network: best.zone.roundTrip, Expected: best.zone.roundTrip + profile.typical() + 2*profile.deviation,
 	}
 	best.active = append(best.active, lease)
-	best.rhythm.Sent(now, &f.periods)
+	best.rhythm.RecordSent(now, &f.periods)
 	f.noteColdSend(best, now)
 	lease.target = choice.Target
 	if len(best.active) >= f.limit(best, now) {
@@ -241,7 +241,7 @@
 	}
 	cost += time.Duration(each.currentFailureRate(now) * float64(failureCost))
 	cost += stallCost(each, typical, now)
-	cost += each.rhythm.Wait(now, each.zone.roundTrip+typical, &f.periods)
+	cost += each.rhythm.ExpectedWait(now, each.zone.roundTrip+typical, &f.periods)
 	return cost + time.Duration(jitterShare*f.settings.Random.Float64()*float64(typical))
 }
 
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -48,7 +48,7 @@
 	zones        map[string]*zoneTimes
 	profiles     map[string]*Profile
 	// periods are those in which servers pause.
-	periods rhythm.Periods
+	periods rhythm.SharedPeriod
 	// callers are the nodes that share the servers' connections.
 	callers Callers
 	// connections is the greatest number of connections of a server, by service.
@@ -264,7 +264,7 @@
 	defer f.mutex.Unlock()
 	count := 0
 	for _, each := range f.members {
-		if each.listed && each.rhythm.Foresees(now, &f.periods) {
+		if each.listed && each.rhythm.PredictsPause(now, &f.periods) {
 			count++
 		}
 	}
--- a/pkg/fleet/lease.go
+++ b/pkg/fleet/lease.go
@@ -91,7 +91,7 @@
 		used.failures, used.turnedAway = 0, 0
 		used.noteOutcome(false, now)
 		used.answeredAt = now
-		used.rhythm.Answered(lease.began.Add(connect), now, used.zone.roundTrip+lease.profile.typical(), &f.periods)
+		used.rhythm.RecordAnswer(lease.began.Add(connect), now, used.zone.roundTrip+lease.profile.typical(), &f.periods)
 		delete(f.absences, lease.load)
 		used.avoidUntil = time.Time{}
 		f.observeTime(lease, elapsed, now)
--- a/pkg/loadshed/board.go
+++ b/pkg/loadshed/admitter.go
@@ -12,7 +12,7 @@
 const shareLife = 1500 * time.Millisecond
 
 // Board holds what this node was told of the room at services.
-type Board struct {
+type Admitter struct {
 	// limited counts the services that are short of room, so that nothing is locked without
 	// overload.
 	limited atomic.Int64
@@ -31,33 +31,33 @@
 	isPartial bool
 }
 
-// NewBoard returns an empty board.
-func NewBoard() *Board { return &Board{told: make(map[Key]told)} }
+// NewAdmitter returns an empty board.
+func NewAdmitter() *Admitter { return &Admitter{told: make(map[Key]told)} }
 
-// IsIdle reports whether every service is known to have room for all requests.
-func (b *Board) IsIdle() bool { return b.limited.Load() == 0 }
+// AdmitsAll reports whether every service is known to have room for all requests.
+func (b *Admitter) AdmitsAll() bool { return b.limited.Load() == 0 }
 
 // Limited returns how many services are short of room.
-func (b *Board) Limited() int { return int(b.limited.Load()) }
+func (b *Admitter) LimitedServices() int { return int(b.limited.Load()) }
 
 // Take notes the shares of a service as its owner judged them at a moment; older ones than
 // those known are passed over.
-func (b *Board) Take(key Key, shares Shares, measuredAt time.Time) {
+func (b *Admitter) Update(key Key, shares Shares, measuredAt time.Time) {
 	b.take(key, told{shares: shares, measuredAt: measuredAt})
 }
 
-// TakePartial notes shares that this node has judged by its own requests alone. Recent ones of
+// UpdateLocal notes shares that this node has judged by its own requests alone. Recent ones of
 // an owner, who sees all, count before them.
-func (b *Board) TakePartial(key Key, shares Shares, measuredAt time.Time) {
+func (b *Admitter) UpdateLocal(key Key, shares Shares, measuredAt time.Time) {
 	b.take(key, told{shares: shares, measuredAt: measuredAt, isPartial: true})
 }
 
 // take notes shares, unless what is known of the service is newer or, for partial ones, a recent
 // word of an owner. Full shares are noted too while any service is short of room, so that older
 // ones that come later are passed over.
-func (b *Board) take(key Key, taken told) {
+func (b *Admitter) take(key Key, taken told) {
 	shares, measuredAt := taken.shares, taken.measuredAt
-	if shares.IsFull() && b.IsIdle() {
+	if shares.IsFull() && b.AdmitsAll() {
 		return
 	}
 	b.mutex.Lock()
@@ -74,7 +74,7 @@
 }
 
 // countLimited counts the services that are short of room. The mutex is held.
-func (b *Board) countLimited() {
+func (b *Admitter) countLimited() {
 	count := int64(0)
 	for _, known := range b.told {
 		if !known.shares.IsFull() {
@@ -85,8 +85,8 @@
 }
 
 // ShareOf returns the part of the requests of a class that a service has room for.
-func (b *Board) ShareOf(key Key, class Class, now time.Time) float64 {
-	if b.IsIdle() {
+func (b *Admitter) ShareOf(key Key, class Class, now time.Time) float64 {
+	if b.AdmitsAll() {
 		return 1
 	}
 	b.mutex.RLock()
@@ -103,22 +103,22 @@
 	// Share is the part of the requests like this one that is let in.
 	Share float64
 	// Behind is how far the request's lot is from those that are let in, 0 to 1.
-	Behind float64
+	Shortfall float64
 	// Spared are the positions of services that are left to others, since the request can be
 	// answered without them; nil for none.
-	Spared []int
+	Skipped []int
 	// Scarcest is the service that decided Share, and Age how old its shares are.
-	Scarcest string
-	Age      time.Duration
+	LimitingService string
+	ShareAge        time.Duration
 }
 
 // Admit decides about a request that needs some of the services, and is bound to the regions with
 // a key. The requests with the greatest lots are let in, so that all services and nodes let in
 // the same ones.
-func (b *Board) Admit(
+func (b *Admitter) Admit(
 	services []string, regions string, required int, class Class, lot uint64, now time.Time,
 ) Decision {
-	if b.IsIdle() {
+	if b.AdmitsAll() {
 		return Decision{IsAdmitted: true, Class: class, Share: 1}
 	}
 	b.mutex.RLock()
@@ -172,16 +172,16 @@
 	decision := Decision{IsAdmitted: true, Share: 1}
 	if len(least) > spareable {
 		deciding := least[spareable]
-		decision.Share, decision.Scarcest, decision.Age = deciding.share, services[deciding.index], deciding.age
+		decision.Share, decision.LimitingService, decision.ShareAge = deciding.share, services[deciding.index], deciding.age
 		decision.IsAdmitted = position <= deciding.share
 	}
 	if !decision.IsAdmitted {
-		decision.Behind = (position - decision.Share) / (1 - decision.Share)
+		decision.Shortfall = (position - decision.Share) / (1 - decision.Share)
 		return decision
 	}
 	for _, each := range least {
-		if position > each.share && len(decision.Spared) < spareable {
-			decision.Spared = append(decision.Spared, each.index)
+		if position > each.share && len(decision.Skipped) < spareable {
+			decision.Skipped = append(decision.Skipped, each.index)
 		}
 	}
 	return decision
@@ -189,7 +189,7 @@
 
 // shareOf returns the share of a class at a service, 1 if nothing recent is known. The mutex
 // is held.
-func (b *Board) shareOf(key Key, class Class, now time.Time) (float64, time.Duration) {
+func (b *Admitter) shareOf(key Key, class Class, now time.Time) (float64, time.Duration) {
 	known, isKnown := b.told[key]
 	if !isKnown {
 		return 1, 0
@@ -202,7 +202,7 @@
 }
 
 // Sweep forgets shares that are old. It is called every second or so.
-func (b *Board) Sweep(now time.Time) {
+func (b *Admitter) Sweep(now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for key, known := range b.told {
--- a/pkg/loadshed/board_test.go
+++ b/pkg/loadshed/admitter_test.go
@@ -34,10 +34,10 @@
 func TestAllNodesLetInTheSameRequests(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
-	one, other := loadshed.NewBoard(), loadshed.NewBoard()
-	for _, board := range []*loadshed.Board{one, other} {
-		board.Take(loadshed.Key{Service: "shard3"}, only(0.3), now)
-		board.Take(loadshed.Key{Service: "shard4"}, only(0.2), now)
+	one, other := loadshed.NewAdmitter(), loadshed.NewAdmitter()
+	for _, board := range []*loadshed.Admitter{one, other} {
+		board.Update(loadshed.Key{Service: "shard3"}, only(0.3), now)
+		board.Update(loadshed.Key{Service: "shard4"}, only(0.2), now)
 	}
 	admitted := 0
 	const count = 1000
@@ -49,7 +49,7 @@
 		if first.IsAdmitted {
 			admitted++
 		} else {
-			g.Expect(first.Scarcest).To(Equal("shard4"))
+			g.Expect(first.LimitingService).To(Equal("shard4"))
 		}
 	}
 	g.Expect(admitted).To(BeNumerically("~", count/5, 2))
@@ -60,17 +60,17 @@
 func TestOneShardShort(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
-	board := loadshed.NewBoard()
-	board.Take(loadshed.Key{Service: "shard7"}, only(0.1), now)
+	board := loadshed.NewAdmitter()
+	board.Update(loadshed.Key{Service: "shard7"}, only(0.1), now)
 	lucky := board.Admit(services, "", 35, urgent, lotAt(0.05), now)
 	g.Expect(lucky.IsAdmitted).To(BeTrue())
-	g.Expect(lucky.Spared).To(BeEmpty())
+	g.Expect(lucky.Skipped).To(BeEmpty())
 	other := board.Admit(services, "", 35, urgent, lotAt(0.6), now)
 	g.Expect(other.IsAdmitted).To(BeTrue())
-	g.Expect(other.Spared).To(Equal([]int{7}))
+	g.Expect(other.Skipped).To(Equal([]int{7}))
 	whole := board.Admit(services, "", 36, urgent, lotAt(0.6), now)
 	g.Expect(whole.IsAdmitted).To(BeFalse())
-	g.Expect(whole.Behind).To(BeNumerically("~", 0.5/0.9, 1e-6))
+	g.Expect(whole.Shortfall).To(BeNumerically("~", 0.5/0.9, 1e-6))
 }
 
 // TestAThirdOfTheServersGone leaves many shards short: a request that needs 31 of 36 goes by
@@ -78,9 +78,9 @@
 func TestAThirdOfTheServersGone(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
-	board := loadshed.NewBoard()
+	board := loadshed.NewAdmitter()
 	for number := range 12 {
-		board.Take(loadshed.Key{Service: services[number]}, only(float64(number+1)/20), now)
+		board.Update(loadshed.Key{Service: services[number]}, only(float64(number+1)/20), now)
 	}
 	most := board.Admit(services, "", 35, urgent, lotAt(0.09), now)
 	g.Expect(most.IsAdmitted).To(BeTrue())
@@ -88,7 +88,7 @@
 	few := board.Admit(services, "", 31, urgent, lotAt(0.29), now)
 	g.Expect(few.IsAdmitted).To(BeTrue())
 	g.Expect(few.Share).To(BeNumerically("~", 6.0/20, 1e-9))
-	g.Expect(few.Spared).To(ConsistOf(0, 1, 2, 3, 4))
+	g.Expect(few.Skipped).To(ConsistOf(0, 1, 2, 3, 4))
 	g.Expect(board.Admit(services, "", 31, urgent, lotAt(0.31), now).IsAdmitted).To(BeFalse())
 }
 
@@ -97,25 +97,25 @@
 func TestReportsThatStopped(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
-	board := loadshed.NewBoard()
-	board.Take(loadshed.Key{Service: "shard0"}, only(0.1), now)
+	board := loadshed.NewAdmitter()
+	board.Update(loadshed.Key{Service: "shard0"}, only(0.1), now)
 	g.Expect(board.Admit(services, "", 36, urgent, lotAt(0.5), now.Add(time.Second)).IsAdmitted).To(BeFalse())
 	g.Expect(board.Admit(services, "", 36, urgent, lotAt(0.5), now.Add(1600*time.Millisecond)).IsAdmitted).To(BeTrue())
 	board.Sweep(now.Add(1600 * time.Millisecond))
-	g.Expect(board.IsIdle()).To(BeTrue())
+	g.Expect(board.AdmitsAll()).To(BeTrue())
 }
 
 // TestTwoOwnersAtOnce: the later measurement counts, whichever message comes last.
 func TestTwoOwnersAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
-	board := loadshed.NewBoard()
-	board.Take(loadshed.Key{Service: "shard0"}, only(0.4), now)
-	board.Take(loadshed.Key{Service: "shard0"}, only(0.1), now.Add(-50*time.Millisecond))
+	board := loadshed.NewAdmitter()
+	board.Update(loadshed.Key{Service: "shard0"}, only(0.4), now)
+	board.Update(loadshed.Key{Service: "shard0"}, only(0.1), now.Add(-50*time.Millisecond))
 	g.Expect(board.ShareOf(loadshed.Key{Service: "shard0"}, urgent, now)).To(Equal(0.4))
-	board.Take(loadshed.Key{Service: "shard0"}, loadshed.Shares{}, now.Add(-50*time.Millisecond))
+	board.Update(loadshed.Key{Service: "shard0"}, loadshed.Shares{}, now.Add(-50*time.Millisecond))
 	g.Expect(board.ShareOf(loadshed.Key{Service: "shard0"}, urgent, now)).To(Equal(0.4))
-	board.Take(loadshed.Key{Service: "shard0"}, loadshed.Shares{}, now.Add(50*time.Millisecond))
+	board.Update(loadshed.Key{Service: "shard0"}, loadshed.Shares{}, now.Add(50*time.Millisecond))
 	g.Expect(board.ShareOf(loadshed.Key{Service: "shard0"}, urgent, now)).To(Equal(1.0))
 }
 
@@ -123,13 +123,13 @@
 func TestWhatANodeSeesAloneYieldsToTheOwner(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
-	board, key := loadshed.NewBoard(), loadshed.Key{Service: "shard0"}
-	board.Take(key, only(0.4), now)
-	board.TakePartial(key, loadshed.Shares{}, now.Add(time.Second))
+	board, key := loadshed.NewAdmitter(), loadshed.Key{Service: "shard0"}
+	board.Update(key, only(0.4), now)
+	board.UpdateLocal(key, loadshed.Shares{}, now.Add(time.Second))
 	g.Expect(board.ShareOf(key, urgent, now.Add(time.Second))).To(Equal(0.4))
-	board.TakePartial(key, only(0.7), now.Add(2*time.Second))
+	board.UpdateLocal(key, only(0.7), now.Add(2*time.Second))
 	g.Expect(board.ShareOf(key, urgent, now.Add(2*time.Second))).To(Equal(0.7))
-	board.Take(key, only(0.5), now.Add(3*time.Second))
+	board.Update(key, only(0.5), now.Add(3*time.Second))
 	g.Expect(board.ShareOf(key, urgent, now.Add(3*time.Second))).To(Equal(0.5))
 }
 
@@ -138,12 +138,12 @@
 func TestRepeatingAtOnceGainsNothing(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
-	var here, there loadshed.Lots
-	first := here.Draw(42, 1, now)
-	g.Expect(there.Draw(42, 2, now.Add(time.Second))).To(Equal(first))
-	g.Expect(here.Draw(42, 3, now.Add(time.Second))).To(Equal(first))
-	g.Expect(here.Draw(42, 4, now.Add(time.Second))).To(Equal(uint64(4)))
-	g.Expect(here.Draw(42, 5, now.Add(10*time.Second))).NotTo(Equal(first), "nobody stays unlucky")
+	var here, there loadshed.Sampler
+	first := here.Sample(42, 1, now)
+	g.Expect(there.Sample(42, 2, now.Add(time.Second))).To(Equal(first))
+	g.Expect(here.Sample(42, 3, now.Add(time.Second))).To(Equal(first))
+	g.Expect(here.Sample(42, 4, now.Add(time.Second))).To(Equal(uint64(4)))
+	g.Expect(here.Sample(42, 5, now.Add(10*time.Second))).NotTo(Equal(first), "nobody stays unlucky")
 }
 
 func BenchmarkAdmitWithoutOverload(b *testing.B) { benchmarkAdmit(b, 0) }
@@ -151,9 +151,9 @@
 
 func benchmarkAdmit(b *testing.B, short int) {
 	now := time.Unix(100, 0)
-	board := loadshed.NewBoard()
+	board := loadshed.NewAdmitter()
 	for number := range short {
-		board.Take(loadshed.Key{Service: services[number]}, only(float64(number+1)/20), now)
+		board.Update(loadshed.Key{Service: services[number]}, only(float64(number+1)/20), now)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -166,8 +166,8 @@
 func TestTheLoadOfBoundRequestsIsTheirOwn(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
-	board := loadshed.NewBoard()
-	board.Take(loadshed.Key{Service: "shard0", Regions: "there"}, only(0.1), now)
+	board := loadshed.NewAdmitter()
+	board.Update(loadshed.Key{Service: "shard0", Regions: "there"}, only(0.1), now)
 	g.Expect(board.Admit(services, "there", 36, urgent, lotAt(0.5), now).IsAdmitted).To(BeFalse())
 	g.Expect(board.Admit(services, "", 36, urgent, lotAt(0.5), now).IsAdmitted).To(BeTrue())
 }
@@ -175,15 +175,15 @@
 // TestOlderSharesThatComeLaterArePassedOver also after a service has room for all again.
 func TestOlderSharesThatComeLaterArePassedOver(t *testing.T) {
 	g := NewWithT(t)
-	board, now, key := loadshed.NewBoard(), time.Unix(100, 0), loadshed.Key{Service: "a"}
+	board, now, key := loadshed.NewAdmitter(), time.Unix(100, 0), loadshed.Key{Service: "a"}
 	short := loadshed.Shares{Ranks: []loadshed.RankShare{{Share: 0.5}}}
-	board.Take(key, short, now)
-	board.Take(key, loadshed.Shares{}, now.Add(200*time.Millisecond))
-	g.Expect(board.IsIdle()).To(BeTrue())
-	board.Take(key, short, now.Add(100*time.Millisecond))
+	board.Update(key, short, now)
+	board.Update(key, loadshed.Shares{}, now.Add(200*time.Millisecond))
+	g.Expect(board.AdmitsAll()).To(BeTrue())
+	board.Update(key, short, now.Add(100*time.Millisecond))
 	g.Expect(board.ShareOf(key, loadshed.Class{}, now.Add(300*time.Millisecond))).To(Equal(1.0))
-	g.Expect(board.IsIdle()).To(BeTrue())
-	board.Take(key, short, now.Add(300*time.Millisecond))
+	g.Expect(board.AdmitsAll()).To(BeTrue())
+	board.Update(key, short, now.Add(300*time.Millisecond))
 	g.Expect(board.ShareOf(key, loadshed.Class{}, now.Add(300*time.Millisecond))).To(Equal(0.5))
-	g.Expect(board.Limited()).To(Equal(1))
+	g.Expect(board.LimitedServices()).To(Equal(1))
 }
--- a/pkg/loadshed/export_test.go
+++ b/pkg/loadshed/export_test.go
@@ -1,4 +1,4 @@
 package loadshed
 
 // Slots returns how many counts are held.
-func (l *Lots) Slots() int { return len(l.seen) }
+func (l *Sampler) Slots() int { return len(l.seen) }
--- a/pkg/loadshed/meter.go
+++ b/pkg/loadshed/meter.go
@@ -117,21 +117,21 @@
 }
 
 // Offered is a request that was let in.
-type Offered struct {
+type AdmittedRequest struct {
 	Class
 	// Work is what it takes of a server, and Share the part of the requests like it for which
 	// its node took the service to have room.
 	Work  time.Duration
 	Share float64
-	// ForOthers says that this node asks the servers on behalf of others, so that they are to
+	// ForPeers says that this node asks the servers on behalf of others, so that they are to
 	// know what it measures.
-	ForOthers bool
+	ForPeers bool
 }
 
 // Offer notes a request that was let in.
-func (m *Meter) Offer(offered Offered) {
+func (m *Meter) RecordAdmitted(offered AdmittedRequest) {
 	class, work, share := offered.Class, offered.Work, offered.Share
-	m.wasForOthers = m.wasForOthers || offered.ForOthers
+	m.wasForOthers = m.wasForOthers || offered.ForPeers
 	if m.classes[class] == nil && len(m.classes) >= maxClasses {
 		class.Tenant = ""
 	}
@@ -146,7 +146,7 @@
 }
 
 // Serve notes that a server has answered a request that took so much work.
-func (m *Meter) Serve(work time.Duration) { m.served += work.Seconds() }
+func (m *Meter) RecordServed(work time.Duration) { m.served += work.Seconds() }
 
 // isForOthers reports whether this node has asked on behalf of others lately, so that it sees more
 // than its own requests.
@@ -154,14 +154,14 @@
 	return !m.forOthersAt.IsZero() && m.judgedAt.Sub(m.forOthersAt) <= shareLife
 }
 
-// IsDue reports whether the shares are to be judged anew.
-func (m *Meter) IsDue(now time.Time) bool { return now.Sub(m.judgedAt) >= tickSpan }
+// NeedsEvaluation reports whether the shares are to be judged anew.
+func (m *Meter) NeedsEvaluation(now time.Time) bool { return now.Sub(m.judgedAt) >= tickSpan }
 
 // Shares returns what is let in by the last judgement, and when that was.
 func (m *Meter) Shares() (Shares, time.Time) { return m.shares, m.judgedAt }
 
 // Judge takes the queue of a moment and judges the shares anew.
-func (m *Meter) Judge(backlog Backlog, now time.Time) {
+func (m *Meter) Evaluate(backlog Backlog, now time.Time) {
 	elapsed := now.Sub(m.judgedAt).Seconds()
 	if elapsed <= 0 {
 		return
--- a/pkg/loadshed/meter_test.go
+++ b/pkg/loadshed/meter_test.go
@@ -50,7 +50,7 @@
 			q.offer()
 		}
 		q.work()
-		if q.meter.IsDue(q.now) {
+		if q.meter.NeedsEvaluation(q.now) {
 			q.judge()
 		}
 	}
@@ -62,7 +62,7 @@
 		q.refused++
 		return
 	}
-	q.meter.Offer(loadshed.Offered{Class: urgent, Work: queueWork, Share: share})
+	q.meter.RecordAdmitted(loadshed.AdmittedRequest{Class: urgent, Work: queueWork, Share: share})
 	q.waiting = append(q.waiting, q.now)
 }
 
@@ -79,7 +79,7 @@
 		}
 		q.waiting = slices.Delete(q.waiting, next, next+1)
 		q.served++
-		q.meter.Serve(queueWork)
+		q.meter.RecordServed(queueWork)
 	}
 	q.done = min(q.done, 3*queueWork.Seconds())
 }
@@ -101,7 +101,7 @@
 			inTime++
 		}
 	}
-	q.meter.Judge(loadshed.Backlog{Waiting: inTime, Target: queueTarget}, q.now)
+	q.meter.Evaluate(loadshed.Backlog{Waiting: inTime, Target: queueTarget}, q.now)
 	shares, _ := q.meter.Shares()
 	q.observed = append(q.observed, shares.Of(urgent))
 	q.shares = shares
@@ -159,7 +159,7 @@
 	meter := loadshed.NewMeter(time.Unix(100, 0))
 	b.ReportAllocs()
 	for b.Loop() {
-		meter.Offer(loadshed.Offered{Class: urgent, Work: queueWork, Share: 1})
+		meter.RecordAdmitted(loadshed.AdmittedRequest{Class: urgent, Work: queueWork, Share: 1})
 	}
 }
 
@@ -183,11 +183,11 @@
 
 // BenchmarkMetersOffer counts the judgements too, one in ten requests at a hundred a second.
 func BenchmarkMetersOffer(b *testing.B) {
-	meters, now := loadshed.NewMeters(noQueues{}, loadshed.NewBoard()), time.Unix(100, 0)
+	meters, now := loadshed.NewMeters(noQueues{}, loadshed.NewAdmitter()), time.Unix(100, 0)
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(10 * time.Millisecond)
-		meters.Offer(loadshed.Key{Service: "shard0"}, loadshed.Offered{Class: urgent, Work: queueWork, Share: 1}, now)
+		meters.RecordAdmitted(loadshed.Key{Service: "shard0"}, loadshed.AdmittedRequest{Class: urgent, Work: queueWork, Share: 1}, now)
 	}
 }
 
@@ -201,11 +201,11 @@
 // TestWhatANodeMeasuresOfItselfIsNotTold once it has not asked on behalf of others for a while.
 func TestWhatANodeMeasuresOfItselfIsNotTold(t *testing.T) {
 	g := NewWithT(t)
-	meters, now, told := loadshed.NewMeters(crowd{}, loadshed.NewBoard()), time.Unix(100, 0), time.Time{}
-	meters.Tell(func([]loadshed.Measured) { told = now })
+	meters, now, told := loadshed.NewMeters(crowd{}, loadshed.NewAdmitter()), time.Unix(100, 0), time.Time{}
+	meters.SetPublisher(func([]loadshed.Measurement) { told = now })
 	began := now
 	for range 1000 {
-		meters.Offer(loadshed.Key{Service: "a"}, loadshed.Offered{Class: urgent, Work: queueWork, Share: 1, ForOthers: now.Sub(began) < time.Second}, now)
+		meters.RecordAdmitted(loadshed.Key{Service: "a"}, loadshed.AdmittedRequest{Class: urgent, Work: queueWork, Share: 1, ForPeers: now.Sub(began) < time.Second}, now)
 		now = now.Add(10 * time.Millisecond)
 	}
 	g.Expect(told).To(BeTemporally("~", began.Add(2500*time.Millisecond), 300*time.Millisecond))
--- a/pkg/loadshed/meters.go
+++ b/pkg/loadshed/meters.go
@@ -23,22 +23,22 @@
 }
 
 // Measured are the shares of one load.
-type Measured struct {
+type Measurement struct {
 	Key
-	Shares Shares
-	At     time.Time
+	Shares     Shares
+	MeasuredAt time.Time
 }
 
 // Meters are the meters of the services whose servers this node asks, for itself or on behalf
 // of others. The requests that come drive them: without requests nothing changes.
 type Meters struct {
 	queues Queues
-	board  *Board
+	board  *Admitter
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
 	// tell takes what all nodes are to be told; nil where there are none.
-	tell   func([]Measured)
+	tell   func([]Measurement)
 	meters map[Key]*Meter
 	// lastTold are the shares that all nodes were told last and toldAt is when.
 	lastTold map[Key]Shares
@@ -46,19 +46,19 @@
 }
 
 // NewMeters returns meters that note what they find on this node's own board too.
-func NewMeters(queues Queues, board *Board) *Meters {
+func NewMeters(queues Queues, board *Admitter) *Meters {
 	return &Meters{queues: queues, board: board, meters: make(map[Key]*Meter), lastTold: make(map[Key]Shares)}
 }
 
 // Tell sets what takes what all nodes are to be told. It does not block.
-func (m *Meters) Tell(tell func([]Measured)) {
+func (m *Meters) SetPublisher(tell func([]Measurement)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.tell = tell
 }
 
 // Offer notes a request that was let in.
-func (m *Meters) Offer(key Key, offered Offered, now time.Time) {
+func (m *Meters) RecordAdmitted(key Key, offered AdmittedRequest, now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	found := m.meters[key]
@@ -66,37 +66,37 @@
 		found = NewMeter(now)
 		m.meters[key] = found
 	}
-	found.Offer(offered)
-	if !found.IsDue(now) {
+	found.RecordAdmitted(offered)
+	if !found.NeedsEvaluation(now) {
 		return
 	}
-	found.Judge(m.queues.Backlog(key, now), now)
+	found.Evaluate(m.queues.Backlog(key, now), now)
 	if !found.hasMeasured() {
 		return
 	}
 	shares, _ := found.Shares()
 	if !found.isForOthers() {
-		m.board.TakePartial(key, shares, now)
+		m.board.UpdateLocal(key, shares, now)
 		return
 	}
-	m.board.Take(key, shares, now)
+	m.board.Update(key, shares, now)
 	if m.tell != nil {
 		m.tellIfChanged(now)
 	}
 }
 
 // Serve notes that a server of a service has answered.
-func (m *Meters) Serve(key Key, work time.Duration) {
+func (m *Meters) RecordServed(key Key, work time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if found := m.meters[key]; found != nil {
-		found.Serve(work)
+		found.RecordServed(work)
 	}
 }
 
 // Of returns the shares of a service and when they were judged; full ones if it is not
 // measured here or was not asked for lately.
-func (m *Meters) Of(key Key, now time.Time) (Shares, time.Time) {
+func (m *Meters) Shares(key Key, now time.Time) (Shares, time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	found := m.meters[key]
@@ -108,20 +108,20 @@
 
 // Measured returns the shares of a service, and whether this node has measured them lately. One that
 // has just begun to ask its servers has nothing to tell: others may know more.
-func (m *Meters) Measured(key Key, now time.Time) (Measured, bool) {
+func (m *Meters) Measurement(key Key, now time.Time) (Measurement, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.measured(key, now)
 }
 
 // measured is Measured. The mutex is held.
-func (m *Meters) measured(key Key, now time.Time) (Measured, bool) {
+func (m *Meters) measured(key Key, now time.Time) (Measurement, bool) {
 	found := m.meters[key]
 	if found == nil || now.Sub(found.judgedAt) > shareLife || !found.hasMeasured() {
-		return Measured{}, false
+		return Measurement{}, false
 	}
 	shares, at := found.Shares()
-	return Measured{Key: key, Shares: shares, At: at}, true
+	return Measurement{Key: key, Shares: shares, MeasuredAt: at}, true
 }
 
 // tellIfChanged tells all nodes the shares if they have changed or matter still. The mutex is
@@ -147,7 +147,7 @@
 	if !isChanged && (!matters || pause < repeatSpan) {
 		return
 	}
-	var message []Measured
+	var message []Measurement
 	for key, each := range m.meters {
 		measured, ok := m.measured(key, now)
 		if !ok || !each.isForOthers() || measured.Shares.IsFull() && m.lastTold[key].IsFull() {
--- a/pkg/loadshed/lots.go
+++ b/pkg/loadshed/sampler.go
@@ -29,7 +29,7 @@
 // Lots draws the lots of requests. Tries of one client that ask the same draw the same, so
 // that nobody gains by repeating at once. Where many ask the same, each draws for itself:
 // otherwise all of them would be let in or none. It is safe for concurrent use.
-type Lots struct {
+type Sampler struct {
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
 	// span numbers the current lotSpan, seen counts the requests in it by what they ask, up to
@@ -40,7 +40,7 @@
 }
 
 // Draw returns the lot of a request from hashes of what it asks and of its id.
-func (l *Lots) Draw(asked, id uint64, now time.Time) uint64 {
+func (l *Sampler) Sample(asked, id uint64, now time.Time) uint64 {
 	span := uint64(now.UnixNano()) / uint64(lotSpan)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/pkg/loadshed/lots_test.go
+++ b/pkg/loadshed/sampler_test.go
@@ -13,7 +13,7 @@
 // again lets clients send a request each interval for the span of a lot, each its own, and once
 // more under a new id half a second later. It returns how many second tries there were, and how
 // many had the lot of the first one.
-func again(lots *loadshed.Lots, interval time.Duration) (tries, same int) {
+func again(lots *loadshed.Sampler, interval time.Duration) (tries, same int) {
 	const span, pause = 10 * time.Second, 500 * time.Millisecond
 	random := rand.New(rand.NewPCG(3, 3))
 	type first struct {
@@ -25,13 +25,13 @@
 	for at := time.Duration(0); at < span; at += interval {
 		for len(waiting) > 0 && waiting[0].at+pause <= at {
 			tries++
-			if lots.Draw(waiting[0].asked, random.Uint64(), begin.Add(at)) == waiting[0].lot {
+			if lots.Sample(waiting[0].asked, random.Uint64(), begin.Add(at)) == waiting[0].lot {
 				same++
 			}
 			waiting = waiting[1:]
 		}
 		asked := random.Uint64()
-		waiting = append(waiting, first{asked, lots.Draw(asked, random.Uint64(), begin.Add(at)), at})
+		waiting = append(waiting, first{asked, lots.Sample(asked, random.Uint64(), begin.Add(at)), at})
 	}
 	return tries, same
 }
@@ -43,7 +43,7 @@
 		"2 a second": 500 * time.Millisecond, "50 a second": 20 * time.Millisecond, "400 a second": 2500 * time.Microsecond,
 	} {
 		t.Run(name, func(t *testing.T) {
-			tries, same := again(&loadshed.Lots{}, interval)
+			tries, same := again(&loadshed.Sampler{}, interval)
 			t.Log(same, "of", tries)
 			NewWithT(t).Expect(float64(same)).To(BeNumerically(">=", 0.9*float64(tries)))
 		})
@@ -54,30 +54,30 @@
 // the load has gone. Requests that ask the same need one.
 func TestLotsHoldNoMoreThanTheyNeed(t *testing.T) {
 	g := NewWithT(t)
-	lots := &loadshed.Lots{}
+	lots := &loadshed.Sampler{}
 	again(lots, 500*time.Millisecond)
 	g.Expect(lots.Slots()).To(Equal(1024), "two requests a second")
 	for number := range 100_000 {
-		lots.Draw(7, uint64(number), time.Unix(1010, 0))
+		lots.Sample(7, uint64(number), time.Unix(1010, 0))
 	}
 	g.Expect(lots.Slots()).To(Equal(1024), "all ask the same")
 	random := rand.New(rand.NewPCG(4, 4))
 	for number := range 100_000 {
-		lots.Draw(random.Uint64(), uint64(number), time.Unix(1020, 0))
+		lots.Sample(random.Uint64(), uint64(number), time.Unix(1020, 0))
 	}
 	g.Expect(lots.Slots()).To(Equal(65536), "10,000 requests a second")
-	lots.Draw(7, 1, time.Unix(1030, 0))
-	lots.Draw(7, 1, time.Unix(1040, 0))
+	lots.Sample(7, 1, time.Unix(1030, 0))
+	lots.Sample(7, 1, time.Unix(1040, 0))
 	g.Expect(lots.Slots()).To(Equal(1024))
 }
 
 // TestManyThatAskTheSameDrawForThemselves, also while the counts grow.
 func TestManyThatAskTheSameDrawForThemselves(t *testing.T) {
 	g := NewWithT(t)
-	lots, random, alike := &loadshed.Lots{}, rand.New(rand.NewPCG(5, 5)), make(map[uint64]int)
+	lots, random, alike := &loadshed.Sampler{}, rand.New(rand.NewPCG(5, 5)), make(map[uint64]int)
 	for range 100_000 {
-		lots.Draw(random.Uint64(), random.Uint64(), time.Unix(1000, 0))
-		alike[lots.Draw(7, random.Uint64(), time.Unix(1000, 0))]++
+		lots.Sample(random.Uint64(), random.Uint64(), time.Unix(1000, 0))
+		alike[lots.Sample(7, random.Uint64(), time.Unix(1000, 0))]++
 	}
 	for _, count := range alike {
 		g.Expect(count).To(BeNumerically("<=", 6), "two for each of three sizes")
--- a/pkg/loadshed/ways_test.go
+++ b/pkg/loadshed/ways_test.go
@@ -137,15 +137,15 @@
 
 // told is the way that is built: a meter at each owner, and what they tell on one board.
 type told struct {
-	board  *loadshed.Board
+	board  *loadshed.Admitter
 	meters [modelShards]*loadshed.Meter
 	names  []string
 	// news are what owners have told and nodes do not know yet.
-	news []loadshed.Measured
+	news []loadshed.Measurement
 }
 
 func newTold(now time.Time) *told {
-	created := &told{board: loadshed.NewBoard()}
+	created := &told{board: loadshed.NewAdmitter()}
 	for shard := range created.meters {
 		created.meters[shard] = loadshed.NewMeter(now)
 		created.names = append(created.names, fmt.Sprint("shard", shard))
@@ -154,8 +154,8 @@
 }
 
 func (w *told) admit(request *asked, now time.Time) []int {
-	for len(w.news) > 0 && now.Sub(w.news[0].At) >= modelNews {
-		w.board.Take(w.news[0].Key, w.news[0].Shares, w.news[0].At)
+	for len(w.news) > 0 && now.Sub(w.news[0].MeasuredAt) >= modelNews {
+		w.board.Update(w.news[0].Key, w.news[0].Shares, w.news[0].MeasuredAt)
 		w.news = w.news[1:]
 	}
 	decision := w.board.Admit(w.names, "", request.needed, request.class(), request.lot, now)
@@ -166,7 +166,7 @@
 	for shard, name := range w.names {
 		request.shares[shard] = w.board.ShareOf(loadshed.Key{Service: name}, request.class(), now)
 		isSpared := false
-		for _, spared := range decision.Spared {
+		for _, spared := range decision.Skipped {
 			isSpared = isSpared || spared == shard
 		}
 		if !isSpared {
@@ -177,10 +177,10 @@
 }
 
 func (w *told) offered(shard int, request *asked, _ time.Time) {
-	w.meters[shard].Offer(loadshed.Offered{Class: request.class(), Work: request.work, Share: request.shares[shard]})
+	w.meters[shard].RecordAdmitted(loadshed.AdmittedRequest{Class: request.class(), Work: request.work, Share: request.shares[shard]})
 }
 
-func (w *told) served(shard int, request *asked) { w.meters[shard].Serve(request.work) }
+func (w *told) served(shard int, request *asked) { w.meters[shard].RecordServed(request.work) }
 func (w *told) ended(*asked, bool, time.Time)    {}
 func (w *told) judge(model *model, now time.Time) {
 	for shard, meter := range w.meters {
@@ -194,8 +194,8 @@
 		if backlog.Waiting > 0 {
 			backlog.Target /= time.Duration(backlog.Waiting)
 		}
-		meter.Judge(backlog, now)
+		meter.Evaluate(backlog, now)
 		shares, at := meter.Shares()
-		w.news = append(w.news, loadshed.Measured{Key: loadshed.Key{Service: w.names[shard]}, Shares: shares, At: at})
+		w.news = append(w.news, loadshed.Measurement{Key: loadshed.Key{Service: w.names[shard]}, Shares: shares, MeasuredAt: at})
 	}
 }
--- a/pkg/owner/announcer.go
+++ b/pkg/owner/announcer.go
@@ -38,7 +38,7 @@
 	known     *fanout.Room
 	roster    *Roster
 	transport peer.Transport
-	told      func([]loadshed.Measured)
+	told      func([]loadshed.Measurement)
 	// waiting is what this node has measured and is to tell, and onward what it was told and is to
 	// tell the nodes of its part.
 	waiting, onward *outbox
@@ -54,7 +54,7 @@
 	Roster    *Roster
 	Transport peer.Transport
 	// Told takes what the nodes are told; it does not block.
-	Told func([]loadshed.Measured)
+	Told func([]loadshed.Measurement)
 }
 
 // NewAnnouncer registers the handler of what other owners tell.
@@ -63,7 +63,7 @@
 		known: options.Known, roster: options.Roster, transport: options.Transport, told: options.Told,
 		waiting: newOutbox(), onward: newOutbox(),
 	}
-	options.Known.Meters.Tell(created.waiting.put)
+	options.Known.Meters.SetPublisher(created.waiting.put)
 	options.Transport.Handle(kindRoom, created.takeAndTell)
 	options.Transport.Handle(kindRoomOnward, created.take)
 	return created
@@ -81,7 +81,7 @@
 
 // spread tells the head of each part of the region, and waits until they have answered or
 // tellTimeout is over.
-func (a *Announcer) spread(ctx context.Context, message []loadshed.Measured) {
+func (a *Announcer) spread(ctx context.Context, message []loadshed.Measurement) {
 	a.told(message)
 	parts, _ := a.roster.parts()
 	chosen := a.heads.choose(parts)
@@ -91,14 +91,14 @@
 
 // tellPart tells the nodes of this node's part of the region what it was told. One that hears it
 // twice takes the later measurement.
-func (a *Announcer) tellPart(ctx context.Context, message []loadshed.Measured) {
+func (a *Announcer) tellPart(ctx context.Context, message []loadshed.Measurement) {
 	parts, own := a.roster.parts()
 	a.send(ctx, parts[own], kindRoomOnward, message)
 }
 
 // send sends a message to some nodes and returns those that took it in time.
 func (a *Announcer) send(
-	ctx context.Context, addresses []peer.Address, kind peer.Kind, message []loadshed.Measured,
+	ctx context.Context, addresses []peer.Address, kind peer.Kind, message []loadshed.Measurement,
 ) []peer.Address {
 	if len(addresses) == 0 {
 		return nil
@@ -106,7 +106,7 @@
 	now := time.Now()
 	rooms := &ownerpb.Rooms{}
 	for _, each := range message {
-		rooms.Rooms = append(rooms.Rooms, encodeRoom(each.Key, each.Shares, now.Sub(each.At)))
+		rooms.Rooms = append(rooms.Rooms, encodeRoom(each.Key, each.Shares, now.Sub(each.MeasuredAt)))
 	}
 	limited, cancel := context.WithTimeout(ctx, tellTimeout)
 	defer cancel()
@@ -129,12 +129,12 @@
 }
 
 // note notes a message on this node's board and returns it.
-func (a *Announcer) note(body []byte) ([]loadshed.Measured, error) {
+func (a *Announcer) note(body []byte) ([]loadshed.Measurement, error) {
 	rooms := &ownerpb.Rooms{}
 	if err := rooms.UnmarshalVT(body); err != nil {
 		return nil, errors.Wrap(err, "decode rooms")
 	}
-	return takeRooms(a.known.Board, rooms.Rooms, time.Now()), nil
+	return takeRooms(a.known.Admitter, rooms.Rooms, time.Now()), nil
 }
 
 // roomOf returns what is told with a report about the services of a question: those that this node
@@ -145,10 +145,10 @@
 	}
 	var rooms []*ownerpb.Room
 	for index, service := range question.Services {
-		measured, ok := a.known.Meters.Measured(loadshed.Key{Service: service, Regions: regions}, now)
+		measured, ok := a.known.Meters.Measurement(loadshed.Key{Service: service, Regions: regions}, now)
 		isTakenForShort := index < len(question.AdmittedShares) && question.AdmittedShares[index] < 1
 		if ok && (isTakenForShort || !measured.Shares.IsFull()) {
-			rooms = append(rooms, encodeRoom(measured.Key, measured.Shares, now.Sub(measured.At)))
+			rooms = append(rooms, encodeRoom(measured.Key, measured.Shares, now.Sub(measured.MeasuredAt)))
 		}
 	}
 	return rooms
@@ -170,18 +170,18 @@
 
 // takeRooms notes what an owner tells and returns it. Of services that it does not name, which it
 // may not have measured, what was told before holds until that is too old.
-func takeRooms(board *loadshed.Board, told []*ownerpb.Room, now time.Time) []loadshed.Measured {
-	message := make([]loadshed.Measured, len(told))
+func takeRooms(board *loadshed.Admitter, told []*ownerpb.Room, now time.Time) []loadshed.Measurement {
+	message := make([]loadshed.Measurement, len(told))
 	for index, each := range told {
 		decoded := decodeRoom(each, now)
-		board.Take(decoded.Key, decoded.Shares, decoded.At)
+		board.Update(decoded.Key, decoded.Shares, decoded.MeasuredAt)
 		message[index] = decoded
 	}
 	return message
 }
 
 // decodeRoom reads one service's shares.
-func decodeRoom(told *ownerpb.Room, now time.Time) loadshed.Measured {
+func decodeRoom(told *ownerpb.Room, now time.Time) loadshed.Measurement {
 	var shares loadshed.Shares
 	for _, rank := range told.Ranks {
 		shares.Ranks = append(shares.Ranks, loadshed.RankShare{Priority: int(rank.Priority), Share: rank.Share})
@@ -191,8 +191,8 @@
 			Class: loadshed.Class{Priority: int(heavy.Priority), Tenant: heavy.Tenant}, Share: heavy.Share,
 		})
 	}
-	return loadshed.Measured{
+	return loadshed.Measurement{
 		Key: loadshed.Key{Service: told.Service, Regions: told.Regions}, Shares: shares,
-		At: now.Add(-time.Duration(told.AgeMs) * time.Millisecond),
+		MeasuredAt: now.Add(-time.Duration(told.AgeMs) * time.Millisecond),
 	}
 }
--- a/pkg/owner/announcer_test.go
+++ b/pkg/owner/announcer_test.go
@@ -26,7 +26,7 @@
 // roomNode is a node that measures and is told.
 type roomNode struct {
 	announcer *owner.Announcer
-	board     *loadshed.Board
+	board     *loadshed.Admitter
 	known     *fanout.Room
 	queues    *crowdedQueues
 	told      atomic.Int64
@@ -48,12 +48,12 @@
 		for _, each := range known {
 			created := &roomNode{queues: &crowdedQueues{}}
 			created.known = fanout.NewRoom(created.queues)
-			created.board = created.known.Board
+			created.board = created.known.Admitter
 			roster := owner.NewRoster(each, map[string]string{"z": "r", "y": "r", "x": "q"}, noServers{})
 			roster.SetNodes(known)
 			announcer := owner.NewAnnouncer(owner.AnnouncerOptions{
 				Known: created.known, Roster: roster,
-				Transport: network.Transport(peer.Address(each.Name)), Told: func([]loadshed.Measured) { created.told.Add(1) },
+				Transport: network.Transport(peer.Address(each.Name)), Told: func([]loadshed.Measurement) { created.told.Add(1) },
 			})
 			created.announcer = announcer
 			go func() { _ = announcer.Run(ctx); done <- struct{}{} }()
@@ -79,7 +79,7 @@
 // load offers requests of a service to a node for a while.
 func (n *roomNode) load(span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		n.known.Meters.Offer(loadshed.Key{Service: "s"}, loadshed.Offered{Work: 20 * time.Millisecond, Share: 1, ForOthers: true}, time.Now())
+		n.known.Meters.RecordAdmitted(loadshed.Key{Service: "s"}, loadshed.AdmittedRequest{Work: 20 * time.Millisecond, Share: 1, ForPeers: true}, time.Now())
 	}
 }
 
@@ -93,13 +93,13 @@
 		owning.queues.waiting = 50
 		owning.load(500 * time.Millisecond)
 		g.Expect(near.board.ShareOf(loadshed.Key{Service: "s"}, loadshed.Class{}, time.Now())).To(BeNumerically("<", 0.5))
-		g.Expect(nodes["far"].board.IsIdle()).To(BeTrue(), "other regions have owners of their own")
+		g.Expect(nodes["far"].board.AdmitsAll()).To(BeTrue(), "other regions have owners of their own")
 		owning.load(2 * time.Second)
 		g.Expect(owning.told.Load()).To(BeNumerically("<=", 2500/200+1))
 		owning.queues.waiting = 0
 		for range 100 {
-			owning.known.Meters.Offer(loadshed.Key{Service: "s"}, loadshed.Offered{Work: 20 * time.Millisecond, Share: 1, ForOthers: true}, time.Now())
-			owning.known.Meters.Serve(loadshed.Key{Service: "s"}, 20*time.Millisecond)
+			owning.known.Meters.RecordAdmitted(loadshed.Key{Service: "s"}, loadshed.AdmittedRequest{Work: 20 * time.Millisecond, Share: 1, ForPeers: true}, time.Now())
+			owning.known.Meters.RecordServed(loadshed.Key{Service: "s"}, 20*time.Millisecond)
 			time.Sleep(15 * time.Millisecond)
 		}
 		g.Expect(near.board.ShareOf(loadshed.Key{Service: "s"}, loadshed.Class{}, time.Now())).To(Equal(1.0))
@@ -112,12 +112,12 @@
 		owning, near := nodes["owner"], nodes["near"]
 		owning.queues.waiting = 50
 		owning.load(time.Second)
-		g.Expect(near.board.IsIdle()).To(BeFalse())
+		g.Expect(near.board.AdmitsAll()).To(BeFalse())
 		network.Cut([]peer.Address{"near"}, []peer.Address{"owner", "far"})
 		owning.load(2 * time.Second)
 		g.Expect(near.board.ShareOf(loadshed.Key{Service: "s"}, loadshed.Class{}, time.Now())).To(Equal(1.0))
 		near.known.Sweep(time.Now())
-		g.Expect(near.board.IsIdle()).To(BeTrue())
+		g.Expect(near.board.AdmitsAll()).To(BeTrue())
 	})
 }
 
@@ -140,10 +140,10 @@
 		owning, near := nodes["owner"], nodes["near"]
 		first, second := loadshed.Key{Service: "first"}, loadshed.Key{Service: "second"}
 		now := time.Now()
-		for _, each := range [][]loadshed.Measured{
-			{{Key: first, Shares: roomShare(0.5), At: now}},
-			{{Key: first, At: now}},
-			{{Key: second, Shares: roomShare(0.5), At: now}},
+		for _, each := range [][]loadshed.Measurement{
+			{{Key: first, Shares: roomShare(0.5), MeasuredAt: now}},
+			{{Key: first, MeasuredAt: now}},
+			{{Key: second, Shares: roomShare(0.5), MeasuredAt: now}},
 		} {
 			owning.announcer.Put(each)
 			// The first message is on its way when the others come.
--- a/pkg/owner/client.go
+++ b/pkg/owner/client.go
@@ -35,7 +35,7 @@
 	transport peer.Streamer
 	events    Events
 	// board takes what owners tell of the room at their services.
-	board *loadshed.Board
+	board *loadshed.Admitter
 	// wake tells Run that a trial may be due at another time.
 	wake chan struct{}
 }
@@ -52,7 +52,7 @@
 
 // NewClient returns a client that asks the nodes of a roster. The board takes what they tell
 // of the room at services.
-func NewClient(roster *Roster, transport peer.Streamer, board *loadshed.Board, events Events) *Client {
+func NewClient(roster *Roster, transport peer.Streamer, board *loadshed.Admitter, events Events) *Client {
 	return &Client{roster: roster, transport: transport, events: events, board: board, wake: make(chan struct{}, 1)}
 }
 
--- a/pkg/owner/client_test.go
+++ b/pkg/owner/client_test.go
@@ -53,7 +53,7 @@
 		g := NewWithT(t)
 		_, known, nodes := deployment(4, 2)
 		transport, told := &slowPings{delay: 400 * time.Millisecond}, &returns{}
-		client := owner.NewClient(rosterOf(nodes[0], known, nodes), transport, loadshed.NewBoard(), told)
+		client := owner.NewClient(rosterOf(nodes[0], known, nodes), transport, loadshed.NewAdmitter(), told)
 		plan := &fanout.Plan{Deadline: time.Now().Add(time.Minute)}
 		for range 2 {
 			client.Ask(fanout.Question{Owner: nodes[1].Name, Plan: plan, Request: &exchange.Request{}}, func(fanout.Report) {})
--- a/pkg/owner/cluster_test.go
+++ b/pkg/owner/cluster_test.go
@@ -216,7 +216,7 @@
 	}
 	created.fleet.SetConnections(connections)
 	created.roster = owner.NewRoster(created.Node, map[string]string{"z": "r", "y": "q"}, created.fleet)
-	created.client = owner.NewClient(created.roster, created.transport, loadshed.NewBoard(), created)
+	created.client = owner.NewClient(created.roster, created.transport, loadshed.NewAdmitter(), created)
 	runner := fanout.Runner{
 		Fleet: created.fleet, Budget: created.budget, Dialect: &exchangetest.Dialect, Linger: 350 * time.Millisecond,
 		Sound: func(answer *exchange.Response) bool { return answer.Status == http.StatusOK && answer.Evidence != "" },
--- a/pkg/owner/deadline_test.go
+++ b/pkg/owner/deadline_test.go
@@ -47,7 +47,7 @@
 		g := NewWithT(t)
 		_, known, nodes := deployment(4, 2)
 		transport, told := &slowPings{}, &returns{}
-		client := owner.NewClient(rosterOf(nodes[0], known, nodes), transport, loadshed.NewBoard(), told)
+		client := owner.NewClient(rosterOf(nodes[0], known, nodes), transport, loadshed.NewAdmitter(), told)
 		plan := &fanout.Plan{Deadline: time.Now().Add(5 * time.Millisecond)}
 		var got []error
 		client.Ask(fanout.Question{Owner: nodes[1].Name, Plan: plan, Request: &exchange.Request{}}, func(report fanout.Report) {
--- a/pkg/owner/export_test.go
+++ b/pkg/owner/export_test.go
@@ -8,7 +8,7 @@
 )
 
 // Put hands an Announcer a message as its meters do.
-func (a *Announcer) Put(message []loadshed.Measured) { a.waiting.put(message) }
+func (a *Announcer) Put(message []loadshed.Measurement) { a.waiting.put(message) }
 
 // RoomOf returns what a report to a question tells.
 func (a *Announcer) RoomOf(question *ownerpb.Question, now time.Time) []*ownerpb.Room {
--- a/pkg/owner/outbox.go
+++ b/pkg/owner/outbox.go
@@ -14,14 +14,14 @@
 type outbox struct {
 	// mutex is held by put.
 	mutex   sync.Mutex
-	waiting chan []loadshed.Measured
+	waiting chan []loadshed.Measurement
 }
 
-func newOutbox() *outbox { return &outbox{waiting: make(chan []loadshed.Measured, 1)} }
+func newOutbox() *outbox { return &outbox{waiting: make(chan []loadshed.Measurement, 1)} }
 
 // put keeps a message until it is told, with what one that still waits tells of other services:
 // their change counts as told. It does not block.
-func (o *outbox) put(message []loadshed.Measured) {
+func (o *outbox) put(message []loadshed.Measurement) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	select {
@@ -33,7 +33,7 @@
 }
 
 // run hands on what was put, one message after the other with a pause after each, until ctx ends.
-func (o *outbox) run(ctx context.Context, span time.Duration, tell func(context.Context, []loadshed.Measured)) {
+func (o *outbox) run(ctx context.Context, span time.Duration, tell func(context.Context, []loadshed.Measurement)) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -47,14 +47,14 @@
 
 // merge returns a message with what an earlier one tells of services that it does not name, or that
 // were measured later there.
-func merge(earlier, message []loadshed.Measured) []loadshed.Measured {
+func merge(earlier, message []loadshed.Measurement) []loadshed.Measurement {
 	merged := slices.Clone(message)
 	for _, each := range earlier {
-		index := slices.IndexFunc(merged, func(other loadshed.Measured) bool { return other.Key == each.Key })
+		index := slices.IndexFunc(merged, func(other loadshed.Measurement) bool { return other.Key == each.Key })
 		switch {
 		case index < 0:
 			merged = append(merged, each)
-		case each.At.After(merged[index].At):
+		case each.MeasuredAt.After(merged[index].MeasuredAt):
 			merged[index] = each
 		}
 	}
--- a/pkg/owner/parts_test.go
+++ b/pkg/owner/parts_test.go
@@ -23,7 +23,7 @@
 type largeRegion struct {
 	network    *peer.Network
 	announcers []*owner.Announcer
-	boards     []*loadshed.Board
+	boards     []*loadshed.Admitter
 
 	mutex sync.Mutex
 	// sent counts the messages of each node, and first are the nodes that node0 told itself,
@@ -75,10 +75,10 @@
 			roster.SetNodes(known)
 			room := fanout.NewRoom(&crowdedQueues{})
 			announcer := owner.NewAnnouncer(owner.AnnouncerOptions{
-				Known: room, Roster: roster, Told: func([]loadshed.Measured) {},
+				Known: room, Roster: roster, Told: func([]loadshed.Measurement) {},
 				Transport: counted{region.network.Transport(peer.Address(each.Name)), region, each.Name},
 			})
-			region.boards, region.announcers = append(region.boards, room.Board), append(region.announcers, announcer)
+			region.boards, region.announcers = append(region.boards, room.Admitter), append(region.announcers, announcer)
 			stopped.Go(func() { _ = announcer.Run(ctx) })
 		}
 		test(NewWithT(t), region)
@@ -92,7 +92,7 @@
 // tell lets the owner tell a share, and returns how many nodes know it a little later.
 func (r *largeRegion) tell(share float64) int {
 	key := loadshed.Key{Service: "s"}
-	r.announcers[0].Put([]loadshed.Measured{{Key: key, Shares: roomShare(share), At: time.Now()}})
+	r.announcers[0].Put([]loadshed.Measurement{{Key: key, Shares: roomShare(share), MeasuredAt: time.Now()}})
 	time.Sleep(50 * time.Millisecond)
 	know := 0
 	for _, board := range r.boards[1:] {
@@ -152,11 +152,11 @@
 	inLargeRegion(t, func(g *WithT, region *largeRegion) {
 		for number := range 40 {
 			key := loadshed.Key{Service: fmt.Sprint("s", number)}
-			region.announcers[number].Put([]loadshed.Measured{{Key: key, Shares: roomShare(0.5), At: time.Now()}})
+			region.announcers[number].Put([]loadshed.Measurement{{Key: key, Shares: roomShare(0.5), MeasuredAt: time.Now()}})
 		}
 		time.Sleep(50 * time.Millisecond)
 		for _, board := range region.boards {
-			g.Expect(board.Limited()).To(BeNumerically(">=", 39))
+			g.Expect(board.LimitedServices()).To(BeNumerically(">=", 39))
 		}
 		for _, sent := range region.sent {
 			g.Expect(sent).To(BeNumerically("<=", 40+2*6))
@@ -188,7 +188,7 @@
 		for round := range rounds {
 			for number, announcer := range region.announcers {
 				key := loadshed.Key{Service: fmt.Sprint("s", number)}
-				announcer.Put([]loadshed.Measured{{Key: key, Shares: roomShare(0.9 - float64(round)/20), At: time.Now()}})
+				announcer.Put([]loadshed.Measurement{{Key: key, Shares: roomShare(0.9 - float64(round)/20), MeasuredAt: time.Now()}})
 				time.Sleep(between)
 			}
 		}
--- a/pkg/owner/room_reports_test.go
+++ b/pkg/owner/room_reports_test.go
@@ -21,10 +21,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		_, known, nodes := deployment(4, 2)
-		transport, board := &slowPings{}, loadshed.NewBoard()
+		transport, board := &slowPings{}, loadshed.NewAdmitter()
 		client := owner.NewClient(rosterOf(nodes[0], known, nodes), transport, board, &returns{})
 		key := loadshed.Key{Service: "s"}
-		board.Take(key, roomShare(0.4), time.Now())
+		board.Update(key, roomShare(0.4), time.Now())
 		plan := &fanout.Plan{Deadline: time.Now().Add(time.Minute)}
 		question := fanout.Question{Owner: nodes[1].Name, Services: []string{"s"}, Plan: plan, Request: &exchange.Request{}}
 		client.Ask(question, func(fanout.Report) {})
@@ -84,7 +84,7 @@
 func (n *roomNode) serve(span time.Duration) {
 	key := loadshed.Key{Service: "s"}
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(15 * time.Millisecond) {
-		n.known.Meters.Offer(key, loadshed.Offered{Work: 20 * time.Millisecond, Share: 1, ForOthers: true}, time.Now())
-		n.known.Meters.Serve(key, 20*time.Millisecond)
+		n.known.Meters.RecordAdmitted(key, loadshed.AdmittedRequest{Work: 20 * time.Millisecond, Share: 1, ForPeers: true}, time.Now())
+		n.known.Meters.RecordServed(key, 20*time.Millisecond)
 	}
 }
--- a/pkg/rhythm/periods.go
+++ b/pkg/rhythm/periods.go
@@ -16,7 +16,7 @@
 
 // Periods is what the servers that a node asks have in common: servers of one program
 // have one period, each with a phase of its own. The zero value knows nothing.
-type Periods struct {
+type SharedPeriod struct {
 	intervals [intervalCount]interval
 	next      int
 	// servers counts those that have shown an interval; a server's number is its place among them.
@@ -36,7 +36,7 @@
 }
 
 // note keeps an interval.
-func (p *Periods) note(server *Server, length time.Duration, now time.Time) {
+func (p *SharedPeriod) note(server *Server, length time.Duration, now time.Time) {
 	if server.number == 0 {
 		p.servers++
 		server.number = p.servers
@@ -46,7 +46,7 @@
 }
 
 // sharedWith returns the period that an interval has in common with one of another server.
-func (p *Periods) sharedWith(server *Server, length time.Duration, now time.Time) (time.Duration, bool) {
+func (p *SharedPeriod) sharedWith(server *Server, length time.Duration, now time.Time) (time.Duration, bool) {
 	for _, each := range p.intervals {
 		if each.server == 0 || each.server == server.number || now.Sub(each.seenAt) > periodMemory*each.length {
 			continue
@@ -59,12 +59,12 @@
 }
 
 // confirm takes a period that two intervals or a pause that came in time have shown.
-func (p *Periods) confirm(period time.Duration, now time.Time) {
+func (p *SharedPeriod) confirm(period time.Duration, now time.Time) {
 	p.period, p.confirmedAt = period, now
 }
 
 // current returns the period in common; zero if there is none.
-func (p *Periods) current(now time.Time) time.Duration {
+func (p *SharedPeriod) current(now time.Time) time.Duration {
 	if p.period == 0 || now.Sub(p.confirmedAt) > periodMemory*p.period {
 		return 0
 	}
--- a/pkg/rhythm/rhythm_test.go
+++ b/pkg/rhythm/rhythm_test.go
@@ -15,7 +15,7 @@
 // or silent for longer than callers wait.
 type model struct {
 	tested Server
-	shared *Periods
+	shared *SharedPeriod
 	random *rand.Rand
 	// rate is that of the requests that come, a second.
 	rate float64
@@ -42,7 +42,7 @@
 var origin = time.Unix(1000, 0)
 
 func newModel(seed uint64, rate float64) *model {
-	return &model{shared: &Periods{}, random: rand.New(rand.NewPCG(seed, 1)), rate: rate, now: origin, heldBack: true}
+	return &model{shared: &SharedPeriod{}, random: rand.New(rand.NewPCG(seed, 1)), rate: rate, now: origin, heldBack: true}
 }
 
 // every are pauses of 300 ms that begin each period.
@@ -80,7 +80,7 @@
 func (m *model) ask() {
 	answered, meets := m.answerAt()
 	isSilent := len(m.pending) > 0 && m.now.Sub(m.oldest()) > 2*usual && m.now.Sub(m.tested.answeredAt) > 2*usual
-	if m.tested.Wait(m.now, usual, m.shared) > 0 {
+	if m.tested.ExpectedWait(m.now, usual, m.shared) > 0 {
 		if meets {
 			m.spared++
 		} else {
@@ -95,7 +95,7 @@
 	if meets {
 		m.met++
 	}
-	m.tested.Sent(m.now, m.shared)
+	m.tested.RecordSent(m.now, m.shared)
 	m.pending = append(m.pending, request{m.now, answered})
 }
 
@@ -141,7 +141,7 @@
 	for len(m.pending) > 0 && !m.pending[0].answered.After(m.now) {
 		each := m.pending[0]
 		m.pending = m.pending[1:]
-		m.tested.Answered(each.sent, each.answered, usual, m.shared)
+		m.tested.RecordAnswer(each.sent, each.answered, usual, m.shared)
 	}
 }
 
@@ -286,24 +286,24 @@
 // others, at its own time.
 func TestServersShareAPeriod(t *testing.T) {
 	g := NewWithT(t)
-	periods := &Periods{}
+	periods := &SharedPeriod{}
 	first, second, third := &Server{}, &Server{}, &Server{}
 	// Two requests that were sent 40 ms apart are answered together.
 	pause := func(server *Server, until time.Duration) {
 		end := origin.Add(until)
-		server.Answered(end.Add(-290*time.Millisecond), end, usual, periods)
-		server.Answered(end.Add(-250*time.Millisecond), end, usual, periods)
+		server.RecordAnswer(end.Add(-290*time.Millisecond), end, usual, periods)
+		server.RecordAnswer(end.Add(-250*time.Millisecond), end, usual, periods)
 	}
 	pause(first, time.Second)
 	pause(second, 2*time.Second)
 	pause(first, 7*time.Second)
-	g.Expect(first.Wait(origin.Add(12900*time.Millisecond), usual, periods)).To(BeZero(), "one interval shows no period")
+	g.Expect(first.ExpectedWait(origin.Add(12900*time.Millisecond), usual, periods)).To(BeZero(), "one interval shows no period")
 	pause(second, 8*time.Second)
 	pause(third, 9*time.Second)
-	g.Expect(first.Wait(origin.Add(12900*time.Millisecond), usual, periods)).To(Equal(100 * time.Millisecond))
-	g.Expect(second.Wait(origin.Add(13900*time.Millisecond), usual, periods)).To(Equal(100 * time.Millisecond))
-	g.Expect(third.Wait(origin.Add(14900*time.Millisecond), usual, periods)).To(Equal(100 * time.Millisecond))
-	g.Expect(third.Wait(origin.Add(13900*time.Millisecond), usual, periods)).To(BeZero(), "it pauses at its own time")
+	g.Expect(first.ExpectedWait(origin.Add(12900*time.Millisecond), usual, periods)).To(Equal(100 * time.Millisecond))
+	g.Expect(second.ExpectedWait(origin.Add(13900*time.Millisecond), usual, periods)).To(Equal(100 * time.Millisecond))
+	g.Expect(third.ExpectedWait(origin.Add(14900*time.Millisecond), usual, periods)).To(Equal(100 * time.Millisecond))
+	g.Expect(third.ExpectedWait(origin.Add(13900*time.Millisecond), usual, periods)).To(BeZero(), "it pauses at its own time")
 }
 
 // TestServersOfTwoProgramsHavePeriodsOfTheirOwn: the period of one is soon found wrong for the
@@ -336,15 +336,15 @@
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(7, 7))
 	for range 200 {
-		tested, shared := &Server{}, &Periods{}
+		tested, shared := &Server{}, &SharedPeriod{}
 		now := origin
 		for range 200 {
 			now = now.Add(time.Duration(random.Int64N(int64(4 * time.Second))))
-			tested.Sent(now, shared)
-			tested.Answered(now.Add(-time.Duration(random.Int64N(int64(3*time.Second)))), now, usual, shared)
-			if wait := tested.Wait(now, usual, shared); wait > 0 {
+			tested.RecordSent(now, shared)
+			tested.RecordAnswer(now.Add(-time.Duration(random.Int64N(int64(3*time.Second)))), now, usual, shared)
+			if wait := tested.ExpectedWait(now, usual, shared); wait > 0 {
 				g.Expect(wait).To(BeNumerically("<=", greatestLength+usual))
-				g.Expect(tested.Wait(now.Add(wait), usual, shared)).To(BeZero())
+				g.Expect(tested.ExpectedWait(now.Add(wait), usual, shared)).To(BeZero())
 			}
 		}
 	}
@@ -355,14 +355,14 @@
 	g := NewWithT(t)
 	tested, shared, now := foreseeing()
 	g.Expect(testing.AllocsPerRun(100, func() {
-		tested.Wait(now, usual, shared)
-		tested.Sent(now, shared)
-		tested.Answered(now.Add(-usual), now, usual, shared)
+		tested.ExpectedWait(now, usual, shared)
+		tested.RecordSent(now, shared)
+		tested.RecordAnswer(now.Add(-usual), now, usual, shared)
 	})).To(BeZero())
 }
 
 // foreseeing returns a server that is foreseen to pause.
-func foreseeing() (*Server, *Periods, time.Time) {
+func foreseeing() (*Server, *SharedPeriod, time.Time) {
 	m := newModel(1, 30)
 	m.pauses = every(time.Second, 7*time.Second, time.Minute)
 	m.play(time.Minute)
@@ -373,7 +373,7 @@
 	tested, shared, now := foreseeing()
 	b.ReportAllocs()
 	for b.Loop() {
-		tested.Wait(now, usual, shared)
+		tested.ExpectedWait(now, usual, shared)
 	}
 }
 
@@ -382,6 +382,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(20 * time.Millisecond)
-		tested.Answered(now.Add(-usual), now, usual, shared)
+		tested.RecordAnswer(now.Add(-usual), now, usual, shared)
 	}
 }
--- a/pkg/rhythm/server.go
+++ b/pkg/rhythm/server.go
@@ -87,7 +87,7 @@
 
 // Answered takes an answer that the server gave at a moment to a request that was sent at
 // another one. usual is the time that such an answer takes, the network included.
-func (s *Server) Answered(sent, now time.Time, usual time.Duration, shared *Periods) {
+func (s *Server) RecordAnswer(sent, now time.Time, usual time.Duration, shared *SharedPeriod) {
 	previous := s.answeredAt
 	s.answeredAt = now
 	due := sent.Add(usual)
@@ -151,7 +151,7 @@
 
 // judge takes the last silence for a pause if its requests were answered together. A slow
 // server answers in the order and at the pace in which it was asked.
-func (s *Server) judge(shared *Periods) {
+func (s *Server) judge(shared *SharedPeriod) {
 	last := &s.silence
 	if last.isCounted || last.lastSent.Sub(last.firstSent) <= togetherFactor*last.lastAnswered.Sub(last.firstAnswered) {
 		return
@@ -161,7 +161,7 @@
 }
 
 // see takes a pause that was seen.
-func (s *Server) see(until time.Time, length time.Duration, shared *Periods) {
+func (s *Server) see(until time.Time, length time.Duration, shared *SharedPeriod) {
 	previous, period := s.pausedUntil, s.currentPeriod(until, shared)
 	elapsed := until.Sub(previous)
 	if !previous.IsZero() && period > 0 && elapsed <= greatestUnseen*period+tolerance {
@@ -175,7 +175,7 @@
 }
 
 // compare takes a pause that was seen while others were foreseen.
-func (s *Server) compare(elapsed, period time.Duration, until time.Time, length time.Duration, shared *Periods) {
+func (s *Server) compare(elapsed, period time.Duration, until time.Time, length time.Duration, shared *SharedPeriod) {
 	times, rest, isForeseen := multiple(elapsed, period)
 	_, _, isHalfway := multiple(2*elapsed, period)
 	switch {
@@ -198,7 +198,7 @@
 }
 
 // take keeps when the last pause ended and how long it was.
-func (s *Server) take(until time.Time, length time.Duration, shared *Periods) {
+func (s *Server) take(until time.Time, length time.Duration, shared *SharedPeriod) {
 	s.pausedUntil = until
 	s.length = adjustedLength(s.length, length)
 	shared.length = adjustedLength(shared.length, length)
@@ -219,7 +219,7 @@
 }
 
 // learn takes the time between two pauses, and the period if another interval is like it.
-func (s *Server) learn(elapsed time.Duration, now time.Time, shared *Periods) {
+func (s *Server) learn(elapsed time.Duration, now time.Time, shared *SharedPeriod) {
 	before := s.interval
 	s.interval = 0
 	if elapsed < leastPeriod || elapsed > greatestPeriod {
@@ -245,7 +245,7 @@
 
 // Wait returns how long a request that is sent now and usually takes some time would wait
 // for the end of a foreseen pause; zero if it would not meet one.
-func (s *Server) Wait(now time.Time, usual time.Duration, shared *Periods) time.Duration {
+func (s *Server) ExpectedWait(now time.Time, usual time.Duration, shared *SharedPeriod) time.Duration {
 	end, unseen := s.nextEnd(now, shared)
 	if unseen == 0 {
 		return 0
@@ -258,14 +258,14 @@
 }
 
 // Foresees reports whether a pause is foreseen at any time to come.
-func (s *Server) Foresees(now time.Time, shared *Periods) bool {
+func (s *Server) PredictsPause(now time.Time, shared *SharedPeriod) bool {
 	_, unseen := s.nextEnd(now, shared)
 	return unseen > 0
 }
 
 // Sent takes that a request is sent to the server, which may be one that looks whether it
 // pauses as foreseen.
-func (s *Server) Sent(now time.Time, shared *Periods) {
+func (s *Server) RecordSent(now time.Time, shared *SharedPeriod) {
 	end, unseen := s.nextEnd(now, shared)
 	if unseen > 0 && end.Sub(now) <= s.lookSpan() {
 		s.lookedAt = end
@@ -288,7 +288,7 @@
 
 // nextEnd returns when the next foreseen pause ends and how many periods after the last
 // pause that was seen; the number is zero if none is foreseen.
-func (s *Server) nextEnd(now time.Time, shared *Periods) (time.Time, int) {
+func (s *Server) nextEnd(now time.Time, shared *SharedPeriod) (time.Time, int) {
 	if s.pausedUntil.IsZero() {
 		return time.Time{}, 0
 	}
@@ -305,7 +305,7 @@
 
 // expectedLength is how long the next pause lasts: the first ones that are seen of a server
 // tell little, while others with the same period have shown more.
-func (s *Server) expectedLength(now time.Time, shared *Periods) time.Duration {
+func (s *Server) expectedLength(now time.Time, shared *SharedPeriod) time.Duration {
 	if period := shared.current(now); period == 0 || (s.currentPeriod(now, shared)-period).Abs() > tolerance {
 		return s.length
 	}
@@ -313,7 +313,7 @@
 }
 
 // currentPeriod is the server's own period, or that of other servers.
-func (s *Server) currentPeriod(now time.Time, shared *Periods) time.Duration {
+func (s *Server) currentPeriod(now time.Time, shared *SharedPeriod) time.Duration {
 	if s.period > 0 || s.isOwn {
 		return s.period
 	}
@@ -322,7 +322,7 @@
 
 // foreseenAround reports whether a moment is about the end of a foreseen pause, and
 // returns the end of the next one; zero if none is foreseen.
-func (s *Server) foreseenAround(now time.Time, shared *Periods) (bool, time.Time) {
+func (s *Server) foreseenAround(now time.Time, shared *SharedPeriod) (bool, time.Time) {
 	end, unseen := s.nextEnd(now, shared)
 	if unseen == 0 {
 		return false, time.Time{}
