--- a/internal/edge/limits_page.go
+++ b/internal/edge/limits_page.go
@@ -81,8 +81,8 @@
 func encodeCoordinated(tenant quota.CoordinatedTenant) wire.Coordinated {
 	encoded := wire.Coordinated{
 		Tenant: tenant.Tenant, Limit: encodeLimit(tenant.Limit), First: tenant.IsFirst,
-		AskedPerSecond: tenant.AskedPerSecond, Share: tenant.Share, Level: tenant.Level,
-		KeptBackPerSecond: tenant.KeptBackPerSecond, Reporting: tenant.Reporting, Reporters: tenant.Reporters,
+		AskedPerSecond: tenant.RequestsPerSecond, Share: tenant.Share, Level: tenant.Tokens,
+		KeptBackPerSecond: tenant.ReservedPerSecond, Reporting: tenant.Reporting, Reporters: tenant.Reporters,
 	}
 	if !tenant.AtLimitSince.IsZero() {
 		encoded.AtLimitSince = &tenant.AtLimitSince
@@ -102,14 +102,14 @@
 	if tenant.IsIdle {
 		return encoded
 	}
-	encoded.DecidedBy, encoded.Coordinator = tenant.Standing.String(), tenant.Coordinator
-	encoded.Share, encoded.ShareOld = tenant.Share, tenant.IsShareOld
+	encoded.DecidedBy, encoded.Coordinator = tenant.Mode.String(), tenant.Coordinator
+	encoded.Share, encoded.ShareOld = tenant.Share, tenant.IsShareStale
 	encoded.EntitledPerSecond = tenant.EntitledPerSecond
 	if window := copied.Window.Seconds(); window > 0 {
 		encoded.AdmittedPerSecond = tenant.AdmittedInWindow / window
 	}
-	if !tenant.ToldAt.IsZero() {
-		age := copied.At.Sub(tenant.ToldAt).Milliseconds()
+	if !tenant.ShareReceivedAt.IsZero() {
+		age := copied.At.Sub(tenant.ShareReceivedAt).Milliseconds()
 		encoded.ShareAgeMS = &age
 	}
 	return encoded
--- a/internal/edge/quota.go
+++ b/internal/edge/quota.go
@@ -48,18 +48,18 @@
 	held := &limits{node: node, atLimit: newStateLines[string](limitedSpan), lost: newStateLines[struct{}](limitedSpan)}
 	held.limiter = quota.New(quota.Options{
 		Local: settings.Node.Name, Zone: settings.Node.Zone, Bounds: settings.quotaBounds(), Transport: transport, Events: held,
-		LimitOf: node.state.limitOf, Start: rand.Uint64(),
-		IsNeeded:  func() bool { table := node.state.Table(); return table != nil && table.HasTenants() },
-		WasListed: func() bool { return node.member != nil && node.member.wasListed.Load() },
+		LimitOf: node.state.limitOf, Incarnation: rand.Uint64(),
+		HasTenants: func() bool { table := node.state.Table(); return table != nil && table.HasTenants() },
+		WasListed:  func() bool { return node.member != nil && node.member.wasListed.Load() },
 	})
 	node.figures.gauge("quota_tenants_at_limit", "Tenants at their limit that this node coordinates.", func() float64 {
-		return float64(held.limiter.AtLimit())
+		return float64(held.limiter.TenantsAtLimit())
 	})
 	node.figures.gauge("quota_tenants", "Tenants with a limit that this node was asked for lately.", func() float64 {
-		return float64(held.limiter.Tenants())
+		return float64(held.limiter.TenantCount())
 	})
-	node.figures.counter("quota_reports_total", "Reports to coordinators of limits.", func() uint64 { return held.limiter.Sent().Reports })
-	node.figures.counter("quota_verdicts_total", "Admitted shares told to other nodes.", func() uint64 { return held.limiter.Sent().Verdicts })
+	node.figures.counter("quota_reports_total", "Reports to coordinators of limits.", func() uint64 { return held.limiter.MessagesSent().Reports })
+	node.figures.counter("quota_verdicts_total", "Admitted shares told to other nodes.", func() uint64 { return held.limiter.MessagesSent().Verdicts })
 	return held
 }
 
@@ -85,11 +85,11 @@
 		return front.LimitDecision{IsAdmitted: true}
 	}
 	l.node.figures.limited.WithLabelValues(name, "refused").Inc()
-	decidedBy := decision.Standing.String()
+	decidedBy := decision.Mode.String()
 	if coordinator := l.limiter.Coordinator(tenant.Name); coordinator != "" {
 		decidedBy += " " + coordinator
 	}
-	return front.LimitDecision{RetryAfter: decision.RetryAfter, Share: decision.Share, Age: decision.Age, DecidedBy: decidedBy}
+	return front.LimitDecision{RetryAfter: decision.RetryAfter, Share: decision.Share, Age: decision.ShareAge, DecidedBy: decidedBy}
 }
 
 // Refund implements front.Limits.
@@ -122,7 +122,7 @@
 }
 
 // AtLimit implements quota.Events.
-func (l *limits) AtLimit(tenant string, verdict quota.Verdict, figures quota.Figures) {
+func (l *limits) AtLimit(tenant string, verdict quota.Verdict, figures quota.Stats) {
 	l.mutex.Lock()
 	isDue := l.atLimit.begins(tenant, time.Now())
 	l.mutex.Unlock()
@@ -130,19 +130,19 @@
 		l.node.figures.logLines.WithLabelValues("rate").Inc()
 		return
 	}
-	l.node.logger.Info("tenant at its limit", "tenant", tenant, "share", verdict.Share, "asked_per_s", figures.Asked,
-		"limit_per_s", figures.Limit.PerSecond, "burst", figures.Limit.Burst, "level", figures.Level,
+	l.node.logger.Info("tenant at its limit", "tenant", tenant, "share", verdict.Share, "asked_per_s", figures.RequestRate,
+		"limit_per_s", figures.Limit.PerSecond, "burst", figures.Limit.Burst, "level", figures.Tokens,
 		"nodes_reporting", figures.Nodes, "first_coordinator", verdict.IsFirst)
 }
 
 // BelowLimit implements quota.Events.
-func (l *limits) BelowLimit(tenant string, figures quota.Figures, span time.Duration) {
+func (l *limits) BelowLimit(tenant string, figures quota.Stats, span time.Duration) {
 	l.mutex.Lock()
 	isDue := l.atLimit.ends(tenant, time.Now())
 	l.mutex.Unlock()
 	if isDue {
 		l.node.logger.Info("tenant within its limit again", "tenant", tenant, "span_ms", span.Milliseconds(),
-			"asked_per_s", figures.Asked, "limit_per_s", figures.Limit.PerSecond)
+			"asked_per_s", figures.RequestRate, "limit_per_s", figures.Limit.PerSecond)
 	}
 }
 
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -74,7 +74,7 @@
 		return CauseUnknownKey
 	case line.Reason == string(outcome.ReasonKeysUnconfirmed):
 		return CauseOldKeys
-	case line.Reason == string(outcome.ReasonOverLimit) && line.QuotaDecidedBy == quota.Alone.String():
+	case line.Reason == string(outcome.ReasonOverLimit) && line.QuotaDecidedBy == quota.Isolated.String():
 		return CauseLimitAlone
 	case line.Reason == string(outcome.ReasonOverLimit):
 		return CauseOverLimit
--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -44,7 +44,7 @@
 )
 
 // Contact is what a coordinator knows of the nodes at a moment.
-type Contact struct {
+type DeploymentView struct {
 	// IsFirst says that the coordinator is the tenant's first: it holds the limit of the
 	// whole deployment less the entitlements of nodes out of touch. A stand-in holds only
 	// the entitlements of the nodes that report to it.
@@ -93,7 +93,7 @@
 
 // reported is what a coordinator last heard from a node.
 type reported struct {
-	use Use
+	use Usage
 	at  time.Time
 }
 
@@ -109,10 +109,10 @@
 }
 
 // Take counts a report of a node. Told twice, it counts once.
-func (a *Account) Take(node string, use Use, contact Contact, now time.Time) {
+func (a *Account) AddReport(node string, use Usage, contact DeploymentView, now time.Time) {
 	a.usedAt = now
 	a.settle(contact, now)
-	asked, admitted := use.NewAsked, use.NewAdmitted
+	asked, admitted := use.NewRequests, use.NewAdmitted
 	// granted is how many of them this coordinator has granted at most.
 	granted := float64(asked)
 	before := a.nodes[node]
@@ -120,12 +120,12 @@
 		granted *= use.Share
 		a.expect(use, now)
 	}
-	if before != nil && before.use.Start == use.Start {
-		if use.Asked < before.use.Asked {
+	if before != nil && before.use.Incarnation == use.Incarnation {
+		if use.Requests < before.use.Requests {
 			return
 		}
 		// The answer to a report may have been lost.
-		asked = min(asked, use.Asked-before.use.Asked)
+		asked = min(asked, use.Requests-before.use.Requests)
 		admitted = min(admitted, use.Admitted-before.use.Admitted)
 		a.spendBurst(float64(use.Admitted - before.use.Admitted - admitted))
 	}
@@ -153,12 +153,12 @@
 // SetLimit puts a limit into force.
 func (a *Account) SetLimit(limit route.RateLimit) { a.limit = limit }
 
-// DropBurst gives up the tokens that were saved, since requests that nobody reported may have
+// DropSavedTokens gives up the tokens that were saved, since requests that nobody reported may have
 // spent them, as after the coordinator stood still.
-func (a *Account) DropBurst() { a.bucket.level = min(a.bucket.level, 0) }
+func (a *Account) DropSavedTokens() { a.bucket.level = min(a.bucket.level, 0) }
 
 // settle brings the bucket up to a moment.
-func (a *Account) settle(contact Contact, now time.Time) {
+func (a *Account) settle(contact DeploymentView, now time.Time) {
 	if a.spareAt.IsZero() || now.Sub(a.spareAt) >= spareInterval {
 		a.sumUp(contact, now)
 	}
@@ -189,7 +189,7 @@
 }
 
 // sumUp forgets nodes that are silent for long and sums up what nobody used lately.
-func (a *Account) sumUp(contact Contact, now time.Time) {
+func (a *Account) sumUp(contact DeploymentView, now time.Time) {
 	a.spareAt = now
 	used := 0.0
 	for name, node := range a.nodes {
@@ -198,7 +198,7 @@
 			delete(a.nodes, name)
 			continue
 		}
-		used += node.use.Recent * math.Exp(-age.Seconds()/recentSpan.Seconds())
+		used += node.use.RecentRate * math.Exp(-age.Seconds()/recentSpan.Seconds())
 	}
 	// What was used lately falls behind what is asked while that grows. The request that has just
 	// been reported is no part of a rate.
@@ -207,12 +207,12 @@
 }
 
 // pooled returns the rate that the nodes in touch with this coordinator have together.
-func (a *Account) pooled(contact Contact, now time.Time) float64 {
+func (a *Account) pooled(contact DeploymentView, now time.Time) float64 {
 	if !contact.IsFirst {
 		entitled := 0.0
 		for _, node := range a.nodes {
 			if now.Sub(node.at) <= standInSpan {
-				entitled += node.use.Entitled
+				entitled += node.use.EntitledRate
 			}
 		}
 		return min(entitled, a.limit.PerSecond)
@@ -220,7 +220,7 @@
 	reserved := 0.0
 	for name := range contact.Silent {
 		if node := a.nodes[name]; node != nil {
-			reserved += node.use.Entitled
+			reserved += node.use.EntitledRate
 		} else {
 			// A coordinator that is new has not heard of it: an equal part is the mean.
 			reserved += a.limit.PerSecond / float64(max(1, contact.Nodes))
@@ -234,12 +234,12 @@
 }
 
 // Verdict returns what nodes are to do at a moment.
-func (a *Account) Verdict(contact Contact, now time.Time) Verdict {
+func (a *Account) Verdict(contact DeploymentView, now time.Time) Verdict {
 	a.settle(contact, now)
 	if a.steady.read(now) > a.limit.PerSecond {
 		a.reserve(contact, now)
 	}
-	verdict := Verdict{Share: a.share(now), Spare: a.spare, IsFirst: contact.IsFirst}
+	verdict := Verdict{Share: a.share(now), ExtraRate: a.spare, IsFirst: contact.IsFirst}
 	if a.bucket.rate > 0 {
 		wait := max(1, 1-a.bucket.level) / a.bucket.rate
 		verdict.Wait = time.Duration(min(wait, a.bounds.Window.Seconds()) * float64(time.Second))
@@ -256,7 +256,7 @@
 // reserve keeps back what silent nodes may admit in a window beside their entitlements. A tenant
 // within its limit is not held back for it, and when the nodes are back for longer than those
 // requests count, neither are the others.
-func (a *Account) reserve(contact Contact, now time.Time) {
+func (a *Account) reserve(contact DeploymentView, now time.Time) {
 	needed := 0.0
 	isCutOff := 2*len(contact.Silent) > contact.Nodes
 	if contact.IsFirst && !isCutOff {
@@ -290,16 +290,16 @@
 }
 
 // Figures of an account, for logs and metrics.
-type Figures struct {
+type Stats struct {
 	Limit route.RateLimit
 	// Asked is the rate of requests over all nodes, Level the tokens that are left.
-	Asked float64
-	Level float64
+	RequestRate float64
+	Tokens      float64
 	// Nodes is the number of nodes that reported lately.
 	Nodes int
 }
 
 // Figures returns the state of the account.
-func (a *Account) Figures(now time.Time) Figures {
-	return Figures{Limit: a.limit, Asked: a.asked.read(now), Level: a.bucket.level, Nodes: len(a.nodes)}
+func (a *Account) Stats(now time.Time) Stats {
+	return Stats{Limit: a.limit, RequestRate: a.asked.read(now), Tokens: a.bucket.level, Nodes: len(a.nodes)}
 }
--- a/pkg/quota/coordinators.go
+++ b/pkg/quota/coordinators.go
@@ -71,9 +71,9 @@
 	l.openLinks(now)
 	for tenant, held := range l.meters {
 		held.meter.SetNodes(l.nodeCount())
-		held.meter.SetPlace(l.place(tenant))
+		held.meter.SetRoundingOffset(l.place(tenant))
 		held.ranked = l.ranked(tenant)
-		held.meter.SetStanding(l.standing(held.ranked), now)
+		held.meter.SetMode(l.standing(held.ranked), now)
 	}
 	l.requestReport()
 }
@@ -145,7 +145,7 @@
 	return found
 }
 
-// place returns this node's place for a tenant (see Meter.SetPlace), 0 to below 1. Multiples of the golden
+// place returns this node's place for a tenant (see Meter.SetRoundingOffset), 0 to below 1. Multiples of the golden
 // ratio, taken by rank, spread any number of nodes evenly; an offset by the hash of the tenant's name
 // keeps one node from being first for all tenants. The caller holds the mutex.
 func (l *Limiter) place(tenant string) float64 {
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -35,11 +35,11 @@
 
 // Events takes what an operator wants to know. Its methods do not block.
 type Events interface {
-	// AtLimit tells that a tenant that this node coordinates has come to its limit.
-	AtLimit(tenant string, verdict Verdict, figures Figures)
+	// TenantsAtLimit tells that a tenant that this node coordinates has come to its limit.
+	AtLimit(tenant string, verdict Verdict, figures Stats)
 	// BelowLimit tells that it is within its limit again, after a span; also if it has lost the
 	// limit that the figures name.
-	BelowLimit(tenant string, figures Figures, span time.Duration)
+	BelowLimit(tenant string, figures Stats, span time.Duration)
 	// CoordinatorLost and CoordinatorRegained tell of nodes that this one reports to.
 	CoordinatorLost(name string, cause error)
 	CoordinatorRegained(name string)
@@ -56,10 +56,10 @@
 	// none.
 	LimitOf func(tenant string) (route.RateLimit, bool)
 	Events  Events
-	// IsNeeded reports whether the configuration in force has tenants.
-	IsNeeded func() bool
+	// HasTenants reports whether the configuration in force has tenants.
+	HasTenants func() bool
 	// Start names this run of the process, differently each time.
-	Start uint64
+	Incarnation uint64
 	// WasListed reports whether the list of nodes held this one already when the process began, so that it holds
 	// all of them. Nil for always.
 	WasListed func() bool
@@ -120,13 +120,13 @@
 	probeAt    time.Time
 	sweptAt    time.Time
 	tickAt     time.Time
-	sent       Sent
+	sent       MessagesSent
 	// tallies hold what was decided for each tenant since the start.
 	tallies map[string]*tally
 }
 
 // Sent counts the messages of a Limiter.
-type Sent struct {
+type MessagesSent struct {
 	Reports, Verdicts uint64
 }
 
@@ -183,7 +183,7 @@
 	defer l.mutex.Unlock()
 	held := l.metered(tenant, limit, now)
 	held.usedAt = now
-	held.meter.SetDoubt(l.isInDoubt)
+	held.meter.SetInDoubt(l.isInDoubt)
 	decision := held.meter.Admit(requestID, now)
 	held.tally.count(decision)
 	l.requestReport()
@@ -208,8 +208,8 @@
 	return l.coordinator(l.ranked(tenant))
 }
 
-// AtLimit returns the number of tenants at their limit that this node coordinates.
-func (l *Limiter) AtLimit() int {
+// TenantsAtLimit returns the number of tenants at their limit that this node coordinates.
+func (l *Limiter) TenantsAtLimit() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	count := 0
@@ -226,9 +226,9 @@
 	held := l.meters[tenant]
 	if held == nil {
 		held = &metered{meter: NewMeter(tenant, limit, l.options.Bounds, l.nodeCount(), l.wasInTouch, now), ranked: l.ranked(tenant)}
-		held.meter.SetStart(l.startedAt)
-		held.meter.SetPlace(l.place(tenant))
-		held.meter.SetStanding(l.standing(held.ranked), now)
+		held.meter.SetProcessStart(l.startedAt)
+		held.meter.SetRoundingOffset(l.place(tenant))
+		held.meter.SetMode(l.standing(held.ranked), now)
 		held.tally = l.tallyOf(tenant)
 		l.meters[tenant] = held
 	}
@@ -305,7 +305,7 @@
 		l.sweep(now)
 	}
 	l.mutex.Unlock()
-	if l.options.IsNeeded() {
+	if l.options.HasTenants() {
 		l.probeLinks(ctx, now)
 	}
 	l.spread(ctx, now)
@@ -320,7 +320,7 @@
 	l.dropBursts()
 	l.wasInTouch = false
 	for _, held := range l.meters {
-		held.meter.Forget(now)
+		held.meter.InvalidateVerdicts(now)
 	}
 	for _, found := range l.links {
 		found.lose(now)
@@ -334,7 +334,7 @@
 func (l *Limiter) dropBursts() {
 	l.coordinatorsSince = time.Now()
 	for _, kept := range l.accounts {
-		kept.account.DropBurst()
+		kept.account.DropSavedTokens()
 	}
 }
 
@@ -342,7 +342,7 @@
 func (l *Limiter) sweep(now time.Time) {
 	l.sweptAt = now
 	for tenant, held := range l.meters {
-		if _, isNew := held.meter.Report(l.options.Start, now); !isNew && now.Sub(held.usedAt) > idleSpan {
+		if _, isNew := held.meter.Report(l.options.Incarnation, now); !isNew && now.Sub(held.usedAt) > idleSpan {
 			delete(l.meters, tenant)
 		}
 	}
@@ -355,14 +355,14 @@
 }
 
 // Tenants returns the number of tenants that this node remembers.
-func (l *Limiter) Tenants() int {
+func (l *Limiter) TenantCount() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return len(l.meters)
 }
 
 // Sent returns how many messages were sent so far.
-func (l *Limiter) Sent() Sent {
+func (l *Limiter) MessagesSent() MessagesSent {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.sent
--- a/pkg/quota/links.go
+++ b/pkg/quota/links.go
@@ -79,10 +79,10 @@
 }
 
 // standing returns how the node stands to some coordinators. The caller holds the mutex.
-func (l *Limiter) standing(ranked []string) Standing {
+func (l *Limiter) standing(ranked []string) Mode {
 	switch l.coordinator(ranked) {
 	case "":
-		return Alone
+		return Isolated
 	case ranked[0]:
 		return WithFirst
 	}
@@ -116,10 +116,10 @@
 func (l *Limiter) setStandings(now time.Time) {
 	for _, held := range l.meters {
 		standing := l.standing(held.ranked)
-		held.meter.SetStanding(standing, now)
+		held.meter.SetMode(standing, now)
 		hinted := held.standIn
 		if standing == WithStandIn && l.coordinator(held.ranked) == hinted.from && now.Sub(hinted.at) < shareAge {
-			held.meter.Tell(hinted.verdict, now)
+			held.meter.ApplyVerdict(hinted.verdict, now)
 		}
 	}
 }
@@ -138,7 +138,7 @@
 		return
 	}
 	found.checkedAt = now
-	l.call(ctx, name, &quotapb.Report{Start: l.options.Start}, nil)
+	l.call(ctx, name, &quotapb.Report{Start: l.options.Incarnation}, nil)
 }
 
 // probeLinks asks coordinators that did not answer whether they do.
@@ -152,7 +152,7 @@
 			isDue = now.Sub(found.calledAt) >= coordinatorInterval
 		}
 		if isDue && !found.calling {
-			l.call(ctx, name, &quotapb.Report{Start: l.options.Start}, nil)
+			l.call(ctx, name, &quotapb.Report{Start: l.options.Incarnation}, nil)
 		}
 	}
 }
@@ -163,7 +163,7 @@
 	l.mutex.Lock()
 	wasInTouch := l.wasInTouch
 	l.mutex.Unlock()
-	if !wasInTouch && l.options.IsNeeded() {
+	if !wasInTouch && l.options.HasTenants() {
 		l.probeLinks(ctx, now)
 	}
 }
@@ -188,7 +188,7 @@
 	for _, name := range asked {
 		found := l.links[name]
 		if !found.isLocal && found.answers && !found.calling {
-			l.call(ctx, name, &quotapb.Report{Start: l.options.Start}, nil)
+			l.call(ctx, name, &quotapb.Report{Start: l.options.Incarnation}, nil)
 		}
 	}
 }
--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -38,12 +38,12 @@
 const awaitSpan = 2 * time.Second
 
 // Standing is how a node stands to a tenant's coordinators.
-type Standing int
+type Mode int
 
 // Standings, from a node's start on.
 const (
 	// Alone: no coordinator answers, or none was reached yet.
-	Alone Standing = iota
+	Isolated Mode = iota
 	// WithStandIn: the first coordinator does not answer, another one does.
 	WithStandIn
 	// WithFirst: the first coordinator answers.
@@ -51,8 +51,8 @@
 )
 
 // String returns the word for logs.
-func (s Standing) String() string {
-	return [...]string{Alone: "alone", WithStandIn: "stand-in", WithFirst: "first"}[s]
+func (s Mode) String() string {
+	return [...]string{Isolated: "alone", WithStandIn: "stand-in", WithFirst: "first"}[s]
 }
 
 // Decision is what a node decided about a request.
@@ -65,8 +65,8 @@
 	// Share is the admitted share by which it was decided, and Age the time since it was
 	// told; zero if it was never told.
 	Share    float64
-	Age      time.Duration
-	Standing Standing
+	ShareAge time.Duration
+	Mode     Mode
 }
 
 // Meter is a node's view of one tenant.
@@ -76,7 +76,7 @@
 	bounds Bounds
 	// nodes is the number of nodes of the deployment.
 	nodes    int
-	standing Standing
+	standing Mode
 
 	asked    uint64
 	admitted int64
@@ -146,32 +146,32 @@
 // SetNodes takes the number of nodes of the deployment.
 func (m *Meter) SetNodes(nodes int) { m.nodes = nodes }
 
-// SetPlace takes where the node stands among all nodes for this tenant, 0 to below 1. The places
+// SetRoundingOffset takes where the node stands among all nodes for this tenant, 0 to below 1. The places
 // of all nodes are spread evenly, so that together they admit no more whole requests than there
 // are parts of one.
-func (m *Meter) SetPlace(place float64) { m.place = place }
+func (m *Meter) SetRoundingOffset(place float64) { m.place = place }
 
-// SetStart takes when the node's process began. What an earlier one admitted in the window before is
+// SetProcessStart takes when the node's process began. What an earlier one admitted in the window before is
 // not known, and it may have been all that the node may admit in a window: until that has passed
 // the node admits nothing while it is out of touch.
-func (m *Meter) SetStart(startedAt time.Time) { m.unknownUntil = startedAt.Add(m.bounds.Window) }
+func (m *Meter) SetProcessStart(startedAt time.Time) { m.unknownUntil = startedAt.Add(m.bounds.Window) }
 
-// SetDoubt takes whether the node may be cut off and has not found out yet.
-func (m *Meter) SetDoubt(isInDoubt bool) { m.isInDoubt = isInDoubt }
+// SetInDoubt takes whether the node may be cut off and has not found out yet.
+func (m *Meter) SetInDoubt(isInDoubt bool) { m.isInDoubt = isInDoubt }
 
-// SetStanding takes which coordinator answers from now on.
-func (m *Meter) SetStanding(standing Standing, now time.Time) {
+// SetMode takes which coordinator answers from now on.
+func (m *Meter) SetMode(standing Mode, now time.Time) {
 	if standing == m.standing {
 		return
 	}
 	if m.standing == WithFirst {
 		m.entitled = m.entitlement(now)
 	}
-	if isReturning := m.wasInTouch || !m.toldAt.IsZero(); isReturning && m.standing == Alone && now.After(m.begunAt) {
+	if isReturning := m.wasInTouch || !m.toldAt.IsZero(); isReturning && m.standing == Isolated && now.After(m.begunAt) {
 		m.awaitsShare, m.returnedAt = true, now
 	}
 	m.standing = standing
-	if standing == Alone {
+	if standing == Isolated {
 		m.goAlone(now)
 	}
 }
@@ -254,11 +254,11 @@
 // Admit decides about one request.
 func (m *Meter) Admit(requestID string, now time.Time) Decision {
 	drawn := drawLot(m.tenant, requestID, now)
-	decision := Decision{Share: m.share, Standing: m.standing}
+	decision := Decision{Share: m.share, Mode: m.standing}
 	if !m.toldAt.IsZero() {
-		decision.Age = now.Sub(m.toldAt)
+		decision.ShareAge = now.Sub(m.toldAt)
 	}
-	isAlone := m.standing == Alone || m.isAwaitingShare(now) || m.share < 1 && decision.Age > shareAge
+	isAlone := m.standing == Isolated || m.isAwaitingShare(now) || m.share < 1 && decision.ShareAge > shareAge
 	switch {
 	case isAlone:
 		decision.IsAdmitted, decision.RetryAfter = m.admitAlone(now)
@@ -301,8 +301,8 @@
 	switch {
 	case now.Before(m.unknownUntil):
 		return JustStarted
-	case m.standing == Alone:
-		return BeyondOwnPart
+	case m.standing == Isolated:
+		return BeyondEntitlement
 	}
 	return ShareTooOld
 }
@@ -312,7 +312,7 @@
 	if now.Before(m.unknownUntil) {
 		return false, min(startingWait, m.unknownUntil.Sub(now))
 	}
-	if m.standing != Alone {
+	if m.standing != Isolated {
 		m.alone.rate = m.entitlement(now)
 		m.alone.cap = m.savedAlone(m.alone.rate, now)
 	}
@@ -353,11 +353,11 @@
 }
 
 // Report returns what is to be told to a coordinator, and whether there is anything new.
-func (m *Meter) Report(start uint64, now time.Time) (Use, bool) {
-	use := Use{
-		Start: start, Asked: m.asked, Admitted: m.admitted,
-		NewAsked: m.asked - m.acknowledgedAsked - m.askedAlone, NewAdmitted: m.admitted - m.acknowledgedAdmitted - m.owned,
-		Recent: m.recentRate(now), Entitled: m.entitlement(now), Share: m.share,
+func (m *Meter) Report(start uint64, now time.Time) (Usage, bool) {
+	use := Usage{
+		Incarnation: start, Requests: m.asked, Admitted: m.admitted,
+		NewRequests: m.asked - m.acknowledgedAsked - m.askedAlone, NewAdmitted: m.admitted - m.acknowledgedAdmitted - m.owned,
+		RecentRate: m.recentRate(now), EntitledRate: m.entitlement(now), Share: m.share,
 	}
 	if now.Before(m.unknownUntil) {
 		// Coordinators follow each other while processes start: each counts what is new to it.
@@ -367,22 +367,22 @@
 }
 
 // Acknowledge takes the answer to a report.
-func (m *Meter) Acknowledge(use Use, verdict Verdict, now time.Time) {
-	if use.Asked >= m.acknowledgedAsked {
+func (m *Meter) Acknowledge(use Usage, verdict Verdict, now time.Time) {
+	if use.Requests >= m.acknowledgedAsked {
 		m.recent.add(float64(max(0, use.Admitted-m.acknowledgedAdmitted)), now)
 		// Of a process that has just started NewAdmitted may hold what was acknowledged before.
 		m.owned -= min(m.owned, max(0, use.Admitted-m.acknowledgedAdmitted-use.NewAdmitted))
-		m.askedAlone -= min(m.askedAlone, use.Asked-m.acknowledgedAsked-use.NewAsked)
-		m.acknowledgedAsked, m.acknowledgedAdmitted = use.Asked, use.Admitted
+		m.askedAlone -= min(m.askedAlone, use.Requests-m.acknowledgedAsked-use.NewRequests)
+		m.acknowledgedAsked, m.acknowledgedAdmitted = use.Requests, use.Admitted
 		// The node may have gone out of touch since it reported, and counted all of this as its own.
 		m.owned = min(m.owned, max(0, m.admitted-m.acknowledgedAdmitted))
 		m.askedAlone = min(m.askedAlone, m.asked-m.acknowledgedAsked)
 	}
-	m.Tell(verdict, now)
+	m.ApplyVerdict(verdict, now)
 }
 
 // Tell takes what the coordinator says.
-func (m *Meter) Tell(verdict Verdict, now time.Time) {
+func (m *Meter) ApplyVerdict(verdict Verdict, now time.Time) {
 	m.share, m.wait, m.toldAt = verdict.Share, verdict.Wait, now
 	if verdict.IsFirst || now.Sub(m.returnedAt) >= cautiousSpan {
 		m.awaitsShare = false
@@ -391,13 +391,13 @@
 		m.limitedAt = now
 	}
 	if verdict.IsFirst {
-		m.spare, m.hasSpare = verdict.Spare, true
+		m.spare, m.hasSpare = verdict.ExtraRate, true
 	}
 }
 
 // Forget treats what coordinators told as out of date, as after a suspension of the machine: the
 // node is alone until one answers, and has no saved tokens.
-func (m *Meter) Forget(now time.Time) {
-	m.SetStanding(Alone, now)
+func (m *Meter) InvalidateVerdicts(now time.Time) {
+	m.SetMode(Isolated, now)
 	m.alone.level = min(m.alone.level, 0)
 }
--- a/pkg/quota/meter_test.go
+++ b/pkg/quota/meter_test.go
@@ -17,8 +17,8 @@
 // inTouch returns a meter whose first coordinator told a share.
 func inTouch(limit route.RateLimit, share, spare float64) *quota.Meter {
 	meter := quota.NewMeter("caller", limit, bounds, 67, false, start)
-	meter.SetStanding(quota.WithFirst, start)
-	meter.Tell(quota.Verdict{Share: share, Spare: spare, IsFirst: true, Wait: 20 * time.Millisecond}, start)
+	meter.SetMode(quota.WithFirst, start)
+	meter.ApplyVerdict(quota.Verdict{Share: share, ExtraRate: spare, IsFirst: true, Wait: 20 * time.Millisecond}, start)
 	return meter
 }
 
@@ -38,7 +38,7 @@
 		g.Expect(meter.Admit(id, start.Add(repeated)).IsAdmitted).To(BeFalse())
 	}
 	after, _ := meter.Report(1, start)
-	g.Expect(after.Asked).To(Equal(before.Asked), "repeated requests are no further demand")
+	g.Expect(after.Requests).To(Equal(before.Requests), "repeated requests are no further demand")
 	chances := 0
 	for number := range 2000 {
 		other := fmt.Sprint("other", number)
@@ -77,14 +77,14 @@
 			if meter.Admit(fmt.Sprint(now.UnixNano()), now).IsAdmitted {
 				admitted++
 			}
-			if use, _ := meter.Report(1, now); use.Entitled > 0 {
-				meter.Acknowledge(use, quota.Verdict{Share: 1, Spare: 0.3, IsFirst: true}, now)
+			if use, _ := meter.Report(1, now); use.EntitledRate > 0 {
+				meter.Acknowledge(use, quota.Verdict{Share: 1, ExtraRate: 0.3, IsFirst: true}, now)
 			}
 		}
 		return admitted
 	}
 	g.Expect(ask(20*time.Second, 2)).To(Equal(40))
-	meter.SetStanding(quota.Alone, now)
+	meter.SetMode(quota.Isolated, now)
 	alone := 0
 	for end := now.Add(5 * time.Second); now.Before(end); now = now.Add(50 * time.Millisecond) {
 		if meter.Admit(fmt.Sprint(now.UnixNano()), now).IsAdmitted {
@@ -148,7 +148,7 @@
 		for node := range nodes {
 			meter := quota.NewMeter("caller", limit, bounds, nodes, true, start)
 			_, place := math.Modf(float64(node) / math.Phi)
-			meter.SetPlace(place)
+			meter.SetRoundingOffset(place)
 			later := start.Add(time.Hour)
 			for step := range 250 {
 				if meter.Admit(fmt.Sprint(node, step), later.Add(time.Duration(step)*20*time.Millisecond)).IsAdmitted {
@@ -166,7 +166,7 @@
 	g := NewWithT(t)
 	ask := func(isInDoubt bool) (admitted int) {
 		meter := inTouch(route.RateLimit{PerSecond: 17, Burst: 17}, 1, 0.1)
-		meter.SetDoubt(isInDoubt)
+		meter.SetInDoubt(isInDoubt)
 		for number := range 100 {
 			if meter.Admit(fmt.Sprint(number), start.Add(time.Duration(number)*time.Millisecond)).IsAdmitted {
 				admitted++
@@ -191,7 +191,7 @@
 		}
 	}
 	g.Expect(admitted).To(Equal(60))
-	meter.SetStanding(quota.WithFirst, now)
+	meter.SetMode(quota.WithFirst, now)
 	g.Expect(meter.Admit("back", now).IsAdmitted).To(BeTrue())
 }
 
@@ -201,10 +201,10 @@
 	g := NewWithT(t)
 	admittedAlone := func(age time.Duration) (admitted int) {
 		meter := quota.NewMeter("caller", route.RateLimit{PerSecond: 63, Burst: 63}, bounds, 6, true, start)
-		meter.SetStanding(quota.WithFirst, start)
-		meter.Tell(quota.Verdict{Share: 1, Spare: 5, IsFirst: true}, start)
+		meter.SetMode(quota.WithFirst, start)
+		meter.ApplyVerdict(quota.Verdict{Share: 1, ExtraRate: 5, IsFirst: true}, start)
 		now := start.Add(age)
-		meter.SetStanding(quota.Alone, now)
+		meter.SetMode(quota.Isolated, now)
 		for number := range 100 {
 			if meter.Admit(fmt.Sprint(number), now).IsAdmitted {
 				admitted++
@@ -225,11 +225,11 @@
 	// tenant is within its limit again, which it had been for a span.
 	admittedAlone := func(span time.Duration) (admitted int) {
 		meter := quota.NewMeter("caller", limit, bounds, 6, true, start)
-		meter.SetStanding(quota.WithFirst, start)
-		meter.Tell(quota.Verdict{Share: 0.25, Spare: 0, IsFirst: true}, start.Add(time.Minute))
+		meter.SetMode(quota.WithFirst, start)
+		meter.ApplyVerdict(quota.Verdict{Share: 0.25, ExtraRate: 0, IsFirst: true}, start.Add(time.Minute))
 		now := start.Add(time.Minute + span)
-		meter.Tell(quota.Verdict{Share: 1, Spare: limit.PerSecond / 6, IsFirst: true}, now)
-		meter.SetStanding(quota.Alone, now)
+		meter.ApplyVerdict(quota.Verdict{Share: 1, ExtraRate: limit.PerSecond / 6, IsFirst: true}, now)
+		meter.SetMode(quota.Isolated, now)
 		for range 250 {
 			if meter.Admit(now.String(), now).IsAdmitted {
 				admitted++
@@ -251,12 +251,12 @@
 		meter.Admit(fmt.Sprint(number), start)
 	}
 	use, _ := meter.Report(1, start)
-	g.Expect(use.NewAsked).To(BeEquivalentTo(20))
-	meter.SetStanding(quota.Alone, start)
+	g.Expect(use.NewRequests).To(BeEquivalentTo(20))
+	meter.SetMode(quota.Isolated, start)
 	meter.Acknowledge(use, quota.Verdict{Share: 1}, start)
 	after, isNew := meter.Report(1, start)
 	g.Expect(isNew).To(BeFalse())
-	g.Expect(after.NewAsked).To(BeZero())
+	g.Expect(after.NewRequests).To(BeZero())
 	g.Expect(after.NewAdmitted).To(BeZero())
 }
 
@@ -279,17 +279,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			meter.SetStanding(quota.Alone, start)
+			meter.SetMode(quota.Isolated, start)
 			late := start.Add(10 * time.Second)
 			alone := admittedAt(meter, "alone", late)
 			g.Expect(alone).To(BeNumerically("<=", 2))
-			meter.SetStanding(quota.WithStandIn, late)
+			meter.SetMode(quota.WithStandIn, late)
 			g.Expect(admittedAt(meter, "returned", late)).To(BeZero(), "what it may admit alone was used up")
-			meter.Tell(quota.Verdict{Share: 1}, late)
+			meter.ApplyVerdict(quota.Verdict{Share: 1}, late)
 			g.Expect(admittedAt(meter, "stand-in", late)).To(BeZero(), "a stand-in has not heard of all that return")
 			unasked := *meter
 			g.Expect(admittedAt(&unasked, "later", late.Add(3*time.Second))).To(BeNumerically(">", 2), "nothing is told of a tenant until it is asked for")
-			meter.Tell(quota.Verdict{Share: 1, IsFirst: true}, late)
+			meter.ApplyVerdict(quota.Verdict{Share: 1, IsFirst: true}, late)
 			g.Expect(admittedAt(meter, "first", late)).To(BeNumerically(">", 2))
 		})
 	}
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -51,21 +51,21 @@
 }
 
 // Use is what a node has had of one tenant since its process started.
-type Use struct {
+type Usage struct {
 	// Start names this run of the node's process.
-	Start uint64
+	Incarnation uint64
 	// Asked and Admitted count since then.
-	Asked    uint64
+	Requests uint64
 	Admitted int64
-	// NewAsked and NewAdmitted are the part of them that no coordinator has acknowledged and
+	// NewRequests and NewAdmitted are the part of them that no coordinator has acknowledged and
 	// that the node did not admit by its own entitlement. In the first window after its process started
 	// NewAdmitted is all of Admitted: each coordinator counts what is new to it.
-	NewAsked    uint64
+	NewRequests uint64
 	NewAdmitted int64
 	// Recent is the rate that the node admitted lately, Entitled the one that it may admit
 	// while it is out of touch; in requests a second.
-	Recent   float64
-	Entitled float64
+	RecentRate   float64
+	EntitledRate float64
 	// Share is the share that the node was told last, by which it admits now.
 	Share float64
 }
@@ -76,7 +76,7 @@
 	Share float64
 	// Spare is the rate that each node may admit beside its recent one if it loses touch;
 	// it counts only if IsFirst is set.
-	Spare float64
+	ExtraRate float64
 	// IsFirst says that the verdict is of the tenant's first coordinator, which sees the
 	// nodes of the whole deployment.
 	IsFirst bool
--- a/pkg/quota/refusal.go
+++ b/pkg/quota/refusal.go
@@ -16,8 +16,8 @@
 	// InDoubt: a coordinator has fallen silent and none has answered since, and the node has
 	// admitted as much as it may alone.
 	InDoubt
-	// BeyondOwnPart: no coordinator answers, and the node has admitted its part of the limit.
-	BeyondOwnPart
+	// BeyondEntitlement: no coordinator answers, and the node has admitted its part of the limit.
+	BeyondEntitlement
 	// ShareTooOld: a coordinator answers, but the share that it told, below 1, is older than shareAge,
 	// and the node has admitted its part of the limit.
 	ShareTooOld
@@ -32,11 +32,11 @@
 func (r Refusal) String() string {
 	return [...]string{
 		NotRefused: "", BeyondShare: "beyond_share", Unacknowledged: "unacknowledged", InDoubt: "in_doubt",
-		BeyondOwnPart: "alone", ShareTooOld: "share_too_old", JustStarted: "just_started",
+		BeyondEntitlement: "alone", ShareTooOld: "share_too_old", JustStarted: "just_started",
 	}[r]
 }
 
 // Refusals returns all reasons.
 func Refusals() []Refusal {
-	return []Refusal{BeyondShare, Unacknowledged, InDoubt, BeyondOwnPart, ShareTooOld, JustStarted}
+	return []Refusal{BeyondShare, Unacknowledged, InDoubt, BeyondEntitlement, ShareTooOld, JustStarted}
 }
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -23,7 +23,7 @@
 func (l *Limiter) report(ctx context.Context, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	uses := make(map[string]map[string]Use)
+	uses := make(map[string]map[string]Usage)
 	for tenant, held := range l.meters {
 		name := l.coordinator(held.ranked)
 		if name == "" || l.links[name].calling {
@@ -31,12 +31,12 @@
 			// when a coordinator answers.
 			continue
 		}
-		use, isNew := held.meter.Report(l.options.Start, now)
+		use, isNew := held.meter.Report(l.options.Incarnation, now)
 		if !isNew {
 			continue
 		}
 		if uses[name] == nil {
-			uses[name] = make(map[string]Use)
+			uses[name] = make(map[string]Usage)
 		}
 		uses[name][tenant] = use
 	}
@@ -45,13 +45,13 @@
 			l.acknowledge(told, l.take(name, told, now), now)
 			continue
 		}
-		l.call(ctx, name, encodeReport(l.options.Start, told), told)
+		l.call(ctx, name, encodeReport(l.options.Incarnation, told), told)
 	}
 }
 
 // call sends a report to a coordinator and takes the answer; told is what the report holds, empty if it
 // only asks whether the coordinator answers. The caller holds the mutex.
-func (l *Limiter) call(ctx context.Context, name string, message *quotapb.Report, told map[string]Use) {
+func (l *Limiter) call(ctx context.Context, name string, message *quotapb.Report, told map[string]Usage) {
 	if l.isStopped {
 		return
 	}
@@ -83,7 +83,7 @@
 }
 
 // acknowledge takes the answer to a report. The caller holds the mutex.
-func (l *Limiter) acknowledge(told map[string]Use, verdicts map[string]Verdict, now time.Time) {
+func (l *Limiter) acknowledge(told map[string]Usage, verdicts map[string]Verdict, now time.Time) {
 	for tenant, use := range told {
 		held := l.meters[tenant]
 		verdict, isAnswered := verdicts[tenant]
@@ -99,7 +99,7 @@
 	if err := message.UnmarshalVT(body); err != nil {
 		return nil, errors.Wrap(err, "decode report")
 	}
-	if !l.options.IsNeeded() {
+	if !l.options.HasTenants() {
 		return nil, errNoLimitsKnown
 	}
 	l.mutex.Lock()
@@ -138,7 +138,7 @@
 
 // take counts the report of a node and returns the verdicts on its tenants. The caller holds
 // the mutex.
-func (l *Limiter) take(from string, uses map[string]Use, now time.Time) map[string]Verdict {
+func (l *Limiter) take(from string, uses map[string]Usage, now time.Time) map[string]Verdict {
 	verdicts := make(map[string]Verdict, len(uses))
 	for tenant, use := range uses {
 		limit, isKnown := l.options.LimitOf(tenant)
@@ -156,14 +156,14 @@
 			}
 			kept = &coordinated{account: NewAccount(limit, l.options.Bounds, since, now), told: 1}
 			if now.Sub(l.startedAt) < l.options.Bounds.Window {
-				kept.account.SetStart(l.startedAt)
+				kept.account.SetProcessStart(l.startedAt)
 			}
 			l.accounts[tenant] = kept
 		}
 		kept.isFirst = isFirst
 		contact := l.contact(kept)
 		kept.account.SetLimit(limit)
-		kept.account.Take(from, use, contact, now)
+		kept.account.AddReport(from, use, contact, now)
 		verdicts[tenant] = kept.account.Verdict(contact, now)
 		l.noteLimit(tenant, kept, verdicts[tenant], now)
 		if verdicts[tenant].Share < fallingShare*kept.told {
@@ -181,8 +181,8 @@
 }
 
 // contact returns what this node knows of the others. The caller holds the mutex.
-func (l *Limiter) contact(kept *coordinated) Contact {
-	return Contact{IsFirst: kept.isFirst, IsSettling: l.isSettling(time.Now()), Nodes: l.nodeCount() + len(l.gone), Silent: l.silent}
+func (l *Limiter) contact(kept *coordinated) DeploymentView {
+	return DeploymentView{IsFirst: kept.isFirst, IsSettling: l.isSettling(time.Now()), Nodes: l.nodeCount() + len(l.gone), Silent: l.silent}
 }
 
 // noteLimit follows whether a tenant is at its limit, and tells when it has come to it. The caller holds the mutex.
@@ -191,7 +191,7 @@
 		kept.fullAt = time.Time{}
 		if kept.limitedAt.IsZero() {
 			kept.limitedAt = now
-			l.options.Events.AtLimit(tenant, verdict, kept.account.Figures(now))
+			l.options.Events.AtLimit(tenant, verdict, kept.account.Stats(now))
 		}
 		return
 	}
@@ -201,24 +201,24 @@
 }
 
 // encodeReport returns the message for what a node had of its tenants.
-func encodeReport(start uint64, uses map[string]Use) *quotapb.Report {
+func encodeReport(start uint64, uses map[string]Usage) *quotapb.Report {
 	message := &quotapb.Report{Start: start, Uses: make([]*quotapb.Use, 0, len(uses))}
 	for tenant, use := range uses {
 		message.Uses = append(message.Uses, &quotapb.Use{
-			Tenant: tenant, Asked: use.Asked, Admitted: use.Admitted, NewAsked: use.NewAsked, NewAdmitted: use.NewAdmitted,
-			Recent: use.Recent, Entitled: use.Entitled, Share: use.Share,
+			Tenant: tenant, Asked: use.Requests, Admitted: use.Admitted, NewAsked: use.NewRequests, NewAdmitted: use.NewAdmitted,
+			Recent: use.RecentRate, Entitled: use.EntitledRate, Share: use.Share,
 		})
 	}
 	return message
 }
 
 // decodeUses reverses encodeReport.
-func decodeUses(message *quotapb.Report) map[string]Use {
-	uses := make(map[string]Use, len(message.Uses))
+func decodeUses(message *quotapb.Report) map[string]Usage {
+	uses := make(map[string]Usage, len(message.Uses))
 	for _, use := range message.Uses {
-		uses[use.Tenant] = Use{
-			Start: message.Start, Asked: use.Asked, Admitted: use.Admitted, NewAsked: use.NewAsked, NewAdmitted: use.NewAdmitted,
-			Recent: use.Recent, Entitled: use.Entitled, Share: use.Share,
+		uses[use.Tenant] = Usage{
+			Incarnation: message.Start, Requests: use.Asked, Admitted: use.Admitted, NewRequests: use.NewAsked, NewAdmitted: use.NewAdmitted,
+			RecentRate: use.Recent, EntitledRate: use.Entitled, Share: use.Share,
 		}
 	}
 	return uses
--- a/pkg/quota/resume_test.go
+++ b/pkg/quota/resume_test.go
@@ -47,9 +47,9 @@
 			d.ask(0, tenant, "request")
 		}
 		time.Sleep(time.Second)
-		before = d.nodes[0].limiter.Tenants()
+		before = d.nodes[0].limiter.TenantCount()
 		time.Sleep(2 * time.Minute)
-		after = d.nodes[0].limiter.Tenants()
+		after = d.nodes[0].limiter.TenantCount()
 	})
 	g := NewWithT(t)
 	g.Expect(before).To(Equal(500))
@@ -59,7 +59,7 @@
 // BenchmarkAdmit is what a request with a limit costs.
 func BenchmarkAdmit(b *testing.B) {
 	meter := quota.NewMeter("caller", route.RateLimit{PerSecond: 1e9, Burst: 1e9}, bounds, 67, true, start)
-	meter.SetStanding(quota.WithFirst, start)
+	meter.SetMode(quota.WithFirst, start)
 	b.ReportAllocs()
 	for b.Loop() {
 		meter.Admit("0123456789abcdef", start)
--- a/pkg/quota/series_test.go
+++ b/pkg/quota/series_test.go
@@ -88,7 +88,7 @@
 	g := NewWithT(t)
 	for _, wasInTouch := range []bool{false, true} {
 		meter := quota.NewMeter("caller", route.RateLimit{PerSecond: 63, Burst: 63}, bounds, 6, wasInTouch, start)
-		meter.SetStart(start)
+		meter.SetProcessStart(start)
 		for now := start; now.Before(start.Add(bounds.Window)); now = now.Add(20 * time.Millisecond) {
 			decision := meter.Admit(now.String(), now)
 			g.Expect(decision.IsAdmitted).To(BeFalse())
--- a/pkg/quota/snapshot.go
+++ b/pkg/quota/snapshot.go
@@ -52,16 +52,16 @@
 	Limit  route.RateLimit
 	// IsFirst says that the node is the tenant's first coordinator; otherwise it stands in for it.
 	IsFirst bool
-	// AskedPerSecond is the rate of requests over all nodes that report here, over about two
+	// RequestsPerSecond is the rate of requests over all nodes that report here, over about two
 	// seconds.
-	AskedPerSecond float64
+	RequestsPerSecond float64
 	// Share is the part of the requests that nodes may admit, Level the tokens that are left;
 	// below zero for requests beyond the limit that are being made up for.
-	Share float64
-	Level float64
-	// KeptBackPerSecond is the part of the limit that is left to nodes out of touch. It is zero
+	Share  float64
+	Tokens float64
+	// ReservedPerSecond is the part of the limit that is left to nodes out of touch. It is zero
 	// at a stand-in.
-	KeptBackPerSecond float64
+	ReservedPerSecond float64
 	// Reporting is the number of nodes that reported in the last ten seconds, and of those out of
 	// touch that had reported before.
 	Reporting int
@@ -80,13 +80,13 @@
 	IsIdle bool
 	// Standing is how the node stands to the tenant's coordinators, Coordinator the one to which
 	// it reports; empty if none answers.
-	Standing    Standing
+	Mode        Mode
 	Coordinator string
-	// Share is what was told last, ToldAt when; zero if nothing was told. IsShareOld says that
+	// Share is what was told last, ShareReceivedAt when; zero if nothing was told. IsShareStale says that
 	// the node does not go by it any more.
-	Share      float64
-	ToldAt     time.Time
-	IsShareOld bool
+	Share           float64
+	ShareReceivedAt time.Time
+	IsShareStale    bool
 	// EntitledPerSecond is the rate that the node may admit while it is out of touch.
 	EntitledPerSecond float64
 	// AdmittedInWindow is the number of requests admitted in the last Window.
@@ -196,7 +196,7 @@
 		}
 	}
 	if held != nil {
-		found.Standing, found.Coordinator = held.meter.standing, l.coordinator(held.ranked)
+		found.Mode, found.Coordinator = held.meter.standing, l.coordinator(held.ranked)
 		held.meter.view(&found, now)
 	}
 	return found
@@ -208,8 +208,8 @@
 	copied := *a
 	copied.bucket.settle(now)
 	found := CoordinatedTenant{
-		IsFirst: isFirst, AskedPerSecond: a.steady.read(now), Share: copied.share(now), Level: copied.bucket.level,
-		KeptBackPerSecond: a.keptBack,
+		IsFirst: isFirst, RequestsPerSecond: a.steady.read(now), Share: copied.share(now), Tokens: copied.bucket.level,
+		ReservedPerSecond: a.keptBack,
 	}
 	if now.Sub(a.usedAt) <= entrySpan {
 		found.Reporting = len(a.nodes)
@@ -232,8 +232,8 @@
 func (m *Meter) view(found *ServedTenant, now time.Time) {
 	lately := m.lately
 	found.AdmittedInWindow = lately.read(now)
-	found.Share, found.ToldAt = m.share, m.toldAt
-	found.IsShareOld = m.share < 1 && now.Sub(m.toldAt) > shareAge
+	found.Share, found.ShareReceivedAt = m.share, m.toldAt
+	found.IsShareStale = m.share < 1 && now.Sub(m.toldAt) > shareAge
 	found.EntitledPerSecond = m.entitlement(now)
 }
 
--- a/pkg/quota/snapshot_test.go
+++ b/pkg/quota/snapshot_test.go
@@ -43,17 +43,17 @@
 	refused  map[quota.Refusal]uint64
 	window   float64
 	entitled float64
-	standing map[quota.Standing]int
+	standing map[quota.Mode]int
 }
 
 func sumServed(all []quota.Snapshot) summed {
-	sum := summed{refused: make(map[quota.Refusal]uint64), standing: make(map[quota.Standing]int)}
+	sum := summed{refused: make(map[quota.Refusal]uint64), standing: make(map[quota.Mode]int)}
 	for _, one := range all {
 		for _, served := range one.Served {
 			sum.admitted += served.Admitted
 			sum.window += served.AdmittedInWindow
 			sum.entitled += served.EntitledPerSecond
-			sum.standing[served.Standing]++
+			sum.standing[served.Mode]++
 			for reason, count := range served.Refused {
 				sum.refused[reason] += count
 			}
@@ -95,23 +95,23 @@
 	told := first[0]
 	g.Expect(told.Tenant).To(Equal(tenant))
 	g.Expect(told.Limit).To(Equal(tenants()[tenant]))
-	g.Expect(told.AskedPerSecond).To(BeNumerically("~", 80, 25))
+	g.Expect(told.RequestsPerSecond).To(BeNumerically("~", 80, 25))
 	g.Expect(told.Share).To(BeNumerically("<", 0.6))
 	g.Expect(told.AtLimitSince).NotTo(BeZero())
 	g.Expect(told.Reporting).To(Equal(count))
 	g.Expect(told.Reporters).To(HaveLen(count))
-	g.Expect(told.KeptBackPerSecond).To(BeZero())
+	g.Expect(told.ReservedPerSecond).To(BeZero())
 	sum := sumServed(all)
 	g.Expect(sum.admitted).To(Equal(int64(admitted)))
 	g.Expect(sum.allRefused()).To(Equal(uint64(refused)))
 	g.Expect(sum.refused[quota.BeyondShare]).To(BeNumerically(">", refused/2))
-	g.Expect(sum.refused).NotTo(HaveKey(quota.BeyondOwnPart))
-	g.Expect(sum.standing).To(Equal(map[quota.Standing]int{quota.WithFirst: count}))
+	g.Expect(sum.refused).NotTo(HaveKey(quota.BeyondEntitlement))
+	g.Expect(sum.standing).To(Equal(map[quota.Mode]int{quota.WithFirst: count}))
 	g.Expect(sum.window).To(BeNumerically("~", lately, 10))
 	g.Expect(sum.entitled).To(BeNumerically("<=", 1.3*told.Limit.PerSecond))
 	for _, one := range all {
 		g.Expect(one.Served[0].Coordinator).To(Equal(coordinator))
-		g.Expect(one.At.Sub(one.Served[0].ToldAt)).To(BeNumerically("<", time.Second))
+		g.Expect(one.At.Sub(one.Served[0].ShareReceivedAt)).To(BeNumerically("<", time.Second))
 	}
 
 	after := sumServed(idle)
@@ -146,13 +146,13 @@
 	g.Expect(first).To(HaveLen(1))
 	g.Expect(from.Silent).To(Equal([]string{name}))
 	g.Expect(from.SilentCount).To(Equal(1))
-	g.Expect(first[0].KeptBackPerSecond).To(And(BeNumerically(">", 0), BeNumerically("<", 6)))
+	g.Expect(first[0].ReservedPerSecond).To(And(BeNumerically(">", 0), BeNumerically("<", 6)))
 	g.Expect(first[0].Reporters).NotTo(ContainElement(name))
 	lost := all[cut].Served[0]
-	g.Expect(lost.Standing).To(Equal(quota.Alone))
+	g.Expect(lost.Mode).To(Equal(quota.Isolated))
 	g.Expect(lost.Coordinator).To(BeEmpty())
-	g.Expect(lost.IsShareOld).To(BeTrue())
-	g.Expect(lost.Refused[quota.BeyondOwnPart]).To(BeNumerically(">", 0))
+	g.Expect(lost.IsShareStale).To(BeTrue())
+	g.Expect(lost.Refused[quota.BeyondEntitlement]).To(BeNumerically(">", 0))
 	g.Expect(lost.EntitledPerSecond).To(And(BeNumerically(">", 0), BeNumerically("<", 6)))
 }
 
@@ -167,10 +167,10 @@
 		limits[fmt.Sprint("tenant-", number)] = route.RateLimit{PerSecond: float64(number), Burst: 1}
 	}
 	limiter := quota.New(quota.Options{
-		Local: "node-0", Zone: "zone", Bounds: bounds, Events: quiet{}, Start: 1,
-		Transport: &answering{handlers: make(map[peer.Kind]peer.Handler)},
-		LimitOf:   func(tenant string) (route.RateLimit, bool) { limit, isKnown := limits[tenant]; return limit, isKnown },
-		IsNeeded:  func() bool { return true },
+		Local: "node-0", Zone: "zone", Bounds: bounds, Events: quiet{}, Incarnation: 1,
+		Transport:  &answering{handlers: make(map[peer.Kind]peer.Handler)},
+		LimitOf:    func(tenant string) (route.RateLimit, bool) { limit, isKnown := limits[tenant]; return limit, isKnown },
+		HasTenants: func() bool { return true },
 	})
 	limiter.SetNodes([]quota.Node{{Name: "node-0", Zone: "zone", Address: "node-0"}})
 	for tenant, limit := range limits {
@@ -221,14 +221,14 @@
 func TestEachRefusalHasItsReason(t *testing.T) {
 	limit := route.RateLimit{PerSecond: 5, Burst: 5}
 	started := quota.NewMeter("caller", limit, bounds, 67, false, start)
-	started.SetStart(start)
+	started.SetProcessStart(start)
 	for reason, meter := range map[quota.Refusal]*quota.Meter{
-		quota.BeyondShare:    inTouch(limit, 0.01, 0),
-		quota.Unacknowledged: inTouch(limit, 1, 0),
-		quota.InDoubt:        inTouch(route.RateLimit{PerSecond: 5, Burst: 100}, 1, 0),
-		quota.BeyondOwnPart:  quota.NewMeter("caller", limit, bounds, 67, false, start),
-		quota.ShareTooOld:    inTouch(limit, 0.01, 0),
-		quota.JustStarted:    started,
+		quota.BeyondShare:       inTouch(limit, 0.01, 0),
+		quota.Unacknowledged:    inTouch(limit, 1, 0),
+		quota.InDoubt:           inTouch(route.RateLimit{PerSecond: 5, Burst: 100}, 1, 0),
+		quota.BeyondEntitlement: quota.NewMeter("caller", limit, bounds, 67, false, start),
+		quota.ShareTooOld:       inTouch(limit, 0.01, 0),
+		quota.JustStarted:       started,
 	} {
 		t.Run(reason.String(), func(t *testing.T) {
 			g := NewWithT(t)
@@ -236,7 +236,7 @@
 			if reason == quota.ShareTooOld {
 				now = now.Add(2 * time.Second)
 			}
-			meter.SetDoubt(reason == quota.InDoubt)
+			meter.SetInDoubt(reason == quota.InDoubt)
 			reasons := make(map[quota.Refusal]int)
 			for number := range 200 {
 				decision := meter.Admit(fmt.Sprint(number), now)
@@ -295,10 +295,10 @@
 		limits[fmt.Sprint("tenant-", number)] = route.RateLimit{PerSecond: float64(number), Burst: 5}
 	}
 	limiter := quota.New(quota.Options{
-		Local: "node-0", Zone: "zone", Bounds: bounds, Events: quiet{}, Start: 1,
-		Transport: &answering{handlers: make(map[peer.Kind]peer.Handler)},
-		LimitOf:   func(tenant string) (route.RateLimit, bool) { limit, isKnown := limits[tenant]; return limit, isKnown },
-		IsNeeded:  func() bool { return true },
+		Local: "node-0", Zone: "zone", Bounds: bounds, Events: quiet{}, Incarnation: 1,
+		Transport:  &answering{handlers: make(map[peer.Kind]peer.Handler)},
+		LimitOf:    func(tenant string) (route.RateLimit, bool) { limit, isKnown := limits[tenant]; return limit, isKnown },
+		HasTenants: func() bool { return true },
 	})
 	for tenant, limit := range limits {
 		limiter.Admit(tenant, limit, "request", time.Now())
--- a/pkg/quota/starting.go
+++ b/pkg/quota/starting.go
@@ -12,8 +12,8 @@
 	at    time.Time
 }
 
-// SetStart takes when the process of the coordinator started, if that was within a window.
-func (a *Account) SetStart(startedAt time.Time) {
+// SetProcessStart takes when the process of the coordinator started, if that was within a window.
+func (a *Account) SetProcessStart(startedAt time.Time) {
 	a.starting = startingWindow{startedAt: startedAt, at: startedAt}
 }
 
@@ -44,12 +44,12 @@
 // expect takes what a node was asked under earlier coordinators for its rate from now on. Otherwise a new account
 // would admit all requests until it has heard of enough of them itself. Only a process that has just started reports more
 // as newly admitted than as newly asked, and counts from about the same moment as this one.
-func (a *Account) expect(use Use, now time.Time) {
-	if use.NewAdmitted <= int64(use.NewAsked) {
+func (a *Account) expect(use Usage, now time.Time) {
+	if use.NewAdmitted <= int64(use.NewRequests) {
 		return
 	}
 	age := max(askedSpan, now.Sub(a.starting.startedAt))
-	a.asked.add(float64(use.Asked-use.NewAsked)*askedSpan.Seconds()/age.Seconds(), now)
+	a.asked.add(float64(use.Requests-use.NewRequests)*askedSpan.Seconds()/age.Seconds(), now)
 }
 
 // spend takes requests that were admitted, at most granted of them by this coordinator.
--- a/pkg/quota/starting_account_test.go
+++ b/pkg/quota/starting_account_test.go
@@ -17,11 +17,11 @@
 	shareAfter := func(asked, admitted int) float64 {
 		now := start.Add(time.Second)
 		account := quota.NewAccount(largeLimit, bounds, now, now)
-		account.SetStart(start)
+		account.SetProcessStart(start)
 		for number := range 10 {
 			now = now.Add(50 * time.Millisecond)
-			use := quota.Use{Start: 1, Asked: uint64(asked), Admitted: int64(admitted), NewAsked: 1, NewAdmitted: int64(admitted), Share: 1}
-			account.Take(fmt.Sprint(number), use, first, now)
+			use := quota.Usage{Incarnation: 1, Requests: uint64(asked), Admitted: int64(admitted), NewRequests: 1, NewAdmitted: int64(admitted), Share: 1}
+			account.AddReport(fmt.Sprint(number), use, first, now)
 		}
 		return account.Verdict(first, now).Share
 	}
@@ -33,8 +33,8 @@
 func TestANodeThatStartsTellsEachCoordinatorAllThatItAdmitted(t *testing.T) {
 	g := NewWithT(t)
 	meter := quota.NewMeter("caller", largeLimit, bounds, 67, true, start)
-	meter.SetStart(start)
-	meter.SetStanding(quota.WithFirst, start)
+	meter.SetProcessStart(start)
+	meter.SetMode(quota.WithFirst, start)
 	for number := range 3 {
 		g.Expect(meter.Admit(fmt.Sprint(number), start).IsAdmitted).To(BeTrue())
 	}
@@ -43,7 +43,7 @@
 	g.Expect(meter.Admit("another", start).IsAdmitted).To(BeTrue())
 	use, _ = meter.Report(1, start)
 	g.Expect(use.NewAdmitted).To(BeEquivalentTo(4))
-	g.Expect(use.NewAsked).To(BeEquivalentTo(1))
+	g.Expect(use.NewRequests).To(BeEquivalentTo(1))
 	use, _ = meter.Report(1, start.Add(bounds.Window))
 	g.Expect(use.NewAdmitted).To(BeEquivalentTo(1))
 }
--- a/pkg/quota/unlimited_test.go
+++ b/pkg/quota/unlimited_test.go
@@ -21,9 +21,9 @@
 	atLimit, belowLimit atomic.Int64
 }
 
-func (c *counted) AtLimit(string, quota.Verdict, quota.Figures) { c.atLimit.Add(1) }
+func (c *counted) AtLimit(string, quota.Verdict, quota.Stats) { c.atLimit.Add(1) }
 
-func (c *counted) BelowLimit(string, quota.Figures, time.Duration) { c.belowLimit.Add(1) }
+func (c *counted) BelowLimit(string, quota.Stats, time.Duration) { c.belowLimit.Add(1) }
 
 // TestATenantThatLosesItsLimitIsNoLongerAtIt: what was told to begin is told to end.
 func TestATenantThatLosesItsLimitIsNoLongerAtIt(t *testing.T) {
@@ -40,7 +40,7 @@
 				limit := route.RateLimit{PerSecond: 5, Burst: 5}
 				var isOver atomic.Bool
 				limiter := quota.New(quota.Options{
-					Local: "node-0", Zone: "zone", Bounds: bounds, Events: events, Start: 1,
+					Local: "node-0", Zone: "zone", Bounds: bounds, Events: events, Incarnation: 1,
 					Transport: &answering{handlers: make(map[peer.Kind]peer.Handler)},
 					LimitOf: func(string) (route.RateLimit, bool) {
 						if isOver.Load() {
@@ -48,7 +48,7 @@
 						}
 						return limit, true
 					},
-					IsNeeded: func() bool { return true },
+					HasTenants: func() bool { return true },
 				})
 				limiter.SetNodes([]quota.Node{{Name: "node-0", Zone: "zone", Address: "node-0"}})
 				ctx, stop := context.WithCancel(t.Context())
--- a/pkg/quota/unreported_test.go
+++ b/pkg/quota/unreported_test.go
@@ -27,7 +27,7 @@
 			}
 			time.Sleep(100*time.Second + time.Duration(round)*17*time.Millisecond)
 			for _, node := range d.nodes {
-				kept += node.limiter.Tenants()
+				kept += node.limiter.TenantCount()
 			}
 		}
 	})
--- a/pkg/quota/verdicts.go
+++ b/pkg/quota/verdicts.go
@@ -59,7 +59,7 @@
 // isUntold reports whether this node coordinates limits and has sent the others no verdicts since its
 // start: on the first ones, nodes that report to a stand-in turn back to it. The caller holds the mutex.
 func (l *Limiter) isUntold() bool {
-	return l.sent.Verdicts == 0 && len(l.addresses) > 1 && l.coordinates(l.options.Local) && l.options.IsNeeded()
+	return l.sent.Verdicts == 0 && len(l.addresses) > 1 && l.coordinates(l.options.Local) && l.options.HasTenants()
 }
 
 // dueVerdicts returns the verdicts on tenants at their limits, and whether one is much lower than what
@@ -72,7 +72,7 @@
 		}
 		limit, isKnown := l.options.LimitOf(tenant)
 		if !isKnown || !limit.IsBound() {
-			l.options.Events.BelowLimit(tenant, kept.account.Figures(now), now.Sub(kept.limitedAt))
+			l.options.Events.BelowLimit(tenant, kept.account.Stats(now), now.Sub(kept.limitedAt))
 			delete(l.accounts, tenant)
 			continue
 		}
@@ -83,7 +83,7 @@
 		verdicts[tenant] = verdict
 		isUrgent = isUrgent || verdict.Share < fallingShare*kept.told
 		if !kept.fullAt.IsZero() && now.Sub(kept.fullAt) > releaseSpan {
-			l.options.Events.BelowLimit(tenant, kept.account.Figures(now), now.Sub(kept.limitedAt))
+			l.options.Events.BelowLimit(tenant, kept.account.Stats(now), now.Sub(kept.limitedAt))
 			kept.limitedAt, kept.fullAt, kept.told = time.Time{}, time.Time{}, 1
 		}
 	}
@@ -157,7 +157,7 @@
 			held.usedAt = now
 		}
 		if current := l.coordinator(held.ranked); current == from {
-			held.meter.Tell(verdict, now)
+			held.meter.ApplyVerdict(verdict, now)
 		} else if slices.Contains(held.ranked, from) {
 			held.standIn = hint{from: from, verdict: verdict, at: now}
 			l.checkCoordinator(ctx, current, now)
@@ -199,7 +199,7 @@
 	for tenant, verdict := range verdicts {
 		encoded := &quotapb.Verdict{Tenant: tenant, Share: verdict.Share, WaitMs: uint64(verdict.Wait.Milliseconds())}
 		if verdict.IsFirst {
-			encoded.Spare = proto.Float64(verdict.Spare)
+			encoded.Spare = proto.Float64(verdict.ExtraRate)
 		}
 		message.Verdicts = append(message.Verdicts, encoded)
 	}
@@ -212,7 +212,7 @@
 	for _, verdict := range message.Verdicts {
 		decoded := Verdict{Share: verdict.Share, Wait: time.Duration(verdict.WaitMs) * time.Millisecond}
 		if verdict.Spare != nil {
-			decoded.Spare, decoded.IsFirst = *verdict.Spare, true
+			decoded.ExtraRate, decoded.IsFirst = *verdict.Spare, true
 		}
 		verdicts[verdict.Tenant] = decoded
 	}
--- a/pkg/quota/view_test.go
+++ b/pkg/quota/view_test.go
@@ -19,7 +19,7 @@
 	now := time.Unix(1_700_000_000, 0)
 	account, seenAccount := NewAccount(limit, bounds, now, now), NewAccount(limit, bounds, now, now)
 	meter, seenMeter := NewMeter("a", limit, bounds, 4, true, now), NewMeter("a", limit, bounds, 4, true, now)
-	contact := Contact{IsFirst: true, Nodes: 4, Silent: map[string]bool{"silent": true}}
+	contact := DeploymentView{IsFirst: true, Nodes: 4, Silent: map[string]bool{"silent": true}}
 	look := func() {
 		seenAccount.view(true, now)
 		seenAccount.reporters(now)
@@ -36,17 +36,17 @@
 		g.Expect(seenUse).To(Equal(use))
 		if step%200 > 100 {
 			// The node is out of touch for a while.
-			meter.SetStanding(Alone, now)
-			seenMeter.SetStanding(Alone, now)
+			meter.SetMode(Isolated, now)
+			seenMeter.SetMode(Isolated, now)
 			continue
 		}
-		account.Take("node", use, contact, now)
-		seenAccount.Take("node", seenUse, contact, now)
+		account.AddReport("node", use, contact, now)
+		seenAccount.AddReport("node", seenUse, contact, now)
 		look()
 		verdict := account.Verdict(contact, now)
 		g.Expect(seenAccount.Verdict(contact, now)).To(Equal(verdict))
-		meter.SetStanding(WithFirst, now)
-		seenMeter.SetStanding(WithFirst, now)
+		meter.SetMode(WithFirst, now)
+		seenMeter.SetMode(WithFirst, now)
 		meter.Acknowledge(use, verdict, now)
 		seenMeter.Acknowledge(use, verdict, now)
 	}
@@ -59,9 +59,9 @@
 	limit := route.RateLimit{PerSecond: 20, Burst: 20}
 	now := time.Unix(1_700_000_000, 0)
 	account := NewAccount(limit, Bounds{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}, now, now)
-	use := Use{Start: 1, Asked: 1, Admitted: 1, NewAsked: 1, NewAdmitted: 1, Entitled: 5, Share: 1}
-	account.Take("node", use, Contact{Nodes: 4}, now)
-	g.Expect(account.view(true, now).KeptBackPerSecond).To(BeZero())
-	account.Take("node", use, Contact{IsFirst: true, Nodes: 4, Silent: map[string]bool{"silent": true}}, now)
-	g.Expect(account.view(true, now).KeptBackPerSecond).To(Equal(5.0))
+	use := Usage{Incarnation: 1, Requests: 1, Admitted: 1, NewRequests: 1, NewAdmitted: 1, EntitledRate: 5, Share: 1}
+	account.AddReport("node", use, DeploymentView{Nodes: 4}, now)
+	g.Expect(account.view(true, now).ReservedPerSecond).To(BeZero())
+	account.AddReport("node", use, DeploymentView{IsFirst: true, Nodes: 4, Silent: map[string]bool{"silent": true}}, now)
+	g.Expect(account.view(true, now).ReservedPerSecond).To(Equal(5.0))
 }
