--- a/internal/edge/quota.go
+++ b/internal/edge/quota.go
@@ -49,8 +49,8 @@
 	held.limiter = quota.New(quota.Options{
 		Local: settings.Node.Name, Zone: settings.Node.Zone, Bounds: settings.quotaBounds(), Transport: transport, Events: held,
 		LimitOf: node.state.limitOf, Incarnation: rand.Uint64(),
-		HasTenants: func() bool { table := node.state.Table(); return table != nil && table.HasTenants() },
-		WasListed:  func() bool { return node.member != nil && node.member.wasListed.Load() },
+		KnowsTenants: func() bool { table := node.state.Table(); return table != nil && table.HasTenants() },
+		WasListed:    func() bool { return node.member != nil && node.member.wasListed.Load() },
 	})
 	node.figures.gauge("quota_tenants_at_limit", "Tenants at their limit that this node coordinates.", func() float64 {
 		return float64(held.limiter.TenantsAtLimit())
@@ -122,7 +122,7 @@
 }
 
 // AtLimit implements quota.Events.
-func (l *limits) AtLimit(tenant string, verdict quota.Verdict, figures quota.Stats) {
+func (l *limits) AtLimit(tenant string, verdict quota.Verdict, figures quota.AccountStats) {
 	l.mutex.Lock()
 	isDue := l.atLimit.begins(tenant, time.Now())
 	l.mutex.Unlock()
@@ -136,7 +136,7 @@
 }
 
 // BelowLimit implements quota.Events.
-func (l *limits) BelowLimit(tenant string, figures quota.Stats, span time.Duration) {
+func (l *limits) BelowLimit(tenant string, figures quota.AccountStats, span time.Duration) {
 	l.mutex.Lock()
 	isDue := l.atLimit.ends(tenant, time.Now())
 	l.mutex.Unlock()
--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -290,7 +290,7 @@
 }
 
 // Figures of an account, for logs and metrics.
-type Stats struct {
+type AccountStats struct {
 	Limit route.RateLimit
 	// Asked is the rate of requests over all nodes, Level the tokens that are left.
 	RequestRate float64
@@ -300,6 +300,6 @@
 }
 
 // Figures returns the state of the account.
-func (a *Account) Stats(now time.Time) Stats {
-	return Stats{Limit: a.limit, RequestRate: a.asked.read(now), Tokens: a.bucket.level, Nodes: len(a.nodes)}
+func (a *Account) Stats(now time.Time) AccountStats {
+	return AccountStats{Limit: a.limit, RequestRate: a.asked.read(now), Tokens: a.bucket.level, Nodes: len(a.nodes)}
 }
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -36,10 +36,10 @@
 // Events takes what an operator wants to know. Its methods do not block.
 type Events interface {
 	// TenantsAtLimit tells that a tenant that this node coordinates has come to its limit.
-	AtLimit(tenant string, verdict Verdict, figures Stats)
+	AtLimit(tenant string, verdict Verdict, figures AccountStats)
 	// BelowLimit tells that it is within its limit again, after a span; also if it has lost the
 	// limit that the figures name.
-	BelowLimit(tenant string, figures Stats, span time.Duration)
+	BelowLimit(tenant string, figures AccountStats, span time.Duration)
 	// CoordinatorLost and CoordinatorRegained tell of nodes that this one reports to.
 	CoordinatorLost(name string, cause error)
 	CoordinatorRegained(name string)
@@ -56,8 +56,8 @@
 	// none.
 	LimitOf func(tenant string) (route.RateLimit, bool)
 	Events  Events
-	// HasTenants reports whether the configuration in force has tenants.
-	HasTenants func() bool
+	// KnowsTenants reports whether the configuration in force has tenants.
+	KnowsTenants func() bool
 	// Start names this run of the process, differently each time.
 	Incarnation uint64
 	// WasListed reports whether the list of nodes held this one already when the process began, so that it holds
@@ -305,7 +305,7 @@
 		l.sweep(now)
 	}
 	l.mutex.Unlock()
-	if l.options.HasTenants() {
+	if l.options.KnowsTenants() {
 		l.probeLinks(ctx, now)
 	}
 	l.spread(ctx, now)
--- a/pkg/quota/links.go
+++ b/pkg/quota/links.go
@@ -163,7 +163,7 @@
 	l.mutex.Lock()
 	wasInTouch := l.wasInTouch
 	l.mutex.Unlock()
-	if !wasInTouch && l.options.HasTenants() {
+	if !wasInTouch && l.options.KnowsTenants() {
 		l.probeLinks(ctx, now)
 	}
 }
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -99,7 +99,7 @@
 	if err := message.UnmarshalVT(body); err != nil {
 		return nil, errors.Wrap(err, "decode report")
 	}
-	if !l.options.HasTenants() {
+	if !l.options.KnowsTenants() {
 		return nil, errNoLimitsKnown
 	}
 	l.mutex.Lock()
--- a/pkg/quota/simulation_test.go
+++ b/pkg/quota/simulation_test.go
@@ -57,10 +57,10 @@
 // quiet takes no note of events.
 type quiet struct{}
 
-func (quiet) AtLimit(string, quota.Verdict, quota.Stats)    {}
-func (quiet) BelowLimit(string, quota.Stats, time.Duration) {}
-func (quiet) CoordinatorLost(string, error)                 {}
-func (quiet) CoordinatorRegained(string)                    {}
+func (quiet) AtLimit(string, quota.Verdict, quota.AccountStats)    {}
+func (quiet) BelowLimit(string, quota.AccountStats, time.Duration) {}
+func (quiet) CoordinatorLost(string, error)                        {}
+func (quiet) CoordinatorRegained(string)                           {}
 
 // simulate runs body with a deployment whose nodes lie 12 ms from each other.
 func simulate(t testing.TB, count int, limits map[string]route.RateLimit, body func(d *deployment)) {
@@ -133,9 +133,9 @@
 			found, isKnown := d.limits[tenant]
 			return found, isKnown && !node.hasNoTable.Load()
 		},
-		HasTenants:  func() bool { return !node.hasNoTable.Load() },
-		WasListed:   func() bool { return !isUnlisted },
-		Incarnation: d.random.Uint64(),
+		KnowsTenants: func() bool { return !node.hasNoTable.Load() },
+		WasListed:    func() bool { return !isUnlisted },
+		Incarnation:  d.random.Uint64(),
 	})
 	node.stop, node.ended = cancel, make(chan struct{})
 	limiter, ended := node.limiter, node.ended
--- a/pkg/quota/snapshot_test.go
+++ b/pkg/quota/snapshot_test.go
@@ -168,9 +168,9 @@
 	}
 	limiter := quota.New(quota.Options{
 		Local: "node-0", Zone: "zone", Bounds: bounds, Events: quiet{}, Incarnation: 1,
-		Transport:  &answering{handlers: make(map[peer.Kind]peer.Handler)},
-		LimitOf:    func(tenant string) (route.RateLimit, bool) { limit, isKnown := limits[tenant]; return limit, isKnown },
-		HasTenants: func() bool { return true },
+		Transport:    &answering{handlers: make(map[peer.Kind]peer.Handler)},
+		LimitOf:      func(tenant string) (route.RateLimit, bool) { limit, isKnown := limits[tenant]; return limit, isKnown },
+		KnowsTenants: func() bool { return true },
 	})
 	limiter.SetNodes([]quota.Node{{Name: "node-0", Zone: "zone", Address: "node-0"}})
 	for tenant, limit := range limits {
@@ -296,9 +296,9 @@
 	}
 	limiter := quota.New(quota.Options{
 		Local: "node-0", Zone: "zone", Bounds: bounds, Events: quiet{}, Incarnation: 1,
-		Transport:  &answering{handlers: make(map[peer.Kind]peer.Handler)},
-		LimitOf:    func(tenant string) (route.RateLimit, bool) { limit, isKnown := limits[tenant]; return limit, isKnown },
-		HasTenants: func() bool { return true },
+		Transport:    &answering{handlers: make(map[peer.Kind]peer.Handler)},
+		LimitOf:      func(tenant string) (route.RateLimit, bool) { limit, isKnown := limits[tenant]; return limit, isKnown },
+		KnowsTenants: func() bool { return true },
 	})
 	for tenant, limit := range limits {
 		limiter.Admit(tenant, limit, "request", time.Now())
--- a/pkg/quota/stop_test.go
+++ b/pkg/quota/stop_test.go
@@ -41,8 +41,8 @@
 		limit := route.RateLimit{PerSecond: 5, Burst: 5}
 		limiter := quota.New(quota.Options{
 			Local: "node-0", Zone: "zone", Bounds: bounds, Transport: transport, Events: quiet{},
-			LimitOf:    func(string) (route.RateLimit, bool) { return limit, true },
-			HasTenants: func() bool { return true },
+			LimitOf:      func(string) (route.RateLimit, bool) { return limit, true },
+			KnowsTenants: func() bool { return true },
 		})
 		var nodes []quota.Node
 		for index := range 12 {
--- a/pkg/quota/unlimited_test.go
+++ b/pkg/quota/unlimited_test.go
@@ -21,9 +21,9 @@
 	atLimit, belowLimit atomic.Int64
 }
 
-func (c *counted) AtLimit(string, quota.Verdict, quota.Stats) { c.atLimit.Add(1) }
+func (c *counted) AtLimit(string, quota.Verdict, quota.AccountStats) { c.atLimit.Add(1) }
 
-func (c *counted) BelowLimit(string, quota.Stats, time.Duration) { c.belowLimit.Add(1) }
+func (c *counted) BelowLimit(string, quota.AccountStats, time.Duration) { c.belowLimit.Add(1) }
 
 // TestATenantThatLosesItsLimitIsNoLongerAtIt: what was told to begin is told to end.
 func TestATenantThatLosesItsLimitIsNoLongerAtIt(t *testing.T) {
@@ -48,7 +48,7 @@
 						}
 						return limit, true
 					},
-					HasTenants: func() bool { return true },
+					KnowsTenants: func() bool { return true },
 				})
 				limiter.SetNodes([]quota.Node{{Name: "node-0", Zone: "zone", Address: "node-0"}})
 				ctx, stop := context.WithCancel(t.Context())
--- a/pkg/quota/verdicts.go
+++ b/pkg/quota/verdicts.go
@@ -59,7 +59,7 @@
 // isUntold reports whether this node coordinates limits and has sent the others no verdicts since its
 // start: on the first ones, nodes that report to a stand-in turn back to it. The caller holds the mutex.
 func (l *Limiter) isUntold() bool {
-	return l.sent.Verdicts == 0 && len(l.addresses) > 1 && l.coordinates(l.options.Local) && l.options.HasTenants()
+	return l.sent.Verdicts == 0 && len(l.addresses) > 1 && l.coordinates(l.options.Local) && l.options.KnowsTenants()
 }
 
 // dueVerdicts returns the verdicts on tenants at their limits, and whether one is much lower than what
