--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -116,7 +116,7 @@
 	known     *fanout.Room
 	announcer *owner.Announcer
 	// teller tells other nodes of suspect requests; nil if the node has no address for its peers.
-	teller *quarantine.Teller
+	teller *quarantine.Gossiper
 }
 
 // New opens the node's listeners.
@@ -142,7 +142,7 @@
 	node.follower.SetFirstStart(settings.Node.FirstStart)
 	recorder := newEvents(node.logger, node.figures, node.storeAge)
 	node.quarantine = quarantine.New(quarantine.Options{
-		Ledger: options.Platform, LedgerLost: node.follower.IsStoreLost, Dialer: newServerDialer(),
+		Ledger: options.Platform, LedgerUnavailable: node.follower.IsStoreLost, Dialer: newServerDialer(),
 		Events: suspectEvents{node: node, recorder: recorder},
 	})
 	node.state.quarantine = node.quarantine
--- a/internal/edge/entries_test.go
+++ b/internal/edge/entries_test.go
@@ -60,8 +60,8 @@
 	for start := fleet.Start(1); start <= 3; start++ {
 		process := fleet.Server{ID: "i", Start: start, Service: "s", Address: "a"}
 		tested.Changed(directory.Entry{Key: "servers/i", Server: &process})
-		guard.NoteBroken(deadly, process.Incarnation(), process.Address, time.Now())
+		guard.RecordBrokenConnection(deadly, process.Incarnation(), process.Address, time.Now())
 	}
 	tested.Changed(directory.Entry{Key: "servers/i", Server: &fleet.Server{ID: "i", Start: 4, Service: "s", Address: "a"}})
-	g.Expect(guard.Standing(deadly)).To(Equal(quarantine.Suspect))
+	g.Expect(guard.State(deadly)).To(Equal(quarantine.Suspect))
 }
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -48,7 +48,7 @@
 	// limits is told which nodes there are; nil if limits of tenants are not held.
 	limits *limits
 	// teller tells the nodes of suspect requests; nil if the node has no peers.
-	teller *quarantine.Teller
+	teller *quarantine.Gossiper
 	// member is told of the nodes' entries, and of restores of the store.
 	member *registration
 
@@ -130,7 +130,7 @@
 	case entry.EvacuatedZone != "":
 		s.applyEvacuation(entry)
 	case entry.Note != nil:
-		s.quarantine.Learn(*entry.Note, entry.Gone, time.Now())
+		s.quarantine.ApplyNote(*entry.Note, entry.Gone, time.Now())
 	case entry.Node != nil:
 		if s.member != nil {
 			s.member.found(entry)
@@ -155,7 +155,7 @@
 		s.tellRefused(entry, change.Kind == fleet.Mistaken)
 		return
 	case fleet.Restarted:
-		s.quarantine.NoteReplaced(change.Replaced, now)
+		s.quarantine.RecordReplacement(change.Replaced, now)
 	}
 	if !s.restored.Load() {
 		return
--- a/internal/edge/suspects.go
+++ b/internal/edge/suspects.go
@@ -16,8 +16,8 @@
 	recorder *events
 }
 
-// Standing implements quarantine.Events.
-func (e suspectEvents) Standing(fingerprint exchange.Fingerprint, standing quarantine.Standing, servers []fleet.Incarnation) {
+// StateChanged implements quarantine.Events.
+func (e suspectEvents) StateChanged(fingerprint exchange.Fingerprint, standing quarantine.State, servers []fleet.Incarnation) {
 	e.node.figures.standings.WithLabelValues(standing.String()).Inc()
 	if !e.recorder.mayWrite() {
 		return
@@ -44,7 +44,7 @@
 
 // openTeller lets nodes tell each other of suspect requests directly.
 func (n *Node) openTeller() {
-	n.teller = quarantine.NewTeller(n.quarantine, n.transport)
+	n.teller = quarantine.NewGossiper(n.quarantine, n.transport)
 	n.state.teller = n.teller
 	n.figures.counter("suspect_notes_told_total", "Notes on requests under which servers ended that were told to other nodes.", func() uint64 {
 		told, _ := n.teller.Counts()
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -19,15 +19,15 @@
 // isQuarantined reports whether the request is known to end the servers that run it.
 func (c *conversation) isQuarantined() bool {
 	guard := c.handler.quarantine
-	return guard != nil && !guard.IsIdle() && guard.Standing(c.fingerprint()) == quarantine.Quarantined
+	return guard != nil && !guard.IsIdle() && guard.State(c.fingerprint()) == quarantine.Quarantined
 }
 
 // quarantineWait returns after which time a request that is kept from servers may be retried: soon while
 // it may still be cleared, else when it may be tried again.
 func (c *conversation) quarantineWait() time.Duration {
 	guard, fingerprint := c.handler.quarantine, c.fingerprint()
-	if guard.Standing(fingerprint) != quarantine.Quarantined {
+	if guard.State(fingerprint) != quarantine.Quarantined {
 		return trialWait
 	}
-	return max(trialWait, guard.Until(fingerprint, time.Now()))
+	return max(trialWait, guard.RetryAfter(fingerprint, time.Now()))
 }
--- a/pkg/fanout/kept_back.go
+++ b/pkg/fanout/kept_back.go
@@ -19,12 +19,12 @@
 }
 
 // standing returns what is known of the request; one that a server has answered is clear.
-func (r *run) standing() quarantine.Standing {
+func (r *run) standing() quarantine.State {
 	guard := r.runner.Quarantine
 	if guard == nil || guard.IsIdle() || r.got > 0 {
 		return quarantine.Clear
 	}
-	return guard.Standing(r.fingerprint())
+	return guard.State(r.fingerprint())
 }
 
 // isKeptBack reports whether the request may be sent to no further server for now, since
@@ -79,7 +79,7 @@
 
 // hasTrialPart reports whether a trial may be made with an open part.
 func (r *run) hasTrialPart() bool {
-	ended, now := r.runner.Quarantine.Servers(r.fingerprint()), time.Now()
+	ended, now := r.runner.Quarantine.CrashedServers(r.fingerprint()), time.Now()
 	for index := range r.parts {
 		if each := &r.parts[index]; each.answer == nil && !each.closed && r.outlivesTrial(each, ended, now) {
 			return true
@@ -107,7 +107,7 @@
 // isTrialElsewhere reports whether there is leave for a trial that is not to be made with a part.
 func (r *run) isTrialElsewhere(part *part, now time.Time) bool {
 	return r.trial != nil && r.standing() != quarantine.Clear &&
-		!r.outlivesTrial(part, r.runner.Quarantine.Servers(r.fingerprint()), now)
+		!r.outlivesTrial(part, r.runner.Quarantine.CrashedServers(r.fingerprint()), now)
 }
 
 // claimTimeout bounds the claim of a trial: two round trips between regions, and a store that
@@ -128,7 +128,7 @@
 		select {
 		case r.claims <- claimed:
 		case <-r.ended:
-			claimed.GiveBack()
+			claimed.Release()
 		}
 	}()
 }
@@ -189,11 +189,11 @@
 	server := broken.lease.Server
 	if part := &r.parts[broken.part]; r.served.Load() {
 		if r.isGathered() && !part.served.Load() {
-			guard.NoteBrokenAt(r.request.Fingerprint(r.runner.Dialect), part.service, server.Incarnation(), server.Address, now)
+			guard.RecordBrokenConnectionAtService(r.request.Fingerprint(r.runner.Dialect), part.service, server.Incarnation(), server.Address, now)
 		}
 		return
 	}
-	guard.NoteBroken(r.request.Fingerprint(r.runner.Dialect), server.Incarnation(), server.Address, now)
+	guard.RecordBrokenConnection(r.request.Fingerprint(r.runner.Dialect), server.Incarnation(), server.Address, now)
 }
 
 // noteServed tells the guard that a server has answered the request, once. What the part that
@@ -203,7 +203,7 @@
 		return
 	}
 	if guard := r.runner.Quarantine; guard != nil {
-		guard.NoteServed(r.fingerprint(), time.Now())
+		guard.RecordAnswer(r.fingerprint(), time.Now())
 	}
 	r.noteBrokenParts(time.Now())
 }
@@ -211,7 +211,7 @@
 // learnEnded takes the servers that an owner has seen end under the request.
 func (r *run) learnEnded(servers []fleet.Incarnation, now time.Time) {
 	if guard := r.runner.Quarantine; guard != nil && r.got == 0 {
-		guard.LearnEnded(r.fingerprint(), servers, now)
+		guard.RecordCrashes(r.fingerprint(), servers, now)
 	}
 }
 
@@ -220,5 +220,5 @@
 	if r.standing() == quarantine.Clear {
 		return nil
 	}
-	return r.runner.Quarantine.Servers(r.fingerprint())
+	return r.runner.Quarantine.CrashedServers(r.fingerprint())
 }
--- a/pkg/fanout/kept_back_test.go
+++ b/pkg/fanout/kept_back_test.go
@@ -20,11 +20,11 @@
 // silentLedger keeps nothing and grants every trial.
 type silentLedger struct{}
 
-func (silentLedger) AddNotes(context.Context, []quarantine.Note) error                       { return nil }
-func (silentLedger) ClaimNote(context.Context, quarantine.Note) (bool, error)                { return true, nil }
-func (silentLedger) RemoveNotes(context.Context, []quarantine.Note) error                    { return nil }
-func (silentLedger) Standing(exchange.Fingerprint, quarantine.Standing, []fleet.Incarnation) {}
-func (silentLedger) LedgerFailed(string, error)                                              {}
+func (silentLedger) AddNotes(context.Context, []quarantine.Note) error                        { return nil }
+func (silentLedger) ClaimNote(context.Context, quarantine.Note) (bool, error)                 { return true, nil }
+func (silentLedger) RemoveNotes(context.Context, []quarantine.Note) error                     { return nil }
+func (silentLedger) StateChanged(exchange.Fingerprint, quarantine.State, []fleet.Incarnation) {}
+func (silentLedger) LedgerFailed(string, error)                                               {}
 
 const deadlyTarget = "/deadly"
 
@@ -32,7 +32,7 @@
 func newDeadlyWorld(services []string, copies []string) *world {
 	w := newWorld()
 	guard := quarantine.New(quarantine.Options{
-		Ledger: silentLedger{}, LedgerLost: func() bool { return false }, Dialer: w.network, Events: silentLedger{},
+		Ledger: silentLedger{}, LedgerUnavailable: func() bool { return false }, Dialer: w.network, Events: silentLedger{},
 	})
 	w.runner.Quarantine = guard
 	for _, service := range services {
@@ -88,12 +88,12 @@
 // suspect lets a request for a target be suspect.
 func (w *world) suspect(target string) {
 	request := exchange.Request{Method: "GET", Target: target}
-	w.runner.Quarantine.LearnEnded(request.Fingerprint(&exchangetest.Dialect), []fleet.Incarnation{{ID: "x"}, {ID: "y"}, {ID: "z"}}, time.Now())
+	w.runner.Quarantine.RecordCrashes(request.Fingerprint(&exchangetest.Dialect), []fleet.Incarnation{{ID: "x"}, {ID: "y"}, {ID: "z"}}, time.Now())
 }
 
-func (w *world) standing(target string) quarantine.Standing {
+func (w *world) standing(target string) quarantine.State {
 	request := exchange.Request{Method: "GET", Target: target}
-	return w.runner.Quarantine.Standing(request.Fingerprint(&exchangetest.Dialect))
+	return w.runner.Quarantine.State(request.Fingerprint(&exchangetest.Dialect))
 }
 
 func (w *world) close() {
--- a/pkg/fanout/kept_shard.go
+++ b/pkg/fanout/kept_shard.go
@@ -19,12 +19,12 @@
 
 // standingAt returns what is known of the request at the service of a part: the answers of others
 // say nothing of that.
-func (r *run) standingAt(part *part) quarantine.Standing {
+func (r *run) standingAt(part *part) quarantine.State {
 	guard := r.runner.Quarantine
 	if guard == nil || guard.IsIdle() || !r.isGathered() {
 		return quarantine.Clear
 	}
-	return guard.StandingAt(r.fingerprint(), part.service)
+	return guard.StateAtService(r.fingerprint(), part.service)
 }
 
 // isKeptFromShard reports whether a part may be sent to no further server for now, and lets
@@ -39,7 +39,7 @@
 
 // outlivesTrialAt is outlivesTrial for what has ended at the service of a part.
 func (r *run) outlivesTrialAt(part *part, now time.Time) bool {
-	return r.outlivesTrial(part, r.runner.Quarantine.Servers(r.fingerprint().At(part.service)), now)
+	return r.outlivesTrial(part, r.runner.Quarantine.CrashedServers(r.fingerprint().At(part.service)), now)
 }
 
 // settleKept asks for trials with the parts that are kept back and asked nowhere, and closes those
@@ -93,7 +93,7 @@
 		select {
 		case r.shardClaims <- shardTrial{index: index, trial: claimed}:
 		case <-r.ended:
-			claimed.GiveBack()
+			claimed.Release()
 		}
 	}()
 }
@@ -166,7 +166,7 @@
 func (r *run) noteBrokenAt(part *part, broken *attempt, now time.Time) {
 	if guard := r.runner.Quarantine; guard != nil && r.isGathered() {
 		server := broken.lease.Server
-		guard.NoteBrokenAt(r.fingerprint(), part.service, server.Incarnation(), server.Address, now)
+		guard.RecordBrokenConnectionAtService(r.fingerprint(), part.service, server.Incarnation(), server.Address, now)
 	}
 }
 
@@ -177,13 +177,13 @@
 		return
 	}
 	if guard := r.runner.Quarantine; guard != nil && r.isGathered() {
-		guard.NoteServedAt(r.fingerprint(), part.service, len(part.broken) > 0, now)
+		guard.RecordAnswerOfService(r.fingerprint(), part.service, len(part.broken) > 0, now)
 	}
 }
 
 // noteWhole takes that all services have answered a request of this node.
 func (r *run) noteWhole(now time.Time) {
 	if guard := r.runner.Quarantine; guard != nil && r.got == len(r.parts) && len(r.parts) > 1 && r.plan.Collect == nil {
-		guard.NoteWhole(r.fingerprint(), now)
+		guard.RecordCompleteAnswer(r.fingerprint(), now)
 	}
 }
--- a/pkg/fanout/kept_shard_test.go
+++ b/pkg/fanout/kept_shard_test.go
@@ -53,7 +53,7 @@
 
 // mostEndsOfAShard are the three servers after which a request is suspect, two that run it at that
 // moment, and two trials.
-const mostEndsOfAShard = quarantine.SuspectAfter + 2 + quarantine.PromptTrials
+const mostEndsOfAShard = quarantine.SuspectAfter + 2 + quarantine.ImmediateTrials
 
 // TestARequestThatEndsTheServersOfOneShardIsKeptFromThatShard, though the others answer it: they go
 // on, and the answer is a partial one.
@@ -196,14 +196,14 @@
 		}
 		request := exchange.Request{Method: "GET", Target: "/suspect"}
 		here := request.Fingerprint(&exchangetest.Dialect).At("a")
-		w.runner.Quarantine.LearnEnded(here, []fleet.Incarnation{{ID: "x"}, {ID: "y"}, {ID: "z"}}, time.Now())
+		w.runner.Quarantine.RecordCrashes(here, []fleet.Incarnation{{ID: "x"}, {ID: "y"}, {ID: "z"}}, time.Now())
 		ended := plan(fourShards...)
 		ended.Target = time.Now().Add(50 * time.Millisecond)
 		result := w.send(ended, "/suspect")
 		g.Expect(result.Reason).To(Equal(fanout.StopTarget))
 		time.Sleep(200 * time.Millisecond)
 		g.Expect(w.arrivals("a1", "a2", "a3")).To(Equal(1), "the trial")
-		for range quarantine.PromptTrials {
+		for range quarantine.ImmediateTrials {
 			g.Expect(w.runner.Quarantine.ClaimTrial(t.Context(), here)).NotTo(BeNil())
 		}
 	})
--- a/pkg/fanout/launch.go
+++ b/pkg/fanout/launch.go
@@ -269,7 +269,7 @@
 // giveBackTrial gives leave back that an attempt has not used when it ended after its run.
 func (r *run) giveBackTrial(result finished) {
 	if result.err != nil && outcome.Of(result.err) == outcome.NotRun || result.err == nil && r.refused(result.answer) {
-		result.attempt.trial.GiveBack()
+		result.attempt.trial.Release()
 	}
 }
 
@@ -306,14 +306,14 @@
 		end = end.Add(r.runner.Linger)
 	}
 	r.dropResults()
-	r.trial.GiveBack()
+	r.trial.Release()
 	r.inbox.close()
 	for _, asked := range r.questions {
 		asked.cancel()
 	}
 	for index := range r.parts {
 		r.withdraw(&r.parts[index])
-		r.parts[index].trial.GiveBack()
+		r.parts[index].trial.Release()
 		for _, each := range r.parts[index].live {
 			each.Expire(end)
 		}
--- a/pkg/owner/cluster_test.go
+++ b/pkg/owner/cluster_test.go
@@ -222,7 +222,7 @@
 		Sound: func(answer *exchange.Response) bool { return answer.Status == http.StatusOK && answer.Evidence != "" },
 	}
 	runner.Quarantine = quarantine.New(quarantine.Options{
-		Ledger: c.claims, LedgerLost: func() bool { return false }, Dialer: c.servers, Events: c.claims,
+		Ledger: c.claims, LedgerUnavailable: func() bool { return false }, Dialer: c.servers, Events: c.claims,
 	})
 	collector := runner
 	runner.Owners = created.client
--- a/pkg/owner/deadly_test.go
+++ b/pkg/owner/deadly_test.go
@@ -33,10 +33,10 @@
 	return isFree, nil
 }
 
-func (*claims) AddNotes(context.Context, []quarantine.Note) error                       { return nil }
-func (*claims) RemoveNotes(context.Context, []quarantine.Note) error                    { return nil }
-func (*claims) Standing(exchange.Fingerprint, quarantine.Standing, []fleet.Incarnation) {}
-func (*claims) LedgerFailed(string, error)                                              {}
+func (*claims) AddNotes(context.Context, []quarantine.Note) error                        { return nil }
+func (*claims) RemoveNotes(context.Context, []quarantine.Note) error                     { return nil }
+func (*claims) StateChanged(exchange.Fingerprint, quarantine.State, []fleet.Incarnation) {}
+func (*claims) LedgerFailed(string, error)                                               {}
 
 // endAll lets every server end with the first request that it runs.
 func (c *cluster) endAll() {
@@ -90,20 +90,20 @@
 		for _, name := range append(owners, asker.Name) {
 			knowing := c.node(name).runner
 			here := request.Fingerprint(knowing.Dialect).At(c.services[0])
-			knowing.Quarantine.LearnEnded(here, []fleet.Incarnation{{ID: "x"}, {ID: "y"}, {ID: "z"}}, time.Now())
+			knowing.Quarantine.RecordCrashes(here, []fleet.Incarnation{{ID: "x"}, {ID: "y"}, {ID: "z"}}, time.Now())
 		}
 		for range 4 {
 			result, _ := c.ask(c.t.Context(), asker)
 			g.Expect(result.Got).To(Equal(shardCount - 1))
 			g.Expect(result.Parts[0]).To(BeNil())
 		}
-		g.Expect(arrived()).To(Equal(quarantine.PromptTrials), "two trials of the asking node")
+		g.Expect(arrived()).To(Equal(quarantine.ImmediateTrials), "two trials of the asking node")
 		// A node that knows nothing of it asks the owners, which send it nowhere.
 		for _, each := range c.nodes {
 			if runner := each.runner; runner.Quarantine.IsIdle() {
 				result, _ := c.ask(c.t.Context(), each)
 				g.Expect(result.Got).To(BeNumerically(">=", shardCount-1))
-				g.Expect(arrived()-quarantine.PromptTrials).To(BeNumerically("<=", maxAttempts), "what it asks itself")
+				g.Expect(arrived()-quarantine.ImmediateTrials).To(BeNumerically("<=", maxAttempts), "what it asks itself")
 				return
 			}
 		}
--- a/pkg/quarantine/bench_test.go
+++ b/pkg/quarantine/bench_test.go
@@ -19,6 +19,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		guard.NoteServed(request.Fingerprint(&exchangetest.Dialect), time.Now())
+		guard.RecordAnswer(request.Fingerprint(&exchangetest.Dialect), time.Now())
 	}
 }
--- a/pkg/quarantine/news.go
+++ b/pkg/quarantine/news.go
@@ -9,27 +9,27 @@
 
 // News is what nodes tell each other directly of a request, beside what they note in the store:
 // notes reach the others through it a second later, and not at all while it is away.
-type News struct {
+type Update struct {
 	// Note says that a server ended or a trial was made; with neither, that a server has
 	// answered the request.
 	Note Note
-	// IsGone says that a trial reached no server, so that it may be made again.
-	IsGone bool
+	// IsReleased says that a trial reached no server, so that it may be made again.
+	IsReleased bool
 	// At is when it was found out.
-	At time.Time
+	DetectedAt time.Time
 }
 
 // isAnswer reports whether the news is that a server has answered the request.
-func (n News) isAnswer() bool { return n.Note.Trial == 0 && n.Note.Server.ID == "" }
+func (n Update) isAnswer() bool { return n.Note.Trial == 0 && n.Note.Server.ID == "" }
 
 // maxNewsAge is how old news may be that is still taken: nodes tell it within a second, and what
 // stood still in a suspended process meanwhile is known from the store.
 const maxNewsAge = 10 * time.Second
 
-// TellNews sets the function that takes what this node finds out and reports whether it had room
+// OnUpdate sets the function that takes what this node finds out and reports whether it had room
 // for it; a server that ended is told again otherwise. The function must neither block nor call
-// the Guard, whose mutex is held. TellNews is called before the Guard is used.
-func (g *Guard) TellNews(tell func(News) bool) { g.tell = tell }
+// the Guard, whose mutex is held. OnUpdate is called before the Guard is used.
+func (g *Guard) OnUpdate(tell func(Update) bool) { g.tell = tell }
 
 // Times after which a node writes to the store what it has heard, if the store does not hold it by
 // then: the node that told it has ended, or leaves the writing to another one from which it heard it.
@@ -42,8 +42,8 @@
 
 // Hear takes what another node has found out, and reports whether it was new here. What was
 // heard is left to the node that told it to write to the store, for heardDelay and more.
-func (g *Guard) Hear(news News, now time.Time) bool {
-	if now.Sub(news.At) > maxNewsAge {
+func (g *Guard) ApplyUpdate(news Update, now time.Time) bool {
+	if now.Sub(news.DetectedAt) > maxNewsAge {
 		return false
 	}
 	fingerprint := news.Note.Fingerprint
@@ -58,7 +58,7 @@
 		return true
 	}
 	before := g.standing(fingerprint, now)
-	if news.IsGone && g.records[fingerprint] == nil {
+	if news.IsReleased && g.records[fingerprint] == nil {
 		return false
 	}
 	known := g.record(fingerprint, now)
@@ -82,7 +82,7 @@
 // endAwait writes what was heard and is not in the store. While that is out of reach, other nodes
 // cannot write either, and are given the same time again.
 func (g *Guard) endAwait(fingerprint exchange.Fingerprint, known *record) {
-	isLost := g.options.LedgerLost()
+	isLost := g.options.LedgerUnavailable()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.records[fingerprint] != known {
@@ -129,7 +129,7 @@
 		if each.isTold {
 			continue
 		}
-		each.isTold = g.tell(News{Note: Note{Fingerprint: fingerprint, Server: name}, At: each.at})
+		each.isTold = g.tell(Update{Note: Note{Fingerprint: fingerprint, Server: name}, DetectedAt: each.at})
 		if !each.isTold {
 			// Run tells it again, once some of what waits has gone.
 			g.signal()
@@ -150,17 +150,17 @@
 
 // tellOther tells of a trial or an answer. What finds no room the others learn from the store. The
 // mutex is held.
-func (g *Guard) tellOther(news News) {
+func (g *Guard) tellOther(news Update) {
 	if g.tell != nil {
 		g.tell(news)
 	}
 }
 
 // hear takes news from another node and reports whether it was new.
-func (r *record) hear(news News, now time.Time) bool {
+func (r *record) hear(news Update, now time.Time) bool {
 	note := news.Note
 	switch {
-	case note.Trial > 0 && news.IsGone:
+	case note.Trial > 0 && news.IsReleased:
 		wasMade := r.trials[note.Trial]
 		delete(r.trials, note.Trial)
 		return wasMade
--- a/pkg/quarantine/probe.go
+++ b/pkg/quarantine/probe.go
@@ -79,6 +79,8 @@
 	}
 }
 
-// NoteReplaced notes that an incarnation has ended, since another process of its server has taken
+// RecordReplacement notes that an incarnation has ended, since another process of its server has taken
 // its place. A connection would not show that: the later process accepts it.
-func (g *Guard) NoteReplaced(server fleet.Incarnation, now time.Time) { g.settle(server, true, now) }
+func (g *Guard) RecordReplacement(server fleet.Incarnation, now time.Time) {
+	g.settle(server, true, now)
+}
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -9,7 +9,7 @@
 //
 // Nodes keep notes in the store: one for each server that ended and one for each trial, so that
 // notes of different nodes add up without a conflict. They also tell each other directly, since
-// a request that comes again meanwhile ends as many servers once more; see Teller.
+// a request that comes again meanwhile ends as many servers once more; see Gossiper.
 package quarantine
 
 import (
@@ -27,9 +27,9 @@
 	// under an ordinary request that meets two crashes in a row; the third makes it worth
 	// the time of a trial.
 	SuspectAfter = 3
-	// PromptTrials is how many trials all nodes together make at once: one that fails may
+	// ImmediateTrials is how many trials all nodes together make at once: one that fails may
 	// have met the crash of another request's server, two in a row hardly do.
-	PromptTrials = 2
+	ImmediateTrials = 2
 	// laterTrial is when a further trial is made after those, and each later one twice as
 	// long after the one before: an ordinary request that lost its trials too is cleared,
 	// and a deadly one ends three servers more in ten minutes.
@@ -44,13 +44,13 @@
 	noteDelay = 300 * time.Millisecond
 )
 
-// Standing is what is known of a request.
-type Standing int
+// State is what is known of a request.
+type State int
 
 // The standings.
 const (
 	// Clear requests are sent as any other.
-	Clear Standing = iota
+	Clear State = iota
 	// Doubtful means that connections to enough servers broke, and that it is being found
 	// out whether the servers ended.
 	Doubtful
@@ -61,14 +61,14 @@
 )
 
 // String returns the name used in logs.
-func (s Standing) String() string {
+func (s State) String() string {
 	return [...]string{"clear", "doubtful", "suspect", "quarantined"}[s]
 }
 
 // Events takes what a Guard finds out. It does not block.
 type Events interface {
-	// Standing tells of a new standing of a request, and of the servers that ended under it.
-	Standing(fingerprint exchange.Fingerprint, standing Standing, servers []fleet.Incarnation)
+	// StateChanged tells of a new standing of a request, and of the servers that ended under it.
+	StateChanged(fingerprint exchange.Fingerprint, standing State, servers []fleet.Incarnation)
 	// LedgerFailed tells that a call to the ledger failed; notes are written later, a trial
 	// is not made.
 	LedgerFailed(call string, err error)
@@ -77,11 +77,11 @@
 // Options are the parts of a Guard.
 type Options struct {
 	Ledger Ledger
-	// LedgerLost reports whether the ledger has been out of reach for a while. Each node
+	// LedgerUnavailable reports whether the ledger has been out of reach for a while. Each node
 	// then makes trials on its own.
-	LedgerLost func() bool
-	Dialer     exchange.Dialer
-	Events     Events
+	LedgerUnavailable func() bool
+	Dialer            exchange.Dialer
+	Events            Events
 }
 
 // Guard is what one node knows of deadly requests. It is safe for concurrent use.
@@ -98,7 +98,7 @@
 	work chan struct{}
 	// tell takes what other nodes are told directly, false if it has no room; nil if there is no way
 	// to them.
-	tell func(News) bool
+	tell func(Update) bool
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
@@ -130,8 +130,8 @@
 // IsIdle reports whether no request is remembered, so that all are clear.
 func (g *Guard) IsIdle() bool { return g.known.Load() == 0 }
 
-// Standing returns what is known of a request.
-func (g *Guard) Standing(fingerprint exchange.Fingerprint) Standing {
+// State returns what is known of a request.
+func (g *Guard) State(fingerprint exchange.Fingerprint) State {
 	if g.IsIdle() {
 		return Clear
 	}
@@ -141,7 +141,7 @@
 }
 
 // Until returns the time until a quarantined request may be tried again.
-func (g *Guard) Until(fingerprint exchange.Fingerprint, now time.Time) time.Duration {
+func (g *Guard) RetryAfter(fingerprint exchange.Fingerprint, now time.Time) time.Duration {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if known := g.records[fingerprint]; known != nil {
@@ -151,7 +151,7 @@
 }
 
 // Servers returns the servers that ended under a request, as far as it is known.
-func (g *Guard) Servers(fingerprint exchange.Fingerprint) []fleet.Incarnation {
+func (g *Guard) CrashedServers(fingerprint exchange.Fingerprint) []fleet.Incarnation {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if known := g.records[fingerprint]; known != nil {
@@ -160,11 +160,11 @@
 	return nil
 }
 
-// NoteBroken takes that a server ended its connection while it had a request that no server
+// RecordBrokenConnection takes that a server ended its connection while it had a request that no server
 // has answered. Whether the server itself ended is found out by a connection to it: at once
 // if the request would be suspect, else after noteDelay, when most have been answered. A
 // request that was answered lately is not what ends servers.
-func (g *Guard) NoteBroken(fingerprint exchange.Fingerprint, server fleet.Incarnation, address string, now time.Time) {
+func (g *Guard) RecordBrokenConnection(fingerprint exchange.Fingerprint, server fleet.Incarnation, address string, now time.Time) {
 	isServed := g.lock(fingerprint, now)
 	defer g.unlock()
 	if isServed {
@@ -181,8 +181,8 @@
 	g.signal()
 }
 
-// LearnEnded takes the servers that another node has seen end under a request.
-func (g *Guard) LearnEnded(fingerprint exchange.Fingerprint, servers []fleet.Incarnation, now time.Time) {
+// RecordCrashes takes the servers that another node has seen end under a request.
+func (g *Guard) RecordCrashes(fingerprint exchange.Fingerprint, servers []fleet.Incarnation, now time.Time) {
 	if len(servers) == 0 {
 		return
 	}
@@ -199,8 +199,8 @@
 	g.changed(fingerprint, before, now)
 }
 
-// NoteServed takes that a server has answered a request: it is not what ends servers.
-func (g *Guard) NoteServed(fingerprint exchange.Fingerprint, now time.Time) {
+// RecordAnswer takes that a server has answered a request: it is not what ends servers.
+func (g *Guard) RecordAnswer(fingerprint exchange.Fingerprint, now time.Time) {
 	g.served.add(fingerprint, now)
 	if g.IsIdle() {
 		return
@@ -208,7 +208,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if known := g.records[fingerprint]; known != nil && known.count((*end).isKnownToOthers) > 0 {
-		g.tellOther(News{Note: Note{Fingerprint: fingerprint}, At: now})
+		g.tellOther(Update{Note: Note{Fingerprint: fingerprint}, DetectedAt: now})
 	}
 	g.clear(fingerprint, now)
 }
@@ -223,14 +223,14 @@
 	g.removals = append(g.removals, known.written(fingerprint)...)
 	g.drop(fingerprint)
 	if before == Suspect || before == Quarantined {
-		g.options.Events.Standing(fingerprint, Clear, known.servers())
+		g.options.Events.StateChanged(fingerprint, Clear, known.servers())
 	}
 	g.signal()
 }
 
 // Learn takes a note of the store, or that it is gone. One on a request that was answered
 // here lately is removed: the node that wrote it had not seen that.
-func (g *Guard) Learn(note Note, isGone bool, now time.Time) {
+func (g *Guard) ApplyNote(note Note, isGone bool, now time.Time) {
 	isServed := g.lock(note.Fingerprint, now)
 	defer g.unlock()
 	if isServed && !isGone {
@@ -255,7 +255,7 @@
 }
 
 // lock takes the mutex to record something of a request, and reports whether it was answered
-// lately. The guard is not idle from before that look on, so that NoteServed, which looks at both the
+// lately. The guard is not idle from before that look on, so that RecordAnswer, which looks at both the
 // other way round, waits and clears what is recorded.
 func (g *Guard) lock(fingerprint exchange.Fingerprint, now time.Time) (isServed bool) {
 	g.mutex.Lock()
@@ -307,8 +307,8 @@
 	g.known.Add(-1)
 }
 
-// standing is Standing. The mutex is held.
-func (g *Guard) standing(fingerprint exchange.Fingerprint, now time.Time) Standing {
+// standing is State. The mutex is held.
+func (g *Guard) standing(fingerprint exchange.Fingerprint, now time.Time) State {
 	if known := g.records[fingerprint]; known != nil {
 		return known.standing(now)
 	}
@@ -316,14 +316,14 @@
 }
 
 // changed tells of a request's new standing, and of work for Run. The mutex is held.
-func (g *Guard) changed(fingerprint exchange.Fingerprint, before Standing, now time.Time) {
+func (g *Guard) changed(fingerprint exchange.Fingerprint, before State, now time.Time) {
 	known := g.records[fingerprint]
 	if known.isEmpty() {
 		g.drop(fingerprint)
 	}
 	after := known.standing(now)
 	if after != before && max(after, before) > Doubtful {
-		g.options.Events.Standing(fingerprint, after, known.servers())
+		g.options.Events.StateChanged(fingerprint, after, known.servers())
 	}
 	if after > Doubtful {
 		g.tellEnded(fingerprint, known)
--- a/pkg/quarantine/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -19,13 +19,13 @@
 func TestARequestIsSuspectAfterThreeServers(t *testing.T) {
 	in(t, 3, func(g *WithT, w *world) {
 		for index, guard := range w.guards {
-			g.Expect(guard.Standing(deadly)).To(Equal(quarantine.Clear))
+			g.Expect(guard.State(deadly)).To(Equal(quarantine.Clear))
 			w.end(guard, deadly, fmt.Sprint("server", index))
 		}
 		time.Sleep(news)
 		for _, guard := range w.guards {
-			g.Expect(guard.Standing(deadly)).To(Equal(quarantine.Suspect))
-			g.Expect(guard.Standing(other)).To(Equal(quarantine.Clear))
+			g.Expect(guard.State(deadly)).To(Equal(quarantine.Suspect))
+			g.Expect(guard.State(other)).To(Equal(quarantine.Clear))
 		}
 	})
 }
@@ -37,11 +37,11 @@
 		w.network.ConnectTime = 10 * time.Millisecond
 		for _, server := range []string{"a", "b", "c"} {
 			w.network.Add(server, func(exchangetest.Request) exchangetest.Answer { return exchangetest.Whole("") })
-			w.guards[0].NoteBroken(deadly, fleet.Incarnation{ID: server}, server, time.Now())
+			w.guards[0].RecordBrokenConnection(deadly, fleet.Incarnation{ID: server}, server, time.Now())
 		}
-		g.Expect(w.guards[0].Standing(deadly)).To(Equal(quarantine.Doubtful))
+		g.Expect(w.guards[0].State(deadly)).To(Equal(quarantine.Doubtful))
 		time.Sleep(news)
-		g.Expect(w.guards[0].Standing(deadly)).To(Equal(quarantine.Clear))
+		g.Expect(w.guards[0].State(deadly)).To(Equal(quarantine.Clear))
 		g.Expect(w.guards[0].IsIdle()).To(BeTrue())
 		g.Expect(w.network.Dials()).To(Equal(6), "two for each server")
 		g.Expect(w.ledger.calls).To(BeZero())
@@ -59,7 +59,7 @@
 			request := exchange.Fingerprint{byte(number)}
 			w.end(w.guards[0], request, "a", "b")
 			time.Sleep(20 * time.Millisecond)
-			w.guards[0].NoteServed(request, time.Now())
+			w.guards[0].RecordAnswer(request, time.Now())
 		}
 		time.Sleep(news)
 		t.Logf("%d connections", w.network.Dials())
@@ -73,18 +73,18 @@
 func TestARequestThatWasAnsweredLatelyIsNotSuspect(t *testing.T) {
 	in(t, 2, func(g *WithT, w *world) {
 		frequent := other
-		w.guards[0].NoteServed(frequent, time.Now())
+		w.guards[0].RecordAnswer(frequent, time.Now())
 		time.Sleep(20 * time.Second)
 		w.end(w.guards[0], frequent, "a", "b", "c")
-		g.Expect(w.guards[0].Standing(frequent)).To(Equal(quarantine.Clear))
+		g.Expect(w.guards[0].State(frequent)).To(Equal(quarantine.Clear))
 		w.end(w.guards[1], frequent, "a", "b", "c")
-		g.Expect(w.guards[1].Standing(frequent)).To(Equal(quarantine.Suspect), "a node that has just started")
+		g.Expect(w.guards[1].State(frequent)).To(Equal(quarantine.Suspect), "a node that has just started")
 		time.Sleep(2 * news)
-		g.Expect(w.guards[1].Standing(frequent)).To(Equal(quarantine.Clear), "another one knows better")
+		g.Expect(w.guards[1].State(frequent)).To(Equal(quarantine.Clear), "another one knows better")
 		g.Expect(w.ledger.held()).To(BeEmpty())
 		time.Sleep(2 * time.Minute)
 		w.end(w.guards[0], frequent, "a", "b", "c")
-		g.Expect(w.guards[0].Standing(frequent)).To(Equal(quarantine.Suspect), "it may have become deadly")
+		g.Expect(w.guards[0].State(frequent)).To(Equal(quarantine.Suspect), "it may have become deadly")
 	})
 }
 
@@ -97,7 +97,7 @@
 		began, granted := time.Now(), 0
 		for time.Since(began) < 9*time.Minute {
 			for _, guard := range w.guards {
-				if guard.Standing(deadly) == quarantine.Suspect && guard.ClaimTrial(context.Background(), deadly) != nil {
+				if guard.State(deadly) == quarantine.Suspect && guard.ClaimTrial(context.Background(), deadly) != nil {
 					granted++
 				}
 			}
@@ -114,20 +114,20 @@
 func TestAnAnswerClearsARequest(t *testing.T) {
 	in(t, 2, func(g *WithT, w *world) {
 		w.end(w.guards[0], other, "a", "b")
-		w.guards[0].NoteServed(other, time.Now())
+		w.guards[0].RecordAnswer(other, time.Now())
 		time.Sleep(news)
 		g.Expect(w.ledger.held()).To(BeEmpty(), "answered before it was told")
 
 		w.end(w.guards[0], deadly, "a", "b", "c")
 		time.Sleep(news)
-		g.Expect(w.guards[1].Standing(deadly)).To(Equal(quarantine.Suspect))
+		g.Expect(w.guards[1].State(deadly)).To(Equal(quarantine.Suspect))
 		trial := w.guards[1].ClaimTrial(context.Background(), deadly)
 		g.Expect(trial).NotTo(BeNil())
-		w.guards[1].NoteServed(deadly, time.Now())
+		w.guards[1].RecordAnswer(deadly, time.Now())
 		time.Sleep(news)
 		g.Expect(w.ledger.held()).To(BeEmpty())
 		for _, guard := range w.guards {
-			g.Expect(guard.Standing(deadly)).To(Equal(quarantine.Clear))
+			g.Expect(guard.State(deadly)).To(Equal(quarantine.Clear))
 			g.Expect(guard.IsIdle()).To(BeTrue())
 		}
 	})
@@ -155,8 +155,8 @@
 		claims.Wait()
 		g.Expect(granted).To(Equal(2))
 		for _, guard := range w.guards {
-			g.Expect(guard.Standing(deadly)).To(Equal(quarantine.Quarantined))
-			g.Expect(guard.Until(deadly, time.Now())).To(BeNumerically("~", time.Minute, 2*time.Second))
+			g.Expect(guard.State(deadly)).To(Equal(quarantine.Quarantined))
+			g.Expect(guard.RetryAfter(deadly, time.Now())).To(BeNumerically("~", time.Minute, 2*time.Second))
 		}
 	})
 }
@@ -168,7 +168,7 @@
 		for range 5 {
 			trial := w.guards[0].ClaimTrial(context.Background(), deadly)
 			g.Expect(trial).NotTo(BeNil())
-			trial.GiveBack()
+			trial.Release()
 			time.Sleep(news)
 		}
 	})
@@ -187,7 +187,7 @@
 		w.ledger.setBroken(false)
 		w.lost.Store(false)
 		time.Sleep(1500 * time.Millisecond)
-		g.Expect(w.guards[1].Standing(deadly)).To(Equal(quarantine.Suspect))
+		g.Expect(w.guards[1].State(deadly)).To(Equal(quarantine.Suspect))
 	})
 }
 
@@ -198,7 +198,7 @@
 		time.Sleep(9 * time.Minute)
 		for _, guard := range w.guards {
 			guard.Sweep(time.Now())
-			g.Expect(guard.Standing(deadly)).To(Equal(quarantine.Suspect))
+			g.Expect(guard.State(deadly)).To(Equal(quarantine.Suspect))
 		}
 		time.Sleep(3 * time.Minute)
 		for _, guard := range w.guards {
@@ -216,9 +216,9 @@
 	in(t, 1, func(g *WithT, w *world) {
 		w.end(w.guards[0], deadly, "a", "b", "c")
 		for number := range 5000 {
-			w.guards[0].NoteBroken(exchange.Fingerprint{3, byte(number), byte(number >> 8)}, fleet.Incarnation{ID: "d"}, "d", time.Now())
+			w.guards[0].RecordBrokenConnection(exchange.Fingerprint{3, byte(number), byte(number >> 8)}, fleet.Incarnation{ID: "d"}, "d", time.Now())
 		}
-		g.Expect(w.guards[0].Standing(deadly)).To(Equal(quarantine.Suspect))
+		g.Expect(w.guards[0].State(deadly)).To(Equal(quarantine.Suspect))
 	})
 }
 
@@ -252,12 +252,12 @@
 	in(t, 2, func(g *WithT, w *world) {
 		for start := range 3 {
 			process := fleet.Incarnation{ID: "a", Start: fleet.Start(start + 1)}
-			w.guards[start%2].NoteBroken(deadly, process, "a", time.Now())
+			w.guards[start%2].RecordBrokenConnection(deadly, process, "a", time.Now())
 		}
 		time.Sleep(news)
 		for _, guard := range w.guards {
-			g.Expect(guard.Standing(deadly)).To(Equal(quarantine.Suspect))
-			g.Expect(guard.Servers(deadly)).To(HaveLen(3))
+			g.Expect(guard.State(deadly)).To(Equal(quarantine.Suspect))
+			g.Expect(guard.CrashedServers(deadly)).To(HaveLen(3))
 		}
 	})
 }
@@ -266,16 +266,16 @@
 func TestALaterProcessIsLookedAtAnew(t *testing.T) {
 	in(t, 1, func(g *WithT, w *world) {
 		for _, server := range []string{"a", "b", "c"} {
-			w.guards[0].NoteBroken(other, fleet.Incarnation{ID: server, Start: 1}, server, time.Now())
+			w.guards[0].RecordBrokenConnection(other, fleet.Incarnation{ID: server, Start: 1}, server, time.Now())
 		}
 		time.Sleep(news)
-		g.Expect(w.guards[0].Standing(other)).To(Equal(quarantine.Suspect))
+		g.Expect(w.guards[0].State(other)).To(Equal(quarantine.Suspect))
 		for _, server := range []string{"a", "b", "c"} {
 			w.network.Add(server, func(exchangetest.Request) exchangetest.Answer { return exchangetest.Whole("") })
-			w.guards[0].NoteBroken(deadly, fleet.Incarnation{ID: server, Start: 2}, server, time.Now())
+			w.guards[0].RecordBrokenConnection(deadly, fleet.Incarnation{ID: server, Start: 2}, server, time.Now())
 		}
 		time.Sleep(news)
-		g.Expect(w.guards[0].Standing(deadly)).To(Equal(quarantine.Clear), "the later processes take connections")
+		g.Expect(w.guards[0].State(deadly)).To(Equal(quarantine.Clear), "the later processes take connections")
 	})
 }
 
@@ -286,11 +286,11 @@
 		for _, server := range []string{"a", "b", "c"} {
 			w.network.Add(server, func(exchangetest.Request) exchangetest.Answer { return exchangetest.Whole("") })
 			process := fleet.Incarnation{ID: server, Start: 1}
-			w.guards[0].NoteBroken(deadly, process, server, time.Now())
-			w.guards[0].NoteReplaced(process, time.Now())
+			w.guards[0].RecordBrokenConnection(deadly, process, server, time.Now())
+			w.guards[0].RecordReplacement(process, time.Now())
 		}
-		g.Expect(w.guards[0].Standing(deadly)).To(Equal(quarantine.Suspect))
+		g.Expect(w.guards[0].State(deadly)).To(Equal(quarantine.Suspect))
 		time.Sleep(news)
-		g.Expect(w.guards[0].Standing(deadly)).To(Equal(quarantine.Suspect), "the look that came later proves nothing")
+		g.Expect(w.guards[0].State(deadly)).To(Equal(quarantine.Suspect), "the look that came later proves nothing")
 	})
 }
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -107,7 +107,7 @@
 }
 
 // standing returns what is known of the request.
-func (r *record) standing(now time.Time) Standing {
+func (r *record) standing(now time.Time) State {
 	confirmed := r.count((*end).hasEnded)
 	switch {
 	case confirmed >= SuspectAfter && r.mayTry(now):
@@ -122,7 +122,7 @@
 
 // mayTry reports whether a trial may be made now: two at once, then one now and then.
 func (r *record) mayTry(now time.Time) bool {
-	return len(r.trials) < PromptTrials || !now.Before(r.nextTrialAt)
+	return len(r.trials) < ImmediateTrials || !now.Before(r.nextTrialAt)
 }
 
 // nextTrial returns the number of the next trial.
@@ -140,7 +140,7 @@
 		return
 	}
 	r.trials[number] = true
-	r.nextTrialAt = now.Add(laterTrial << max(0, len(r.trials)-PromptTrials))
+	r.nextTrialAt = now.Add(laterTrial << max(0, len(r.trials)-ImmediateTrials))
 }
 
 // count returns for how many servers something holds.
--- a/pkg/quarantine/served_race_test.go
+++ b/pkg/quarantine/served_race_test.go
@@ -20,20 +20,20 @@
 	servers := []fleet.Incarnation{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	ways := map[string]func(*quarantine.Guard, exchange.Fingerprint, fleet.Incarnation){
 		"owner": func(guard *quarantine.Guard, request exchange.Fingerprint, server fleet.Incarnation) {
-			guard.LearnEnded(request, []fleet.Incarnation{server}, time.Now())
+			guard.RecordCrashes(request, []fleet.Incarnation{server}, time.Now())
 		},
 		"store": func(guard *quarantine.Guard, request exchange.Fingerprint, server fleet.Incarnation) {
-			guard.Learn(quarantine.Note{Fingerprint: request, Server: server}, false, time.Now())
+			guard.ApplyNote(quarantine.Note{Fingerprint: request, Server: server}, false, time.Now())
 		},
 		"node": func(guard *quarantine.Guard, request exchange.Fingerprint, server fleet.Incarnation) {
-			guard.Hear(quarantine.News{Note: quarantine.Note{Fingerprint: request, Server: server}, At: time.Now()}, time.Now())
+			guard.ApplyUpdate(quarantine.Update{Note: quarantine.Note{Fingerprint: request, Server: server}, DetectedAt: time.Now()}, time.Now())
 		},
 	}
 	for name, note := range ways {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			guard := quarantine.New(quarantine.Options{
-				Ledger: &ledger{}, LedgerLost: func() bool { return true }, Dialer: exchangetest.NewNetwork(), Events: &recorder{},
+				Ledger: &ledger{}, LedgerUnavailable: func() bool { return true }, Dialer: exchangetest.NewNetwork(), Events: &recorder{},
 			})
 			for round := range rounds {
 				request := exchange.Fingerprint{byte(round), byte(round >> 8), 1}
@@ -43,7 +43,7 @@
 						note(guard, request, server)
 					}
 				})
-				both.Go(func() { guard.NoteServed(request, time.Now()) })
+				both.Go(func() { guard.RecordAnswer(request, time.Now()) })
 				both.Wait()
 				g.Expect(guard.IsIdle()).To(BeTrue())
 			}
--- a/pkg/quarantine/shard.go
+++ b/pkg/quarantine/shard.go
@@ -19,21 +19,21 @@
 	return request
 }
 
-// NoteWhole takes that all services of a request have answered it: it ends no servers of any.
-func (g *Guard) NoteWhole(request exchange.Fingerprint, now time.Time) {
+// RecordCompleteAnswer takes that all services of a request have answered it: it ends no servers of any.
+func (g *Guard) RecordCompleteAnswer(request exchange.Fingerprint, now time.Time) {
 	g.served.add(wholly(request), now)
 }
 
-// StandingAt returns what is known of a request at one of its services. One that all services
+// StateAtService returns what is known of a request at one of its services. One that all services
 // have answered lately is clear, which the other nodes are told.
-func (g *Guard) StandingAt(request exchange.Fingerprint, service string) Standing {
+func (g *Guard) StateAtService(request exchange.Fingerprint, service string) State {
 	if g.IsIdle() {
 		return Clear
 	}
 	here := request.At(service)
-	standing := g.Standing(here)
+	standing := g.State(here)
 	if now := time.Now(); standing != Clear && g.served.has(wholly(request), now) {
-		g.NoteServed(here, now)
+		g.RecordAnswer(here, now)
 		return Clear
 	}
 	return standing
@@ -50,10 +50,10 @@
 	at      time.Time
 }
 
-// NoteBrokenAt is NoteBroken for a server of one of a request's services, where others have answered.
+// RecordBrokenConnectionAtService is RecordBrokenConnection for a server of one of a request's services, where others have answered.
 // A first one is told nobody: most requests that shared a server end without asking that service
 // again, and looks at its servers take connections of those that are left.
-func (g *Guard) NoteBrokenAt(request exchange.Fingerprint, service string, server fleet.Incarnation, address string, now time.Time) {
+func (g *Guard) RecordBrokenConnectionAtService(request exchange.Fingerprint, service string, server fleet.Incarnation, address string, now time.Time) {
 	here := request.At(service)
 	if g.served.has(wholly(request), now) || g.served.has(here, now) {
 		return
@@ -63,9 +63,9 @@
 		return
 	}
 	if first.server != (fleet.Incarnation{}) {
-		g.NoteBroken(here, first.server, first.address, now)
+		g.RecordBrokenConnection(here, first.server, first.address, now)
 	}
-	g.NoteBroken(here, server, address, now)
+	g.RecordBrokenConnection(here, server, address, now)
 }
 
 // takeHint remembers the first broken connection at a service, and returns it when there is a
@@ -102,18 +102,18 @@
 	g.countHints()
 }
 
-// countHints lets NoteServedAt know whether there are hints. The mutex is held.
+// countHints lets RecordAnswerOfService know whether there are hints. The mutex is held.
 func (g *Guard) countHints() { g.hinted.Store(int64(len(g.hints))) }
 
-// NoteServedAt takes that a service has answered a request. It is remembered only if servers of it
+// RecordAnswerOfService takes that a service has answered a request. It is remembered only if servers of it
 // seem to have ended under the request: each request has an answer of each of its services.
-func (g *Guard) NoteServedAt(request exchange.Fingerprint, service string, hasLost bool, now time.Time) {
+func (g *Guard) RecordAnswerOfService(request exchange.Fingerprint, service string, hasLost bool, now time.Time) {
 	if !hasLost && g.IsIdle() && g.hinted.Load() == 0 {
 		return
 	}
 	here := request.At(service)
 	if g.forgetHint(here) || hasLost {
-		g.NoteServed(here, now)
+		g.RecordAnswer(here, now)
 	}
 }
 
--- a/pkg/quarantine/shard_test.go
+++ b/pkg/quarantine/shard_test.go
@@ -13,7 +13,7 @@
 // endAt lets servers of one service end under a request that others have answered.
 func (w *world) endAt(guard *quarantine.Guard, service string, servers ...string) {
 	for _, server := range servers {
-		guard.NoteBrokenAt(deadly, service, fleet.Incarnation{ID: server}, server, time.Now())
+		guard.RecordBrokenConnectionAtService(deadly, service, fleet.Incarnation{ID: server}, server, time.Now())
 	}
 }
 
@@ -23,16 +23,16 @@
 		w.endAt(w.guards[0], "a", "a1", "a2", "a3")
 		time.Sleep(news)
 		for _, guard := range w.guards {
-			guard.NoteServed(deadly, time.Now())
-			guard.NoteServedAt(deadly, "b", false, time.Now())
-			g.Expect(guard.StandingAt(deadly, "a")).To(Equal(quarantine.Suspect))
-			g.Expect(guard.StandingAt(deadly, "b")).To(Equal(quarantine.Clear))
-			g.Expect(guard.Standing(deadly)).To(Equal(quarantine.Clear))
+			guard.RecordAnswer(deadly, time.Now())
+			guard.RecordAnswerOfService(deadly, "b", false, time.Now())
+			g.Expect(guard.StateAtService(deadly, "a")).To(Equal(quarantine.Suspect))
+			g.Expect(guard.StateAtService(deadly, "b")).To(Equal(quarantine.Clear))
+			g.Expect(guard.State(deadly)).To(Equal(quarantine.Clear))
 		}
-		w.guards[1].NoteServedAt(deadly, "a", false, time.Now())
+		w.guards[1].RecordAnswerOfService(deadly, "a", false, time.Now())
 		time.Sleep(news)
 		for _, guard := range w.guards {
-			g.Expect(guard.StandingAt(deadly, "a")).To(Equal(quarantine.Clear))
+			g.Expect(guard.StateAtService(deadly, "a")).To(Equal(quarantine.Clear))
 			g.Expect(guard.IsIdle()).To(BeTrue())
 		}
 		g.Expect(w.ledger.held()).To(BeEmpty())
@@ -43,21 +43,21 @@
 // servers with each one that ends under another request.
 func TestARequestThatWasAnsweredWholeLatelyIsSuspectAtNoService(t *testing.T) {
 	in(t, 2, func(g *WithT, w *world) {
-		w.guards[0].NoteWhole(deadly, time.Now())
+		w.guards[0].RecordCompleteAnswer(deadly, time.Now())
 		time.Sleep(20 * time.Second)
 		w.endAt(w.guards[0], "a", "a1", "a2", "a3")
 		g.Expect(w.guards[0].IsIdle()).To(BeTrue())
 		w.endAt(w.guards[1], "a", "a1", "a2", "a3")
 		time.Sleep(news)
-		g.Expect(w.guards[1].StandingAt(deadly, "a")).To(Equal(quarantine.Suspect), "a node that has just started")
-		g.Expect(w.guards[0].StandingAt(deadly, "a")).To(Equal(quarantine.Clear), "this one knows better")
+		g.Expect(w.guards[1].StateAtService(deadly, "a")).To(Equal(quarantine.Suspect), "a node that has just started")
+		g.Expect(w.guards[0].StateAtService(deadly, "a")).To(Equal(quarantine.Clear), "this one knows better")
 		time.Sleep(news)
-		g.Expect(w.guards[1].StandingAt(deadly, "a")).To(Equal(quarantine.Clear))
+		g.Expect(w.guards[1].StateAtService(deadly, "a")).To(Equal(quarantine.Clear))
 		g.Expect(w.ledger.held()).To(BeEmpty())
 		time.Sleep(2 * time.Minute)
 		w.endAt(w.guards[0], "a", "a1", "a2", "a3")
 		time.Sleep(news)
-		g.Expect(w.guards[0].StandingAt(deadly, "a")).To(Equal(quarantine.Suspect), "it may have become deadly there")
+		g.Expect(w.guards[0].StateAtService(deadly, "a")).To(Equal(quarantine.Suspect), "it may have become deadly there")
 	})
 }
 
@@ -73,10 +73,10 @@
 				granted++
 			}
 		}
-		g.Expect(granted).To(Equal(quarantine.PromptTrials))
+		g.Expect(granted).To(Equal(quarantine.ImmediateTrials))
 		for _, guard := range w.guards {
-			g.Expect(guard.StandingAt(deadly, "a")).To(Equal(quarantine.Quarantined))
-			g.Expect(guard.StandingAt(deadly, "b")).To(Equal(quarantine.Clear))
+			g.Expect(guard.StateAtService(deadly, "a")).To(Equal(quarantine.Quarantined))
+			g.Expect(guard.StateAtService(deadly, "b")).To(Equal(quarantine.Clear))
 		}
 	})
 }
@@ -95,7 +95,7 @@
 		g.Expect(w.ledger.held()).To(HaveLen(2))
 		w.endAt(w.guards[1], "a", "a3")
 		time.Sleep(news)
-		g.Expect(w.guards[0].StandingAt(deadly, "a")).To(Equal(quarantine.Suspect))
+		g.Expect(w.guards[0].StateAtService(deadly, "a")).To(Equal(quarantine.Suspect))
 	})
 }
 
@@ -104,8 +104,8 @@
 func TestAnAnswerOfAServiceClearsItsFirstBrokenConnection(t *testing.T) {
 	in(t, 1, func(g *WithT, w *world) {
 		w.endAt(w.guards[0], "a", "a1")
-		w.guards[0].NoteServedAt(deadly, "b", false, time.Now())
-		w.guards[0].NoteServedAt(deadly, "a", false, time.Now())
+		w.guards[0].RecordAnswerOfService(deadly, "b", false, time.Now())
+		w.guards[0].RecordAnswerOfService(deadly, "a", false, time.Now())
 		w.endAt(w.guards[0], "a", "a2")
 		time.Sleep(2 * time.Minute)
 		w.endAt(w.guards[0], "a", "a3")
--- a/pkg/quarantine/teller.go
+++ b/pkg/quarantine/teller.go
@@ -18,8 +18,8 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// kindNews tells what a node has found out of requests under which servers ended.
-const kindNews peer.Kind = "quarantine.news"
+// kindUpdates tells what a node has found out of requests under which servers ended.
+const kindUpdates peer.Kind = "quarantine.news"
 
 // Bounds and times of telling.
 const (
@@ -45,9 +45,9 @@
 	greatestTrial = 64
 )
 
-// Teller tells other nodes what a Guard finds out, and hears what they tell. It is safe for
+// Gossiper tells other nodes what a Guard finds out, and hears what they tell. It is safe for
 // concurrent use.
-type Teller struct {
+type Gossiper struct {
 	guard     *Guard
 	transport peer.Transport
 	// wake has an element while news waits; slots bounds the messages under way.
@@ -60,19 +60,19 @@
 	// others are the addresses of the other nodes, guarded by mutex.
 	others []peer.Address
 	// found waits to be told by this node, passed is what others told it; guarded by mutex.
-	found, passed []News
+	found, passed []Update
 }
 
-// NewTeller registers the handler of what other nodes tell, and takes what the guard finds out.
-func NewTeller(guard *Guard, transport peer.Transport) *Teller {
-	created := &Teller{guard: guard, transport: transport, wake: make(chan struct{}, 1), slots: make(chan struct{}, maxTelling)}
-	guard.TellNews(created.put)
-	transport.Handle(kindNews, created.take)
+// NewGossiper registers the handler of what other nodes tell, and takes what the guard finds out.
+func NewGossiper(guard *Guard, transport peer.Transport) *Gossiper {
+	created := &Gossiper{guard: guard, transport: transport, wake: make(chan struct{}, 1), slots: make(chan struct{}, maxTelling)}
+	guard.OnUpdate(created.put)
+	transport.Handle(kindUpdates, created.take)
 	return created
 }
 
 // SetNodes takes the addresses of all nodes.
-func (t *Teller) SetNodes(nodes []peer.Address) {
+func (t *Gossiper) SetNodes(nodes []peer.Address) {
 	local := t.transport.Address()
 	others := slices.DeleteFunc(slices.Clone(nodes), func(each peer.Address) bool { return each == local || each == "" })
 	t.mutex.Lock()
@@ -81,13 +81,13 @@
 }
 
 // Counts returns how many notes were told and heard.
-func (t *Teller) Counts() (told, heard uint64) { return t.told.Load(), t.heard.Load() }
+func (t *Gossiper) Counts() (told, heard uint64) { return t.told.Load(), t.heard.Load() }
 
 // Refused returns how often a note found no room to wait until it is told.
-func (t *Teller) Refused() uint64 { return t.refused.Load() }
+func (t *Gossiper) Refused() uint64 { return t.refused.Load() }
 
 // put keeps what this node has found out until Run tells it; false if too much waits.
-func (t *Teller) put(news News) bool {
+func (t *Gossiper) put(news Update) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.signal()
@@ -100,7 +100,7 @@
 }
 
 // pass keeps what another node told until Run passes it on, where that node could not tell all.
-func (t *Teller) pass(news []News) {
+func (t *Gossiper) pass(news []Update) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if len(t.others) <= mostTold || len(news) == 0 {
@@ -112,7 +112,7 @@
 }
 
 // signal tells Run that news waits.
-func (t *Teller) signal() {
+func (t *Gossiper) signal() {
 	select {
 	case t.wake <- struct{}{}:
 	default:
@@ -120,7 +120,7 @@
 }
 
 // Run tells what is found out, until ctx ends.
-func (t *Teller) Run(ctx context.Context) error {
+func (t *Gossiper) Run(ctx context.Context) error {
 	var telling sync.WaitGroup
 	defer telling.Wait()
 	for {
@@ -137,7 +137,7 @@
 }
 
 // next takes what is told with the next messages.
-func (t *Teller) next() (found, passed []News) {
+func (t *Gossiper) next() (found, passed []Update) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	found, t.found = split(t.found)
@@ -149,13 +149,13 @@
 }
 
 // split cuts off as much as one message takes.
-func split(waiting []News) (taken, rest []News) {
+func split(waiting []Update) (taken, rest []Update) {
 	count := min(len(waiting), maxNews)
 	return waiting[:count:count], waiting[count:]
 }
 
 // spread tells up to a number of the other nodes, drawn anew each time.
-func (t *Teller) spread(ctx context.Context, telling *sync.WaitGroup, news []News, most int) {
+func (t *Gossiper) spread(ctx context.Context, telling *sync.WaitGroup, news []Update, most int) {
 	addresses := t.draw(most)
 	if len(news) == 0 || len(addresses) == 0 {
 		return
@@ -172,12 +172,12 @@
 		limited, cancel := context.WithTimeout(ctx, newsTimeout)
 		defer cancel()
 		// Nodes that do not take it learn from the store.
-		peer.Spread(limited, t.transport, addresses, kindNews, message, func() proto.Message { return &quarantinepb.Taken{} })
+		peer.Spread(limited, t.transport, addresses, kindUpdates, message, func() proto.Message { return &quarantinepb.Taken{} })
 	})
 }
 
 // draw returns some of the other nodes.
-func (t *Teller) draw(most int) []peer.Address {
+func (t *Gossiper) draw(most int) []peer.Address {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	drawn := make([]peer.Address, 0, min(most, len(t.others)))
@@ -188,17 +188,17 @@
 }
 
 // take hears what another node tells, and passes on what is new here.
-func (t *Teller) take(_ context.Context, _ target.NodeID, body []byte) (proto.Message, error) {
+func (t *Gossiper) take(_ context.Context, _ target.NodeID, body []byte) (proto.Message, error) {
 	message := &quarantinepb.News{}
 	if err := message.UnmarshalVT(body); err != nil {
 		return nil, err
 	}
 	now := time.Now()
-	var fresh []News
+	var fresh []Update
 	for _, each := range message.Notes[:min(len(message.Notes), maxNews)] {
 		// A note that makes no sense here is passed over: a node of another version may tell more.
 		news, isSound := decodeNews(each, now)
-		if isSound && t.guard.Hear(news, now) {
+		if isSound && t.guard.ApplyUpdate(news, now) {
 			fresh = append(fresh, news)
 		}
 	}
@@ -209,26 +209,26 @@
 
 // encodeNews returns the message of some news, with ages in the place of moments: clocks of nodes
 // differ.
-func encodeNews(news []News, now time.Time) *quarantinepb.News {
+func encodeNews(news []Update, now time.Time) *quarantinepb.News {
 	message := &quarantinepb.News{}
 	for _, each := range news {
 		note := each.Note
 		message.Notes = append(message.Notes, &quarantinepb.Note{
 			Fingerprint: note.Fingerprint[:], Server: note.Server.ID, Start: int64(note.Server.Start), Trial: uint32(note.Trial),
-			IsGone: each.IsGone, AgeMs: uint32(max(0, now.Sub(each.At).Milliseconds())),
+			IsGone: each.IsReleased, AgeMs: uint32(max(0, now.Sub(each.DetectedAt).Milliseconds())),
 		})
 	}
 	return message
 }
 
 // decodeNews reads one note; false if it makes no sense.
-func decodeNews(told *quarantinepb.Note, now time.Time) (News, bool) {
-	news := News{
-		Note:   Note{Server: fleet.Incarnation{ID: told.Server, Start: fleet.Start(told.Start)}, Trial: int(told.Trial)},
-		IsGone: told.IsGone, At: now.Add(-time.Duration(told.AgeMs) * time.Millisecond),
+func decodeNews(told *quarantinepb.Note, now time.Time) (Update, bool) {
+	news := Update{
+		Note:       Note{Server: fleet.Incarnation{ID: told.Server, Start: fleet.Start(told.Start)}, Trial: int(told.Trial)},
+		IsReleased: told.IsGone, DetectedAt: now.Add(-time.Duration(told.AgeMs) * time.Millisecond),
 	}
 	if len(told.Fingerprint) != len(exchange.Fingerprint{}) || told.Trial > greatestTrial {
-		return News{}, false
+		return Update{}, false
 	}
 	copy(news.Note.Fingerprint[:], told.Fingerprint)
 	return news, true
--- a/pkg/quarantine/teller_test.go
+++ b/pkg/quarantine/teller_test.go
@@ -98,7 +98,7 @@
 			nodes = append(nodes, address(number))
 		}
 		for number, guard := range w.guards {
-			teller := quarantine.NewTeller(guard, link{links: between, address: nodes[number]})
+			teller := quarantine.NewGossiper(guard, link{links: between, address: nodes[number]})
 			teller.SetNodes(nodes)
 			running.Go(func() { _ = teller.Run(ctx) })
 		}
@@ -122,8 +122,8 @@
 		w.end(w.guards[0], other, "a", "b", "c")
 		time.Sleep(soon)
 		for _, guard := range w.guards {
-			g.Expect(guard.Standing(deadly)).To(Equal(quarantine.Suspect))
-			g.Expect(guard.Servers(deadly)).To(HaveLen(3))
+			g.Expect(guard.State(deadly)).To(Equal(quarantine.Suspect))
+			g.Expect(guard.CrashedServers(deadly)).To(HaveLen(3))
 		}
 		granted := 0
 		for _, guard := range w.guards {
@@ -132,12 +132,12 @@
 			}
 			time.Sleep(soon)
 		}
-		g.Expect(granted).To(Equal(quarantine.PromptTrials), "without the store each node knows of the others' trials")
-		w.guards[3].NoteServed(other, time.Now())
+		g.Expect(granted).To(Equal(quarantine.ImmediateTrials), "without the store each node knows of the others' trials")
+		w.guards[3].RecordAnswer(other, time.Now())
 		time.Sleep(soon)
 		for _, guard := range w.guards {
-			g.Expect(guard.Standing(deadly)).To(Equal(quarantine.Quarantined))
-			g.Expect(guard.Standing(other)).To(Equal(quarantine.Clear))
+			g.Expect(guard.State(deadly)).To(Equal(quarantine.Quarantined))
+			g.Expect(guard.State(other)).To(Equal(quarantine.Clear))
 		}
 	})
 }
@@ -154,10 +154,10 @@
 			trial := w.guards[number].ClaimTrial(context.Background(), deadly)
 			g.Expect(trial).NotTo(BeNil())
 			time.Sleep(soon)
-			trial.GiveBack()
+			trial.Release()
 			time.Sleep(soon)
 			for _, guard := range w.guards {
-				g.Expect(guard.Standing(deadly)).To(Equal(quarantine.Suspect))
+				g.Expect(guard.State(deadly)).To(Equal(quarantine.Suspect))
 			}
 		}
 	})
@@ -173,7 +173,7 @@
 		}
 		time.Sleep(900 * time.Millisecond)
 		for _, guard := range w.guards {
-			g.Expect(guard.Standing(deadly)).To(Equal(quarantine.Suspect))
+			g.Expect(guard.State(deadly)).To(Equal(quarantine.Suspect))
 		}
 	})
 }
@@ -247,16 +247,16 @@
 	inTouch(t, 3, func(g *WithT, w *world, between *links) {
 		w.end(w.guards[0], deadly, "a", "b", "c", "d", "e", "f", "g", "h")
 		time.Sleep(news)
-		g.Expect(w.guards[2].Servers(deadly)).To(HaveLen(8))
+		g.Expect(w.guards[2].CrashedServers(deadly)).To(HaveLen(8))
 		between.setDelivery(func(to peer.Address) (int, time.Duration) {
 			if to == address(2) {
 				return 0, 0
 			}
 			return 1, 0
 		})
-		w.guards[1].NoteServed(deadly, time.Now())
+		w.guards[1].RecordAnswer(deadly, time.Now())
 		time.Sleep(news)
-		g.Expect(w.guards[2].Standing(deadly)).To(Equal(quarantine.Clear))
+		g.Expect(w.guards[2].State(deadly)).To(Equal(quarantine.Clear))
 		time.Sleep(time.Minute)
 		g.Expect(w.ledger.held()).To(BeEmpty(), "nothing is written again")
 	})
@@ -267,11 +267,11 @@
 	inTouch(t, 3, func(g *WithT, w *world, between *links) {
 		for number := range 100 {
 			request := exchange.Fingerprint{byte(number)}
-			w.guards[0].NoteServed(request, time.Now())
+			w.guards[0].RecordAnswer(request, time.Now())
 			time.Sleep(10 * time.Millisecond)
 		}
 		w.end(w.guards[0], exchange.Fingerprint{200}, "a", "b")
-		w.guards[0].NoteServed(exchange.Fingerprint{200}, time.Now())
+		w.guards[0].RecordAnswer(exchange.Fingerprint{200}, time.Now())
 		time.Sleep(news)
 		g.Expect(between.count()).To(BeZero())
 	})
@@ -292,15 +292,15 @@
 		})
 		w.end(w.guards[0], deadly, "a", "b")
 		time.Sleep(news)
-		g.Expect(w.guards[2].Standing(deadly)).To(Equal(quarantine.Clear), "two servers told twice are two")
+		g.Expect(w.guards[2].State(deadly)).To(Equal(quarantine.Clear), "two servers told twice are two")
 		w.end(w.guards[0], deadly, "c")
-		w.guards[3].NoteServed(other, time.Now())
+		w.guards[3].RecordAnswer(other, time.Now())
 		w.end(w.guards[0], other, "a", "b", "c")
 		time.Sleep(news)
 		for _, guard := range w.guards {
-			g.Expect(guard.Standing(deadly)).To(Equal(quarantine.Suspect))
+			g.Expect(guard.State(deadly)).To(Equal(quarantine.Suspect))
 		}
-		g.Expect(w.guards[3].Standing(other)).To(Equal(quarantine.Clear), "it was answered there")
+		g.Expect(w.guards[3].State(other)).To(Equal(quarantine.Clear), "it was answered there")
 	})
 }
 
@@ -329,7 +329,7 @@
 		w.lost.Store(true)
 		for number := range 5000 {
 			request := exchange.Fingerprint{3, byte(number), byte(number >> 8)}
-			w.guards[0].LearnEnded(request, []fleet.Incarnation{{ID: "a"}, {ID: "b"}, {ID: "c"}}, time.Now())
+			w.guards[0].RecordCrashes(request, []fleet.Incarnation{{ID: "a"}, {ID: "b"}, {ID: "c"}}, time.Now())
 		}
 		time.Sleep(news)
 		between.mutex.Lock()
@@ -338,7 +338,7 @@
 		between.mutex.Unlock()
 		w.end(w.guards[0], deadly, "a", "b", "c")
 		time.Sleep(soon)
-		g.Expect(w.guards[2].Standing(deadly)).To(Equal(quarantine.Suspect), "what comes later is told too")
+		g.Expect(w.guards[2].State(deadly)).To(Equal(quarantine.Suspect), "what comes later is told too")
 	})
 }
 
@@ -350,11 +350,11 @@
 		var requests []exchange.Fingerprint
 		for number := range 1000 {
 			requests = append(requests, exchange.Fingerprint{3, byte(number), byte(number >> 8)})
-			w.guards[0].LearnEnded(requests[number], []fleet.Incarnation{{ID: "a"}, {ID: "b"}, {ID: "c"}}, time.Now())
+			w.guards[0].RecordCrashes(requests[number], []fleet.Incarnation{{ID: "a"}, {ID: "b"}, {ID: "c"}}, time.Now())
 		}
 		time.Sleep(3 * time.Second)
 		for _, request := range requests {
-			g.Expect(w.guards[1].Standing(request)).To(Equal(quarantine.Suspect))
+			g.Expect(w.guards[1].State(request)).To(Equal(quarantine.Suspect))
 		}
 	})
 }
@@ -370,7 +370,7 @@
 		time.Sleep(200 * time.Millisecond)
 		knowing := 0
 		for _, guard := range w.guards {
-			if guard.Standing(deadly) == quarantine.Suspect {
+			if guard.State(deadly) == quarantine.Suspect {
 				knowing++
 			}
 		}
@@ -394,7 +394,7 @@
 			request := exchange.Fingerprint{9, byte(number)}
 			w.end(w.guards[0], request, "a", "b", "c")
 			time.Sleep(soon)
-			g.Expect(w.guards[2].Standing(request)).To(Equal(quarantine.Suspect))
+			g.Expect(w.guards[2].State(request)).To(Equal(quarantine.Suspect))
 		}
 	})
 }
--- a/pkg/quarantine/trial.go
+++ b/pkg/quarantine/trial.go
@@ -16,7 +16,7 @@
 }
 
 // ClaimTrial returns leave to try a suspect request, or nil if none is left, or if the ledger
-// could not be asked. All nodes together get PromptTrials, and then one now and then.
+// could not be asked. All nodes together get ImmediateTrials, and then one now and then.
 func (g *Guard) ClaimTrial(ctx context.Context, fingerprint exchange.Fingerprint) *Trial {
 	for {
 		note, ok := g.nextTrial(fingerprint)
@@ -49,7 +49,7 @@
 // claimAlone returns leave for the one trial that a node makes by itself while the ledger is
 // out of reach, where its bound on all nodes cannot be kept.
 func (g *Guard) claimAlone(fingerprint exchange.Fingerprint) *Trial {
-	if !g.options.LedgerLost() {
+	if !g.options.LedgerUnavailable() {
 		return nil
 	}
 	g.mutex.Lock()
@@ -63,7 +63,7 @@
 	note := Note{Fingerprint: fingerprint, Trial: known.nextTrial()}
 	known.hasTriedAlone = true
 	known.noteTrial(note.Trial, now)
-	g.tellOther(News{Note: note, At: now})
+	g.tellOther(Update{Note: note, DetectedAt: now})
 	g.changed(fingerprint, before, now)
 	return &Trial{guard: g, note: note, isAlone: true}
 }
@@ -83,14 +83,14 @@
 	before := known.standing(now)
 	known.noteTrial(note.Trial, now)
 	if isClaimed {
-		g.tellOther(News{Note: note, At: now})
+		g.tellOther(Update{Note: note, DetectedAt: now})
 	}
 	g.changed(note.Fingerprint, before, now)
 }
 
-// GiveBack ends a trial in which nothing reached a server: it may be made again. It does
+// Release ends a trial in which nothing reached a server: it may be made again. It does
 // nothing for nil.
-func (t *Trial) GiveBack() {
+func (t *Trial) Release() {
 	if t == nil {
 		return
 	}
@@ -102,7 +102,7 @@
 		before := known.standing(now)
 		delete(known.trials, t.note.Trial)
 		known.hasTriedAlone = known.hasTriedAlone && !t.isAlone
-		g.tellOther(News{Note: t.note, IsGone: true, At: now})
+		g.tellOther(Update{Note: t.note, IsReleased: true, DetectedAt: now})
 		g.changed(t.note.Fingerprint, before, now)
 	}
 	if t.isAlone {
--- a/pkg/quarantine/world_test.go
+++ b/pkg/quarantine/world_test.go
@@ -42,7 +42,7 @@
 	l.mutex.Unlock()
 	for _, guard := range told {
 		for _, note := range changed {
-			guard.Learn(note, isGone, time.Now())
+			guard.ApplyNote(note, isGone, time.Now())
 		}
 	}
 	return nil
@@ -100,10 +100,10 @@
 type recorder struct {
 	mutex sync.Mutex
 	// told is guarded by mutex.
-	told []quarantine.Standing
+	told []quarantine.State
 }
 
-func (r *recorder) Standing(_ exchange.Fingerprint, standing quarantine.Standing, _ []fleet.Incarnation) {
+func (r *recorder) StateChanged(_ exchange.Fingerprint, standing quarantine.State, _ []fleet.Incarnation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.told = append(r.told, standing)
@@ -129,7 +129,7 @@
 		var running sync.WaitGroup
 		for range count {
 			guard := quarantine.New(quarantine.Options{
-				Ledger: w.ledger, LedgerLost: w.lost.Load, Dialer: w.network, Events: w.events,
+				Ledger: w.ledger, LedgerUnavailable: w.lost.Load, Dialer: w.network, Events: w.events,
 			})
 			w.guards = append(w.guards, guard)
 			running.Go(func() { _ = guard.Run(ctx) })
@@ -144,7 +144,7 @@
 // end lets servers end under a request at one node.
 func (w *world) end(guard *quarantine.Guard, request exchange.Fingerprint, servers ...string) {
 	for _, server := range servers {
-		guard.NoteBroken(request, fleet.Incarnation{ID: server}, server, time.Now())
+		guard.RecordBrokenConnection(request, fleet.Incarnation{ID: server}, server, time.Now())
 	}
 	synctest.Wait()
 }
--- a/pkg/quarantine/write.go
+++ b/pkg/quarantine/write.go
@@ -41,7 +41,7 @@
 		}
 		g.probeUnsettled()
 		g.tellSettled()
-		if g.options.LedgerLost() {
+		if g.options.LedgerUnavailable() {
 			pause.For(ctx, lostRetry)
 			g.signal()
 			continue
--- a/pkg/query/kept_back.go
+++ b/pkg/query/kept_back.go
@@ -14,7 +14,7 @@
 	suspectAfter = quarantine.SuspectAfter
 	// greatestTrials is how many further sub-requests a suspect request gets, one after the
 	// other, to show that it is not what ends servers.
-	greatestTrials = quarantine.PromptTrials
+	greatestTrials = quarantine.ImmediateTrials
 	// keptBackRecheck is when a retry that was kept back is looked at again.
 	keptBackRecheck = 10 * time.Millisecond
 )
