--- a/pkg/fanout/admission_test.go
+++ b/pkg/fanout/admission_test.go
@@ -112,7 +112,7 @@
 			g.Expect(result.Got).To(Equal(1))
 		}
 		g.Expect(room.Admitter.AdmitsAll()).To(BeTrue())
-		shares, _ := room.Meters.Shares(loadshed.Key{Service: "a"}, time.Now())
+		shares, _ := room.Meters.CurrentShares(loadshed.Key{Service: "a"}, time.Now())
 		g.Expect(shares.Of(loadshed.Class{})).To(Equal(1.0))
 	})
 }
--- a/pkg/fanout/divided_test.go
+++ b/pkg/fanout/divided_test.go
@@ -57,7 +57,7 @@
 		g.Expect(w.send(tried, "/suspect").Got).To(Equal(len(fourShards)))
 		g.Expect(owners.divided).To(BeZero())
 		now := time.Now()
-		_, judgedAt := w.runner.Room.Meters.Shares(loadshed.Key{Service: "a"}, now)
+		_, judgedAt := w.runner.Room.Meters.CurrentShares(loadshed.Key{Service: "a"}, now)
 		g.Expect(judgedAt).To(Equal(now), "not measured")
 	})
 }
--- a/pkg/loadshed/meters.go
+++ b/pkg/loadshed/meters.go
@@ -96,7 +96,7 @@
 
 // Of returns the shares of a service and when they were judged; full ones if it is not
 // measured here or was not asked for lately.
-func (m *Meters) Shares(key Key, now time.Time) (Shares, time.Time) {
+func (m *Meters) CurrentShares(key Key, now time.Time) (Shares, time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	found := m.meters[key]
