--- a/pkg/query/answer.go
+++ b/pkg/query/answer.go
@@ -9,10 +9,10 @@
 
 // cancelled is the failure of a request whose context ended: cancelled by the
 // caller, or past a deadline of its own.
-func (p *pass) cancelled() *outcome.Error { return typed(p.execution.caller.Err(), "") }
+func (p *pass) cancellation() *outcome.Error { return asOutcomeError(p.execution.callerCtx.Err(), "") }
 
 // awaited returns the server whose answer is waited for, if there is one only.
-func (p *pass) awaited() string {
+func (p *pass) soleRunningServer() string {
 	if len(p.parts) != 1 {
 		return ""
 	}
@@ -27,9 +27,9 @@
 // coverage states which part of the asked range is covered.
 func (p *pass) coverage() Coverage {
 	result := Coverage{
-		Requested:    p.pinned.asked,
+		Requested:    p.pinned.requested,
 		CoveredWidth: p.covered.Width(),
-		Missing:      p.covered.Missing(p.pinned.asked),
+		Missing:      p.covered.Missing(p.pinned.requested),
 		PartsTotal:   len(p.pinned.parts),
 	}
 	for i := range p.pinned.parts {
@@ -44,30 +44,30 @@
 // the last one is long enough ago.
 func (p *pass) sendPartial() {
 	x := p.execution
-	if x.partial == nil || !p.fresh || p.now < p.nextPartialAt {
+	if x.partial == nil || !p.partialPending || p.now < p.nextPartialAt {
 		return
 	}
-	p.fresh = false
+	p.partialPending = false
 	p.nextPartialAt = p.now + x.executor.options.PartialInterval
 	x.partial(Partial{
-		Restarted: x.restarts > 0 && !p.announced,
+		Restarted: x.restarts > 0 && !p.partialSent,
 		Version:   p.pinned.version,
 		Records:   slices.Clone(p.merged.sorted()),
 		Coverage:  p.coverage(),
 	})
-	p.announced = true
+	p.partialSent = true
 }
 
 // finish returns the answer of the last pass, or its failure.
-func (p *pass) finish(ended ending) (*Answer, error) {
+func (p *pass) finish(result passResult) (*Answer, error) {
 	x := p.execution
 	coverage := p.coverage()
-	failure := ended.failure
+	failure := result.failure
 	if failure == nil && (coverage.CoveredWidth == 0 || coverage.Share() < x.request.Template.MinimumCoverage) {
-		failure = x.overallFailure(ended.reason, coverage.CoveredWidth > 0)
+		failure = x.overallFailure(result.reason, coverage.CoveredWidth > 0)
 	}
 	if failure != nil {
-		return nil, p.fail(failure, ended, coverage)
+		return nil, p.fail(failure, result, coverage)
 	}
 	return &Answer{
 		Version:    p.pinned.version,
@@ -75,29 +75,29 @@
 		Matches:    p.matches,
 		ScoreSum:   p.scoreSum,
 		Coverage:   coverage,
-		StopReason: ended.reason,
-		ExtraLoad:  x.load,
+		StopReason: result.reason,
+		ExtraLoad:  x.extraLoad,
 		Restarts:   x.restarts,
 		Elapsed:    time.Since(x.started),
 	}, nil
 }
 
 // fail completes a failure with what is known about the whole request.
-func (p *pass) fail(failure *outcome.Error, ended ending, coverage Coverage) error {
+func (p *pass) fail(failure *outcome.Error, result passResult, coverage Coverage) error {
 	x := p.execution
-	stated := *failure
-	if stated.Peer == "" {
-		stated.Peer = ended.awaited
+	detailed := *failure
+	if detailed.Peer == "" {
+		detailed.Peer = result.awaitedServer
 	}
-	stated.Outcome = outcome.Unknown
+	detailed.Outcome = outcome.Unknown
 	if x.mayHaveRun == 0 {
-		stated.Outcome = outcome.NotRun
+		detailed.Outcome = outcome.NotRun
 	}
 	return &CoverageError{
-		Failure:    &stated,
+		Failure:    &detailed,
 		Version:    p.pinned.version,
 		Coverage:   coverage,
-		StopReason: ended.reason,
-		ExtraLoad:  x.load,
+		StopReason: result.reason,
+		ExtraLoad:  x.extraLoad,
 	}
 }
--- a/pkg/query/attempt.go
+++ b/pkg/query/attempt.go
@@ -18,17 +18,17 @@
 
 const (
 	// waiting means that nothing was sent yet.
-	waiting attemptState = iota
-	sent
+	attemptWaiting attemptState = iota
+	attemptSent
 	// abandoned means that nothing was and nothing will be sent.
-	abandoned
+	attemptAbandoned
 	// outlasted means that a replica that was asked later answered first.
-	outlasted
+	attemptOvertaken
 	// stopped means that the query stopped before its deadline, or that a
 	// replica that was asked earlier answered first.
-	stopped
+	attemptStopped
 	// expired means that the query reached its deadline.
-	expired
+	attemptExpired
 )
 
 // attempt is one sub-request.
@@ -74,16 +74,16 @@
 		}
 		a.permit = permit
 	}
-	if !a.move(waiting, sent) {
+	if !a.move(attemptWaiting, attemptSent) {
 		a.permit.Release(limit.Result{Cancelled: true})
-		return nil, notRun(stepAnswer, outcome.ReasonCancelled, errOutlasted)
+		return nil, notRun(stepAnswer, outcome.ReasonCancelled, errOvertaken)
 	}
-	began := time.Now()
+	sentAt := time.Now()
 	response, err := options.Client.Do(a.ctx, &a.request)
 	now := time.Now()
 	a.reportHints(response, err)
 	err = a.check(response, err)
-	a.report(now, now.Sub(began), err)
+	a.report(now, now.Sub(sentAt), err)
 	if err != nil {
 		return nil, err
 	}
@@ -93,15 +93,15 @@
 // check returns the failure of the sub-request, if any. An answer must be of
 // the pinned version and of exactly the range that was asked.
 func (a *attempt) check(response *backend.Response, err error) error {
-	asked := &a.request.Target
+	requested := &a.request.Target
 	switch {
 	case err != nil:
-		return typed(err, asked.Server)
+		return asOutcomeError(err, requested.Server)
 	case response == nil:
-		return unknown(stepCheck, asked.Server, outcome.ReasonInternal, errNoAnswer)
-	case response.Version != asked.Version || response.Range != asked.Range:
-		a.observer().CorruptResponse(asked.Service, asked.Server)
-		return unknown(stepCheck, asked.Server, outcome.ReasonCorruptResponse, errMismatch)
+		return unknown(stepCheck, requested.Server, outcome.ReasonInternal, errNoAnswer)
+	case response.Version != requested.Version || response.Range != requested.Range:
+		a.observer().CorruptResponse(requested.Service, requested.Server)
+		return unknown(stepCheck, requested.Server, outcome.ReasonCorruptResponse, errMismatch)
 	default:
 		return nil
 	}
@@ -126,35 +126,35 @@
 func (a *attempt) report(now time.Time, latency time.Duration, err error) {
 	options := &a.pass.execution.executor.options
 	server := a.request.Target.Server
-	ended := a.endedBecause(err)
-	verdict := a.verdict(ended, latency, err)
-	a.permit.Release(resultOf(ended, latency, verdict))
-	if ended == sent || verdict != nil {
-		options.Catalog.ReportResult(server, verdict)
+	endState := a.finalState(err)
+	failure := a.serverFailure(endState, latency, err)
+	a.permit.Release(limitResult(endState, latency, failure))
+	if endState == attemptSent || failure != nil {
+		options.Catalog.ReportResult(server, failure)
 	}
-	if cutShort := ended != sent && verdict != nil; err == nil || cutShort {
+	if cutShort := endState != attemptSent && failure != nil; err == nil || cutShort {
 		options.Latency.Observe(a.request.Target.Service, latency, now)
 	}
 	options.Observer.SubRequestFinished(a.request.Target, a.kind, latency, err)
 }
 
-// endedBecause returns sent if the server's own answer or failure ended the
+// finalState returns sent if the server's own answer or failure ended the
 // sub-request, and otherwise why this node ended it.
-func (a *attempt) endedBecause(err error) attemptState {
+func (a *attempt) finalState(err error) attemptState {
 	state := attemptState(a.state.Load())
 	if err == nil {
-		return sent
+		return attemptSent
 	}
-	if state != sent {
+	if state != attemptSent {
 		return state
 	}
 	switch a.ctx.Err() {
 	case nil:
-		return sent
+		return attemptSent
 	case context.DeadlineExceeded:
-		return expired
+		return attemptExpired
 	default:
-		return stopped
+		return attemptStopped
 	}
 }
 
@@ -162,14 +162,14 @@
 // server that lost to a hedge, or that let a long wait run into the query's
 // deadline, failed to answer: a frozen server shows in no other way. A
 // sub-request that this node ended for its own reasons says nothing.
-func (a *attempt) verdict(ended attemptState, latency time.Duration, err error) error {
+func (a *attempt) serverFailure(endState attemptState, latency time.Duration, err error) error {
 	server := a.request.Target.Server
-	switch ended {
-	case sent:
+	switch endState {
+	case attemptSent:
 		return err
-	case outlasted:
-		return unknown(stepAnswer, server, outcome.ReasonDeadline, errOutlasted)
-	case expired:
+	case attemptOvertaken:
+		return unknown(stepAnswer, server, outcome.ReasonDeadline, errOvertaken)
+	case attemptExpired:
 		if typical := a.pass.execution.quantile(stallQuantile); typical > 0 && latency > typical {
 			return unknown(stepAnswer, server, outcome.ReasonDeadline, err)
 		}
@@ -181,17 +181,17 @@
 // query's deadline ended counts as a failure of the server.
 const stallQuantile = 0.99
 
-// resultOf returns what the end of a sub-request says about the server's room.
-func resultOf(ended attemptState, latency time.Duration, verdict error) limit.Result {
+// limitResult returns what the end of a sub-request says about the server's room.
+func limitResult(endState attemptState, latency time.Duration, failure error) limit.Result {
 	result := limit.Result{Latency: latency}
 	switch {
-	case ended == outlasted || ended == stopped:
+	case endState == attemptOvertaken || endState == attemptStopped:
 		result.Cancelled = true
-	case verdict == nil:
-		result.Cancelled = ended != sent
-	case isShed(verdict):
+	case failure == nil:
+		result.Cancelled = endState != attemptSent
+	case isShed(failure):
 		result.Shed = true
-	case isStalePlan(verdict):
+	case isStalePlan(failure):
 		result.Cancelled = true
 	default:
 		result.Failed = true
@@ -206,11 +206,11 @@
 
 // end says that the answer is no longer wanted and cancels the sub-request. It
 // reports whether nothing was and nothing will be sent.
-func (a *attempt) end(cause attemptState) bool {
+func (a *attempt) discard(state attemptState) bool {
 	a.detached = true
-	unsent := a.move(waiting, abandoned)
+	unsent := a.move(attemptWaiting, attemptAbandoned)
 	if !unsent {
-		a.move(sent, cause)
+		a.move(attemptSent, state)
 	}
 	a.cancel()
 	return unsent
@@ -218,17 +218,17 @@
 
 // outran returns the state of another attempt for the same part, after this
 // one gave the answer.
-func (a *attempt) outran(other *attempt) attemptState {
+func (a *attempt) endStateOf(other *attempt) attemptState {
 	if a.request.Attempt > other.request.Attempt {
-		return outlasted
+		return attemptOvertaken
 	}
-	return stopped
+	return attemptStopped
 }
 
 // wasSent reports whether the sub-request may have reached its server.
 func (a *attempt) wasSent() bool {
 	state := attemptState(a.state.Load())
-	return state != waiting && state != abandoned
+	return state != attemptWaiting && state != attemptAbandoned
 }
 
 func (a *attempt) move(from, to attemptState) bool {
--- a/pkg/query/execute_test.go
+++ b/pkg/query/execute_test.go
@@ -23,47 +23,47 @@
 )
 
 // bench is a world with an executor and a request that specs adapt.
-type bench struct {
-	world   *world
-	budget  *ledger
+type fixture struct {
+	cluster *fakeCluster
+	budget  *fakeBudget
 	options query.Options
 	spec    policy.Spec
 	request *query.Request
 }
 
-func newBench() *bench {
-	b := &bench{world: newWorld(1, faults{}), budget: &ledger{burst: 10}}
-	b.options = query.Options{Client: b.world, Catalog: b.world, Limits: b.world, Budgets: b.budget}
-	b.request = &query.Request{ID: "request", Limit: 5, Template: &template.Template{Service: service}}
-	b.spec.Hedge.Policy, b.spec.Retry.Policy = policy.HedgeNone, policy.RetryNone
-	return b
+func newFixture() *fixture {
+	f := &fixture{cluster: newFakeCluster(1, faults{}), budget: &fakeBudget{burst: 10}}
+	f.options = query.Options{Client: f.cluster, Catalog: f.cluster, Limits: f.cluster, Budgets: f.budget}
+	f.request = &query.Request{ID: "request", Limit: 5, Template: &template.Template{Service: service}}
+	f.spec.Hedge.Policy, f.spec.Retry.Policy = policy.HedgeNone, policy.RetryNone
+	return f
 }
 
 // halves adds two groups of two servers: s000 and s001, s002 and s003.
-func (b *bench) halves(versions ...target.Version) *bench {
+func (f *fixture) addTwoGroups(versions ...target.Version) *fixture {
 	for i, keys := range keyspace.Split(2) {
-		b.world.addGroup([]string{"low", "high"}[i], 2, versions, keys)
+		f.cluster.addGroup([]string{"low", "high"}[i], 2, versions, keys)
 	}
-	b.world.refresh()
-	return b
+	f.cluster.updateCatalog()
+	return f
 }
 
-func (b *bench) execute(partial query.PartialFunc) (*query.Answer, error) {
-	policies, err := policy.Build(b.spec)
+func (f *fixture) execute(partial query.PartialFunc) (*query.Answer, error) {
+	policies, err := policy.Build(f.spec)
 	Expect(err).NotTo(HaveOccurred())
-	b.request.Policies = policies
-	b.request.Deadline = time.Now().Add(100 * time.Millisecond)
-	answer, err := query.New(b.options).Execute(context.Background(), b.request, partial)
+	f.request.Policies = policies
+	f.request.Deadline = time.Now().Add(100 * time.Millisecond)
+	answer, err := query.New(f.options).Execute(context.Background(), f.request, partial)
 	synctest.Wait() // cancelled sub-requests have ended: the world may be read
 	return answer, err
 }
 
 // expectAnswer checks that an answer is complete and right.
-func (b *bench) expectAnswer(answer *query.Answer, version target.Version) {
+func (f *fixture) expectAnswer(answer *query.Answer, version target.Version) {
 	GinkgoHelper()
 	Expect(answer.Version).To(Equal(version))
 	Expect(answer.Coverage.Complete()).To(BeTrue())
-	want := b.world.data.Evaluate(version, b.request.Query, []keyspace.Range{answer.Coverage.Requested}, b.request.Limit)
+	want := f.cluster.data.Evaluate(version, f.request.Query, []keyspace.Range{answer.Coverage.Requested}, f.request.Limit)
 	Expect(answer.Records).To(Equal(want.Records))
 	Expect(answer.ScoreSum).To(Equal(want.ScoreSum))
 }
@@ -76,14 +76,14 @@
 }
 
 // freeze is a script that never answers.
-func freeze(ctx context.Context, request *backend.Request) (*backend.Response, error) {
+func hang(ctx context.Context, request *backend.Request) (*backend.Response, error) {
 	<-ctx.Done()
 	return nil, &outcome.Error{Step: "script", Peer: string(request.Target.Server), Reason: outcome.ReasonDeadline}
 }
 
 // respond is a script that answers, cancelled or not.
-func (w *world) respond(_ context.Context, request *backend.Request) (*backend.Response, error) {
-	return w.answer(request, request.Target), nil
+func (c *fakeCluster) respond(_ context.Context, request *backend.Request) (*backend.Response, error) {
+	return c.evaluate(request, request.Target), nil
 }
 
 // lateCounter counts late answers.
@@ -106,7 +106,7 @@
 }
 
 // after delays a script.
-func after(wait time.Duration, next script) script {
+func delayed(wait time.Duration, next script) script {
 	return func(ctx context.Context, request *backend.Request) (*backend.Response, error) {
 		time.Sleep(wait)
 		return next(ctx, request)
@@ -115,65 +115,65 @@
 
 var _ = Describe("Execute", func() {
 	It("chooses the newest version that covers everything", inVirtualTime(func() {
-		b := newBench().halves(4, 5)
-		b.world.change(0, func(server *catalog.Server) {
+		f := newFixture().addTwoGroups(4, 5)
+		f.cluster.changeServer(0, func(server *catalog.Server) {
 			server.Indexes = append(server.Indexes, backend.Index{Version: 6, Shards: server.Indexes[0].Shards})
 		})
-		b.world.refresh()
-		answer, err := b.execute(nil)
+		f.cluster.updateCatalog()
+		answer, err := f.execute(nil)
 		Expect(err).NotTo(HaveOccurred())
-		b.expectAnswer(answer, 5)
+		f.expectAnswer(answer, 5)
 	}))
 
 	It("takes the pieces of a range from the children after a split", inVirtualTime(func() {
-		b := newBench().halves(1)
+		f := newFixture().addTwoGroups(1)
 		low := keyspace.Split(4)[:2]
 		for i := range 2 {
-			b.world.change(i, func(server *catalog.Server) {
+			f.cluster.changeServer(i, func(server *catalog.Server) {
 				server.Indexes = []backend.Index{{Version: 1, Shards: []backend.Shard{{Group: "child", Range: low[i]}}}}
 			})
 		}
-		time.AfterFunc(50*time.Microsecond, b.world.refresh)
-		answer, err := b.execute(nil)
+		time.AfterFunc(50*time.Microsecond, f.cluster.updateCatalog)
+		answer, err := f.execute(nil)
 		Expect(err).NotTo(HaveOccurred())
-		b.expectAnswer(answer, 1)
+		f.expectAnswer(answer, 1)
 		Expect(answer.Coverage.PartsTotal).To(Equal(2))
 		Expect(answer.ExtraLoad).To(Equal(query.ExtraLoad{Primary: 2, Retries: 2, NotRun: 1}))
-		Expect(b.budget.spent).To(BeZero())
+		Expect(f.budget.spent).To(BeZero())
 	}))
 
 	It("starts anew on the newest version when the pinned one is retired", inVirtualTime(func() {
-		b := newBench().halves(1)
-		b.world.scripts["s002"] = after(3*time.Millisecond, refuse(outcome.ReasonVersionGone))
-		b.world.scripts["s003"] = b.world.scripts["s002"]
+		f := newFixture().addTwoGroups(1)
+		f.cluster.scripts["s002"] = delayed(3*time.Millisecond, refuse(outcome.ReasonVersionGone))
+		f.cluster.scripts["s003"] = f.cluster.scripts["s002"]
 		go func() {
 			time.Sleep(3 * time.Millisecond)
-			b.world.mutex.Lock()
-			b.world.servers = nil
-			b.world.mutex.Unlock()
-			b.world.addGroup("quick", 1, []target.Version{2}, keyspace.Split(2)[0])
-			b.world.addGroup("slow", 1, []target.Version{2}, keyspace.Split(2)[1])
-			b.world.setScript("s001", after(20*time.Millisecond, b.world.respond))
-			b.world.refresh()
+			f.cluster.mutex.Lock()
+			f.cluster.servers = nil
+			f.cluster.mutex.Unlock()
+			f.cluster.addGroup("quick", 1, []target.Version{2}, keyspace.Split(2)[0])
+			f.cluster.addGroup("slow", 1, []target.Version{2}, keyspace.Split(2)[1])
+			f.cluster.setScript("s001", delayed(20*time.Millisecond, f.cluster.respond))
+			f.cluster.updateCatalog()
 		}()
 		var versions []target.Version
 		var restarted []bool
-		answer, err := b.execute(func(early query.Partial) {
+		answer, err := f.execute(func(early query.Partial) {
 			versions = append(versions, early.Version)
 			restarted = append(restarted, early.Restarted)
 		})
 		Expect(err).NotTo(HaveOccurred())
-		b.expectAnswer(answer, 2)
+		f.expectAnswer(answer, 2)
 		Expect(answer.Restarts).To(Equal(1))
 		Expect(versions).To(Equal([]target.Version{1, 2}))
 		Expect(restarted).To(Equal([]bool{false, true}))
 	}))
 
 	It("does not start anew to get round the retry policy", inVirtualTime(func() {
-		b := newBench().halves(1)
-		b.world.scripts["s000"] = refuse(outcome.ReasonShed)
-		b.world.scripts["s001"] = refuse(outcome.ReasonShed)
-		answer, err := b.execute(nil)
+		f := newFixture().addTwoGroups(1)
+		f.cluster.scripts["s000"] = refuse(outcome.ReasonShed)
+		f.cluster.scripts["s001"] = refuse(outcome.ReasonShed)
+		answer, err := f.execute(nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Restarts).To(BeZero())
 		Expect(answer.StopReason).To(Equal(policy.StopExhausted))
@@ -182,35 +182,35 @@
 	}))
 
 	It("does not start anew for a part that was given up", inVirtualTime(func() {
-		b := newBench()
-		b.world.addGroup("low", 1, []target.Version{1}, keyspace.Split(2)[0])
-		b.world.refresh()
-		b.world.scripts["s000"] = after(5*time.Millisecond, refuse(outcome.ReasonShed))
+		f := newFixture()
+		f.cluster.addGroup("low", 1, []target.Version{1}, keyspace.Split(2)[0])
+		f.cluster.updateCatalog()
+		f.cluster.scripts["s000"] = delayed(5*time.Millisecond, refuse(outcome.ReasonShed))
 		time.AfterFunc(time.Millisecond, func() {
-			b.world.change(0, func(server *catalog.Server) {
+			f.cluster.changeServer(0, func(server *catalog.Server) {
 				server.Indexes = append(server.Indexes, backend.Index{Version: 2, Shards: server.Indexes[0].Shards})
 			})
-			b.world.refresh()
+			f.cluster.updateCatalog()
 		})
-		_, err := b.execute(nil)
+		_, err := f.execute(nil)
 		Expect(outcome.ReasonOf(err)).To(Equal(outcome.ReasonShed))
 		Expect(outcome.Of(err)).To(Equal(outcome.NotRun))
-		Expect(b.world.calls).To(HaveLen(1))
+		Expect(f.cluster.calls).To(HaveLen(1))
 	}))
 
 	It("drops the answer of a replica that a hedge outran", inVirtualTime(func() {
-		b := newBench().halves(1)
-		b.spec.Replica.Policy = "first_candidate"
-		b.spec.Hedge = policy.HedgeSpec{Policy: policy.HedgeFixed, Delay: policy.Duration(10 * time.Millisecond)}
-		b.world.scripts["s000"] = after(15*time.Millisecond, b.world.respond)
-		b.world.scripts["s001"] = after(2*time.Millisecond, b.world.respond)
-		b.world.scripts["s002"] = after(30*time.Millisecond, b.world.respond)
-		b.world.scripts["s003"] = b.world.scripts["s002"]
+		f := newFixture().addTwoGroups(1)
+		f.spec.Replica.Policy = "first_candidate"
+		f.spec.Hedge = policy.HedgeSpec{Policy: policy.HedgeFixed, Delay: policy.Duration(10 * time.Millisecond)}
+		f.cluster.scripts["s000"] = delayed(15*time.Millisecond, f.cluster.respond)
+		f.cluster.scripts["s001"] = delayed(2*time.Millisecond, f.cluster.respond)
+		f.cluster.scripts["s002"] = delayed(30*time.Millisecond, f.cluster.respond)
+		f.cluster.scripts["s003"] = f.cluster.scripts["s002"]
 		late := &lateCounter{}
-		b.options.Observer = late
-		answer, err := b.execute(nil)
+		f.options.Observer = late
+		answer, err := f.execute(nil)
 		Expect(err).NotTo(HaveOccurred())
-		b.expectAnswer(answer, 1)
+		f.expectAnswer(answer, 1)
 		Expect(answer.Elapsed).To(Equal(30 * time.Millisecond))
 		Expect(answer.ExtraLoad.Hedges).To(Equal(2))
 		Expect(late.count.Load()).To(Equal(int64(1)), "the outrun answer came while the query ran")
@@ -219,59 +219,59 @@
 	}))
 
 	It("hedges a frozen replica and tells the catalog of it", inVirtualTime(func() {
-		b := newBench().halves(1)
-		b.budget.burst = 100
-		b.spec.Hedge = policy.HedgeSpec{Policy: policy.HedgeFixed, Delay: policy.Duration(10 * time.Millisecond)}
-		b.world.scripts["s000"] = freeze
-		b.world.scripts["s002"] = freeze
+		f := newFixture().addTwoGroups(1)
+		f.budget.burst = 100
+		f.spec.Hedge = policy.HedgeSpec{Policy: policy.HedgeFixed, Delay: policy.Duration(10 * time.Millisecond)}
+		f.cluster.scripts["s000"] = hang
+		f.cluster.scripts["s002"] = hang
 		tracker := latency.NewTracker()
-		b.options.Latency = tracker
+		f.options.Latency = tracker
 		var slowest time.Duration
 		for range 12 {
-			answer, err := b.execute(nil)
+			answer, err := f.execute(nil)
 			Expect(err).NotTo(HaveOccurred())
-			b.expectAnswer(answer, 1)
+			f.expectAnswer(answer, 1)
 			slowest = max(slowest, answer.Elapsed)
 		}
 		Expect(slowest).To(BeNumerically(">", 10*time.Millisecond))
 		Expect(slowest).To(BeNumerically("<", 20*time.Millisecond))
-		Expect(b.world.reported["s000"]).To(ContainElement(outcome.ReasonDeadline))
-		Expect(b.world.reported["s001"]).To(BeEmpty())
+		Expect(f.cluster.reportedFailures["s000"]).To(ContainElement(outcome.ReasonDeadline))
+		Expect(f.cluster.reportedFailures["s001"]).To(BeEmpty())
 		Expect(tracker.Quantile(service, 1)).To(BeNumerically(">", 10*time.Millisecond), "outrun waits count")
 	}))
 
 	It("sends no hedge that the budget does not pay for", inVirtualTime(func() {
-		b := newBench().halves(1)
-		b.budget.burst = 0
-		b.spec.Hedge = policy.HedgeSpec{Policy: policy.HedgeFixed, Delay: policy.Duration(10 * time.Millisecond)}
-		b.world.scripts["s000"] = freeze
-		b.world.scripts["s001"] = freeze
-		answer, err := b.execute(nil)
+		f := newFixture().addTwoGroups(1)
+		f.budget.burst = 0
+		f.spec.Hedge = policy.HedgeSpec{Policy: policy.HedgeFixed, Delay: policy.Duration(10 * time.Millisecond)}
+		f.cluster.scripts["s000"] = hang
+		f.cluster.scripts["s001"] = hang
+		answer, err := f.execute(nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.ExtraLoad).To(Equal(query.ExtraLoad{Primary: 2}))
 		Expect(answer.StopReason).To(Equal(policy.StopDeadline))
 	}))
 
 	It("says at once that a request was refused everywhere, and when to retry", inVirtualTime(func() {
-		b := newBench().halves(1)
-		b.world.perServer = 0
-		answer, err := b.execute(nil)
+		f := newFixture().addTwoGroups(1)
+		f.cluster.permitsPerServer = 0
+		answer, err := f.execute(nil)
 		Expect(answer).To(BeNil())
 		var failure *outcome.Error
 		Expect(errors.As(err, &failure)).To(BeTrue())
 		Expect(failure.Outcome).To(Equal(outcome.NotRun))
 		Expect(failure.Reason).To(Equal(outcome.ReasonOverloaded))
 		Expect(failure.RetryAfter).To(Equal(time.Second))
-		Expect(b.world.calls).To(BeEmpty())
-		Expect(time.Until(b.request.Deadline)).To(BeNumerically(">", 90*time.Millisecond))
+		Expect(f.cluster.calls).To(BeEmpty())
+		Expect(time.Until(f.request.Deadline)).To(BeNumerically(">", 90*time.Millisecond))
 	}))
 
 	It("gives no records below the minimum coverage", inVirtualTime(func() {
-		b := newBench().halves(1)
-		b.request.Template.MinimumCoverage = 0.9
-		b.world.scripts["s000"] = refuse(outcome.ReasonShed)
-		b.world.scripts["s001"] = refuse(outcome.ReasonShed)
-		answer, err := b.execute(nil)
+		f := newFixture().addTwoGroups(1)
+		f.request.Template.MinimumCoverage = 0.9
+		f.cluster.scripts["s000"] = refuse(outcome.ReasonShed)
+		f.cluster.scripts["s001"] = refuse(outcome.ReasonShed)
+		answer, err := f.execute(nil)
 		Expect(answer).To(BeNil())
 		var failure *query.CoverageError
 		Expect(errors.As(err, &failure)).To(BeTrue())
@@ -282,65 +282,65 @@
 	}))
 
 	Describe("of a not-repeatable request", func() {
-		notRepeatable := func() *bench {
-			b := newBench().halves(1)
-			b.request.Key, b.request.Payload = "group1/item1", []byte("tint")
-			b.request.Template.NotRepeatable = true
-			b.spec.Retry = policy.RetrySpec{Policy: policy.RetryImmediate, MaxAttempts: 4}
-			b.spec.Hedge = policy.HedgeSpec{Policy: policy.HedgeFixed, Delay: policy.Duration(time.Millisecond)}
-			return b
+		notRepeatable := func() *fixture {
+			f := newFixture().addTwoGroups(1)
+			f.request.Key, f.request.Payload = "group1/item1", []byte("tint")
+			f.request.Template.NotRepeatable = true
+			f.spec.Retry = policy.RetrySpec{Policy: policy.RetryImmediate, MaxAttempts: 4}
+			f.spec.Hedge = policy.HedgeSpec{Policy: policy.HedgeFixed, Delay: policy.Duration(time.Millisecond)}
+			return f
 		}
-		scriptAll := func(b *bench, behaviour script) {
-			for _, server := range b.world.servers {
-				b.world.scripts[server.ID] = behaviour
+		scriptAll := func(f *fixture, behaviour script) {
+			for _, server := range f.cluster.servers {
+				f.cluster.scripts[server.ID] = behaviour
 			}
 		}
 
 		It("sends it to one server and answers unknown when that is lost", inVirtualTime(func() {
-			b := notRepeatable()
-			scriptAll(b, freeze)
-			_, err := b.execute(nil)
+			f := notRepeatable()
+			scriptAll(f, hang)
+			_, err := f.execute(nil)
 			var failure *outcome.Error
 			Expect(errors.As(err, &failure)).To(BeTrue())
 			Expect(failure.Outcome).To(Equal(outcome.Unknown))
 			Expect(failure.Reason).To(Equal(outcome.ReasonDeadline))
-			Expect(b.world.calls).To(HaveLen(1))
-			Expect(failure.Peer).To(Equal(string(b.world.calls[0].request.Target.Server)))
+			Expect(f.cluster.calls).To(HaveLen(1))
+			Expect(failure.Peer).To(Equal(string(f.cluster.calls[0].request.Target.Server)))
 		}))
 
 		It("tries again after evidence that it did not run", inVirtualTime(func() {
-			b := notRepeatable()
+			f := notRepeatable()
 			shed := refuse(outcome.ReasonShed)
-			scriptAll(b, func(ctx context.Context, request *backend.Request) (*backend.Response, error) {
+			scriptAll(f, func(ctx context.Context, request *backend.Request) (*backend.Response, error) {
 				if request.Attempt < 3 {
 					return shed(ctx, request)
 				}
-				return b.world.respond(ctx, request)
+				return f.cluster.respond(ctx, request)
 			})
-			answer, err := b.execute(nil)
+			answer, err := f.execute(nil)
 			Expect(err).NotTo(HaveOccurred())
-			b.expectAnswer(answer, 1)
+			f.expectAnswer(answer, 1)
 			Expect(answer.ExtraLoad).To(Equal(query.ExtraLoad{Primary: 1, Retries: 2, NotRun: 2, Refused: 2}))
 		}))
 
 		It("does not try again after an answer of the wrong version", inVirtualTime(func() {
-			b := notRepeatable()
-			scriptAll(b, func(_ context.Context, request *backend.Request) (*backend.Response, error) {
+			f := notRepeatable()
+			scriptAll(f, func(_ context.Context, request *backend.Request) (*backend.Response, error) {
 				wrong := request.Target
 				wrong.Version++
-				return b.world.answer(request, wrong), nil
+				return f.cluster.evaluate(request, wrong), nil
 			})
-			_, err := b.execute(nil)
+			_, err := f.execute(nil)
 			Expect(outcome.Of(err)).To(Equal(outcome.Unknown))
 			Expect(outcome.ReasonOf(err)).To(Equal(outcome.ReasonCorruptResponse))
-			Expect(b.world.calls).To(HaveLen(1))
+			Expect(f.cluster.calls).To(HaveLen(1))
 		}))
 	})
 
 	It("rejects a not-repeatable request without a key", inVirtualTime(func() {
-		b := newBench().halves(1)
-		b.request.Template.NotRepeatable = true
-		_, err := b.execute(nil)
+		f := newFixture().addTwoGroups(1)
+		f.request.Template.NotRepeatable = true
+		_, err := f.execute(nil)
 		Expect(outcome.Of(err)).To(Equal(outcome.NotRun))
 		Expect(outcome.ReasonOf(err)).To(Equal(outcome.ReasonInvalid))
 	}))
--- a/pkg/query/executor.go
+++ b/pkg/query/executor.go
@@ -107,25 +107,25 @@
 	if view == nil {
 		return nil, notRun("find service", outcome.ReasonNoReplica, errors.Errorf("service %q is unknown", request.Template.Service))
 	}
-	pinned := e.layouts.of(view).pin(request.Key)
+	pinned := e.layouts.get(view).pin(request.Key)
 	if pinned == nil {
 		return nil, notRun("choose index version", outcome.ReasonNoReplica, errors.Errorf("service %q has no usable server", request.Template.Service))
 	}
 	x := e.begin(ctx, request, partial)
 	defer x.cancel()
-	if err := x.work.Err(); err != nil {
-		return nil, notRun("start", typed(err, "").Reason, err)
+	if err := x.workCtx.Err(); err != nil {
+		return nil, notRun("start", asOutcomeError(err, "").Reason, err)
 	}
 	for {
 		p := newPass(x, view, pinned)
-		ended := p.run()
-		p.close(ended)
-		if ended.restart == nil {
-			return p.finish(ended)
+		result := p.run()
+		p.close(result)
+		if result.restart == nil {
+			return p.finish(result)
 		}
 		x.restarts++
-		e.options.Observer.Restarted(request.Template.Service, pinned.version, ended.restart.version)
-		view, pinned = p.view, ended.restart
+		e.options.Observer.Restarted(request.Template.Service, pinned.version, result.restart.version)
+		view, pinned = p.view, result.restart
 	}
 }
 
@@ -149,16 +149,16 @@
 	request  *Request
 	partial  PartialFunc
 	// caller is the caller's context; work is that of the sub-requests.
-	caller   context.Context
-	work     context.Context
-	cancel   context.CancelFunc
-	started  time.Time
-	deadline time.Time
-	budget   Budget
-	source   rand.PCG
-	random   *rand.Rand
-	load     ExtraLoad
-	restarts int
+	callerCtx context.Context
+	workCtx   context.Context
+	cancel    context.CancelFunc
+	started   time.Time
+	deadline  time.Time
+	budget    Budget
+	generator rand.PCG
+	random    *rand.Rand
+	extraLoad ExtraLoad
+	restarts  int
 	// attempts numbers the sub-requests of the request.
 	attempts uint32
 	// mayHaveRun counts the sub-requests that ran or that may have run.
@@ -170,22 +170,22 @@
 func (e *Executor) begin(ctx context.Context, request *Request, partial PartialFunc) *execution {
 	now := time.Now()
 	x := &execution{
-		executor: e,
-		request:  request,
-		partial:  partial,
-		caller:   ctx,
-		started:  now,
-		deadline: e.stopBefore(ctx, request.Deadline, now),
-		budget:   e.options.Budgets.For(request.Template.Key(), request.Arm, request.Policies.ExtraLoad),
-	}
-	x.source.Seed(e.options.Seed, e.queries.Add(1))
-	x.random = rand.New(&x.source)
-	x.work, x.cancel = context.WithDeadline(ctx, x.deadline)
+		executor:  e,
+		request:   request,
+		partial:   partial,
+		callerCtx: ctx,
+		started:   now,
+		deadline:  e.stopTime(ctx, request.Deadline, now),
+		budget:    e.options.Budgets.For(request.Template.Key(), request.Arm, request.Policies.ExtraLoad),
+	}
+	x.generator.Seed(e.options.Seed, e.queries.Add(1))
+	x.random = rand.New(&x.generator)
+	x.workCtx, x.cancel = context.WithDeadline(ctx, x.deadline)
 	return x
 }
 
-// stopBefore returns the moment at which a query stops to wait.
-func (e *Executor) stopBefore(ctx context.Context, deadline time.Time, now time.Time) time.Time {
+// stopTime returns the moment at which a query stops to wait.
+func (e *Executor) stopTime(ctx context.Context, deadline time.Time, now time.Time) time.Time {
 	if earlier, bounded := ctx.Deadline(); bounded && earlier.Before(deadline) {
 		deadline = earlier
 	}
@@ -200,32 +200,32 @@
 
 // count adds to the sub-requests of a kind. The first sub-requests of a pass
 // after a restart are extra load.
-func (x *execution) count(kind AttemptKind, change int) {
+func (x *execution) countAttempts(kind AttemptKind, change int) {
 	switch {
 	case kind == Hedge:
-		x.load.Hedges += change
+		x.extraLoad.Hedges += change
 	case kind == Retry || x.restarts > 0:
-		x.load.Retries += change
+		x.extraLoad.Retries += change
 	default:
-		x.load.Primary += change
+		x.extraLoad.Primary += change
 	}
 }
 
-// noteFailure remembers the latest failure and the longest wait asked for.
-func (x *execution) noteFailure(err error) {
+// recordFailure remembers the latest failure and the longest wait asked for.
+func (x *execution) recordFailure(err error) {
 	x.lastFailure = err
-	var typed *outcome.Error
-	if errors.As(err, &typed) {
-		x.retryAfter = max(x.retryAfter, typed.RetryAfter)
+	var failure *outcome.Error
+	if errors.As(err, &failure) {
+		x.retryAfter = max(x.retryAfter, failure.RetryAfter)
 	}
 }
 
 // ending says how a pass ended: with a stop reason, with a failure that ends
 // the request, or with the plan of a restart.
-type ending struct {
+type passResult struct {
 	reason  policy.StopReason
 	failure *outcome.Error
 	restart *layout
 	// awaited is the one server whose answer was waited for, if there was one.
-	awaited string
+	awaitedServer string
 }
--- a/pkg/query/extra.go
+++ b/pkg/query/extra.go
@@ -19,11 +19,11 @@
 
 // hedgeTime returns when a sub-request that is sent now is due for a hedge.
 func (p *pass) hedgeTime() time.Duration {
-	if p.hedgeAsked != p.now {
-		p.hedgeAsked = p.now
-		p.hedgeDue = p.computeHedgeTime()
+	if p.hedgeTimeCachedAt != p.now {
+		p.hedgeTimeCachedAt = p.now
+		p.cachedHedgeTime = p.computeHedgeTime()
 	}
-	return p.hedgeDue
+	return p.cachedHedgeTime
 }
 
 func (p *pass) computeHedgeTime() time.Duration {
@@ -58,15 +58,15 @@
 	p.nextDue = min(p.nextDue, part.retryAt)
 }
 
-// fireDue sends the hedges and retries that are due.
-func (p *pass) fireDue() {
+// sendDue sends the hedges and retries that are due.
+func (p *pass) sendDue() {
 	if p.now < p.nextDue {
 		return
 	}
 	p.nextDue = never
 	for i := range p.parts {
 		part := &p.parts[i]
-		if part.status != open {
+		if part.status != partOpen {
 			continue
 		}
 		if part.retryAt <= p.now {
@@ -88,7 +88,7 @@
 	if running == 0 || running > maxHedges || part.attempts >= maxAttempts || !p.hasUntried(part) {
 		return
 	}
-	part.hedgeAt = p.laterHedge()
+	part.hedgeAt = p.nextHedgeTime()
 	if p.isSuspect() {
 		return
 	}
@@ -101,7 +101,7 @@
 // minimumHedgeWait is the least time between two hedges for a part.
 const minimumHedgeWait = time.Millisecond
 
-func (p *pass) laterHedge() time.Duration {
+func (p *pass) nextHedgeTime() time.Duration {
 	return max(p.hedgeTime(), p.now+minimumHedgeWait)
 }
 
@@ -111,7 +111,7 @@
 	part := &p.parts[index]
 	part.retryAt = never
 	p.scheduled--
-	if p.keepBack(index) {
+	if p.holdBack(index) {
 		return
 	}
 	if part.sent == 0 {
@@ -119,7 +119,7 @@
 		return
 	}
 	if !p.execution.budget.TrySpend() {
-		part.status = givenUp
+		part.status = partGivenUp
 		return
 	}
 	p.relaunch(index, Retry, true)
@@ -134,30 +134,30 @@
 	if paid {
 		p.execution.budget.Refund()
 	}
-	p.strand(index)
-	p.afterStranding()
+	p.markUnavailable(index)
+	p.considerRestart()
 }
 
 // failed decides what follows on a sub-request that gave no answer.
-func (p *pass) failed(finished *attempt) {
+func (p *pass) handleFailure(finished *attempt) {
 	x := p.execution
-	x.noteFailure(finished.err)
-	p.noteLost(finished.err)
-	p.account(finished)
+	x.recordFailure(finished.err)
+	p.countLostConnection(finished.err)
+	p.countUnanswered(finished)
 	part := &p.parts[finished.part]
-	result := outcome.Of(finished.err)
+	knownOutcome := outcome.Of(finished.err)
 	if !finished.wasSent() {
-		result = outcome.NotRun
+		knownOutcome = outcome.NotRun
 	}
-	if x.request.Template.NotRepeatable && result != outcome.NotRun {
-		p.fatal = typed(finished.err, finished.request.Target.Server)
+	if x.request.Template.NotRepeatable && knownOutcome != outcome.NotRun {
+		p.fatal = asOutcomeError(finished.err, finished.request.Target.Server)
 		return
 	}
 	if p.isOver() {
 		return
 	}
 	if isStalePlan(finished.err) {
-		p.refuse(finished.request.Target, finished.err)
+		p.recordRefusal(finished.request.Target, finished.err)
 		if part.countRunning() == 0 {
 			p.reroute(finished.part)
 		}
@@ -168,13 +168,13 @@
 	}
 	decision := x.request.Policies.Retry.Decide(policy.RetryState{
 		Attempts:       part.attempts,
-		Outcome:        result,
+		Outcome:        knownOutcome,
 		Reason:         outcome.ReasonOf(finished.err),
 		Remaining:      p.remaining(),
 		TypicalLatency: x.quantile(typicalQuantile),
 	})
 	if !decision.Retry || part.attempts >= maxAttempts {
-		part.status = givenUp
+		part.status = partGivenUp
 		return
 	}
 	p.scheduleRetry(finished.part, decision.Delay)
--- a/pkg/query/failure.go
+++ b/pkg/query/failure.go
@@ -33,10 +33,10 @@
 
 // Errors that a sub-request ends with inside this node.
 var (
-	errMismatch  = errors.New("the answer is of another index version or range than asked")
-	errRepeated  = errors.New("the answer covers a range that is already covered")
-	errOutlasted = errors.New("another replica answered first")
-	errNoAnswer  = errors.New("the client returned neither an answer nor an error")
+	errMismatch       = errors.New("the answer is of another index version or range than asked")
+	errAlreadyCovered = errors.New("the answer covers a range that is already covered")
+	errOvertaken      = errors.New("another replica answered first")
+	errNoAnswer       = errors.New("the client returned neither an answer nor an error")
 )
 
 // Steps that this package names in errors.
@@ -57,7 +57,7 @@
 }
 
 // typed returns err as an *outcome.Error; one without an outcome is Unknown.
-func typed(err error, server target.ServerID) *outcome.Error {
+func asOutcomeError(err error, server target.ServerID) *outcome.Error {
 	var known *outcome.Error
 	if errors.As(err, &known) {
 		return known
--- a/pkg/query/world_test.go
+++ b/pkg/query/fake_cluster_test.go
@@ -44,7 +44,7 @@
 
 // world is a service of servers with an injected fault for some sub-requests.
 // It is the client, the catalog and the limits of the executor under test.
-type world struct {
+type fakeCluster struct {
 	data   *dataset.Dataset
 	faults faults
 
@@ -55,37 +55,37 @@
 	view    *catalog.View     // what the catalog shows, later than the truth
 	calls   []*call
 	// permits counts the permits that are out, for each server.
-	permits   map[target.ServerID]int
-	perServer int
+	permits          map[target.ServerID]int
+	permitsPerServer int
 	// scripts replace the behaviour of single servers.
 	scripts map[target.ServerID]script
 	// reported holds what the executor told the catalog of each server.
-	reported map[target.ServerID][]outcome.Reason
+	reportedFailures map[target.ServerID][]outcome.Reason
 }
 
 // script answers every sub-request of one server.
 type script func(ctx context.Context, request *backend.Request) (*backend.Response, error)
 
-func newWorld(seed uint64, injected faults) *world {
-	w := &world{
-		data:      dataset.New(service, seed, 300),
-		faults:    injected,
-		random:    rand.New(rand.NewPCG(seed, 1)),
-		permits:   map[target.ServerID]int{},
-		scripts:   map[target.ServerID]script{},
-		reported:  map[target.ServerID][]outcome.Reason{},
-		perServer: 1 << 20,
+func newFakeCluster(seed uint64, injected faults) *fakeCluster {
+	cluster := &fakeCluster{
+		data:             dataset.New(service, seed, 300),
+		faults:           injected,
+		random:           rand.New(rand.NewPCG(seed, 1)),
+		permits:          map[target.ServerID]int{},
+		scripts:          map[target.ServerID]script{},
+		reportedFailures: map[target.ServerID][]outcome.Reason{},
+		permitsPerServer: 1 << 20,
 	}
-	return w
+	return cluster
 }
 
 // addGroup adds replicas that hold the ranges at the versions.
-func (w *world) addGroup(group string, replicas int, versions []target.Version, ranges ...keyspace.Range) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (c *fakeCluster) addGroup(group string, replicas int, versions []target.Version, ranges ...keyspace.Range) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	for range replicas {
 		server := &catalog.Server{
-			ID: target.ServerID(fmt.Sprintf("s%03d", len(w.servers))), Service: service, Group: group, Weight: 1,
+			ID: target.ServerID(fmt.Sprintf("s%03d", len(c.servers))), Service: service, Group: group, Weight: 1,
 		}
 		for _, version := range versions {
 			held := backend.Index{Version: version}
@@ -94,117 +94,117 @@
 			}
 			server.Indexes = append(server.Indexes, held)
 		}
-		w.servers = append(w.servers, server)
+		c.servers = append(c.servers, server)
 	}
 }
 
 // setScript replaces the behaviour of a server while requests run.
-func (w *world) setScript(server target.ServerID, behaviour script) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.scripts[server] = behaviour
+func (c *fakeCluster) setScript(server target.ServerID, behaviour script) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.scripts[server] = behaviour
 }
 
 // refresh shows the truth in the catalog.
-func (w *world) refresh() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.view = &catalog.View{Service: service, Servers: slices.Clone(w.servers)}
+func (c *fakeCluster) updateCatalog() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.view = &catalog.View{Service: service, Servers: slices.Clone(c.servers)}
 }
 
 // change replaces a server of the truth by a changed copy.
-func (w *world) change(index int, edit func(*catalog.Server)) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	changed := *w.servers[index]
+func (c *fakeCluster) changeServer(index int, edit func(*catalog.Server)) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	changed := *c.servers[index]
 	changed.Indexes = slices.Clone(changed.Indexes)
 	edit(&changed)
-	w.servers[index] = &changed
+	c.servers[index] = &changed
 }
 
-func (w *world) View(target.Service) *catalog.View {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.view
+func (c *fakeCluster) View(target.Service) *catalog.View {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.view
 }
 
-func (w *world) ReportHints(target.ServerID, backend.Hints) {}
+func (c *fakeCluster) ReportHints(target.ServerID, backend.Hints) {}
 
-func (w *world) ReportResult(server target.ServerID, err error) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (c *fakeCluster) ReportResult(server target.ServerID, err error) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	if err != nil {
-		w.reported[server] = append(w.reported[server], outcome.ReasonOf(err))
+		c.reportedFailures[server] = append(c.reportedFailures[server], outcome.ReasonOf(err))
 	}
 }
 
 // Do runs one sub-request: a way there, the work, a way back.
-func (w *world) Do(ctx context.Context, request *backend.Request) (*backend.Response, error) {
+func (c *fakeCluster) Do(ctx context.Context, request *backend.Request) (*backend.Response, error) {
 	record := &call{request: *request, at: time.Now()}
-	w.mutex.Lock()
-	w.calls = append(w.calls, record)
-	there, back := w.delay(), w.delay()
-	fate := w.random.IntN(100)
-	ignoreCancel := w.random.IntN(100) < w.faults.IgnoreCancel
-	scripted := w.scripts[request.Target.Server]
-	w.mutex.Unlock()
+	c.mutex.Lock()
+	c.calls = append(c.calls, record)
+	requestDelay, responseDelay := c.drawDelay(), c.drawDelay()
+	roll := c.random.IntN(100)
+	ignoreCancel := c.random.IntN(100) < c.faults.IgnoreCancel
+	scripted := c.scripts[request.Target.Server]
+	c.mutex.Unlock()
 	if scripted != nil {
 		return scripted(ctx, request)
 	}
-	response, err := w.serve(ctx, record, fate, ignoreCancel, there, back)
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+	response, err := c.serve(ctx, record, roll, ignoreCancel, requestDelay, responseDelay)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	record.ended, record.reason, record.result = true, outcome.ReasonOf(err), outcome.Of(err)
 	return response, err
 }
 
-func (w *world) serve(ctx context.Context, record *call, fate int, ignoreCancel bool, there, back time.Duration) (*backend.Response, error) {
+func (c *fakeCluster) serve(ctx context.Context, record *call, roll int, ignoreCancel bool, requestDelay, responseDelay time.Duration) (*backend.Response, error) {
 	server := record.request.Target.Server
 	failure := func(result outcome.Outcome, reason outcome.Reason) error {
 		return &outcome.Error{Step: "fake", Peer: string(server), Outcome: result, Reason: reason}
 	}
 	chosen := func(percent int) bool {
-		fate -= percent
-		return fate < 0 && fate >= -percent
+		roll -= percent
+		return roll < 0 && roll >= -percent
 	}
-	if chosen(w.faults.Unreachable) {
+	if chosen(c.faults.Unreachable) {
 		return nil, failure(outcome.NotRun, outcome.ReasonUnreachable)
 	}
-	cancelled := !sleep(ctx, there) && !ignoreCancel
-	if reason := w.refusal(record); reason != "" && !cancelled {
+	cancelled := !sleep(ctx, requestDelay) && !ignoreCancel
+	if reason := c.refusalReason(record); reason != "" && !cancelled {
 		return nil, failure(outcome.NotRun, reason)
 	}
-	if chosen(w.faults.Shed) && !cancelled {
+	if chosen(c.faults.Shed) && !cancelled {
 		return nil, failure(outcome.NotRun, outcome.ReasonShed)
 	}
-	w.mutex.Lock()
+	c.mutex.Lock()
 	record.executed = true
-	w.mutex.Unlock()
-	if chosen(w.faults.Hang) {
+	c.mutex.Unlock()
+	if chosen(c.faults.Hang) {
 		<-ctx.Done()
 		return nil, failure(outcome.Unknown, outcome.ReasonDeadline)
 	}
-	if chosen(w.faults.Straggle) {
-		back *= 20
+	if chosen(c.faults.Straggle) {
+		responseDelay *= 20
 	}
-	if cancelled || !sleep(ctx, back) && !ignoreCancel {
+	if cancelled || !sleep(ctx, responseDelay) && !ignoreCancel {
 		return nil, failure(outcome.Unknown, outcome.ReasonCancelled)
 	}
-	asked := record.request.Target
+	requested := record.request.Target
 	switch {
-	case chosen(w.faults.Lost):
+	case chosen(c.faults.Lost):
 		return nil, failure(outcome.Unknown, outcome.ReasonConnectionLost)
-	case chosen(w.faults.WrongVersion):
-		asked.Version++
-	case chosen(w.faults.WrongRange):
-		asked.Range.Start = asked.Range.Start / 2
-		asked.Range.End = max(asked.Range.End-1, asked.Range.Start+1)
+	case chosen(c.faults.WrongVersion):
+		requested.Version++
+	case chosen(c.faults.WrongRange):
+		requested.Range.Start = requested.Range.Start / 2
+		requested.Range.End = max(requested.Range.End-1, requested.Range.Start+1)
 	}
-	return w.answer(&record.request, asked), nil
+	return c.evaluate(&record.request, requested), nil
 }
 
-func (w *world) answer(request *backend.Request, answered target.Target) *backend.Response {
-	result := w.data.Evaluate(answered.Version, request.Query, []keyspace.Range{answered.Range}, request.Limit)
+func (c *fakeCluster) evaluate(request *backend.Request, answered target.Target) *backend.Response {
+	result := c.data.Evaluate(answered.Version, request.Query, []keyspace.Range{answered.Range}, request.Limit)
 	return &backend.Response{
 		Version: answered.Version, Range: answered.Range,
 		Records: result.Records, Matches: result.Matches, ScoreSum: result.ScoreSum,
@@ -212,21 +212,21 @@
 }
 
 // refusal returns why the server would not run a sub-request now.
-func (w *world) refusal(record *call) outcome.Reason {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	asked := record.request.Target
-	at := slices.IndexFunc(w.servers, func(server *catalog.Server) bool { return server.ID == asked.Server })
-	server := w.servers[at]
+func (c *fakeCluster) refusalReason(record *call) outcome.Reason {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	requested := record.request.Target
+	at := slices.IndexFunc(c.servers, func(server *catalog.Server) bool { return server.ID == requested.Server })
+	server := c.servers[at]
 	if server.State == catalog.Leaving {
 		return outcome.ReasonDraining
 	}
 	for _, held := range server.Indexes {
-		if held.Version != asked.Version {
+		if held.Version != requested.Version {
 			continue
 		}
 		for _, part := range held.Shards {
-			if part.Range.Covers(asked.Range) {
+			if part.Range.Covers(requested.Range) {
 				return ""
 			}
 		}
@@ -236,8 +236,8 @@
 }
 
 // delay draws the time of one way. The mutex is held.
-func (w *world) delay() time.Duration {
-	return time.Duration(100+w.random.IntN(2000)) * time.Microsecond
+func (c *fakeCluster) drawDelay() time.Duration {
+	return time.Duration(100+c.random.IntN(2000)) * time.Microsecond
 }
 
 // sleep waits and reports whether ctx was still alive at the end.
@@ -253,19 +253,19 @@
 	}
 }
 
-func (w *world) TryAcquire(server target.ServerID) (query.Permit, bool) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.permits[server] >= w.perServer {
+func (c *fakeCluster) TryAcquire(server target.ServerID) (query.Permit, bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.permits[server] >= c.permitsPerServer {
 		return nil, false
 	}
-	w.permits[server]++
-	return &permit{world: w, server: server}, true
+	c.permits[server]++
+	return &permit{cluster: c, server: server}, true
 }
 
-func (w *world) Acquire(ctx context.Context, server target.ServerID) (query.Permit, error) {
+func (c *fakeCluster) Acquire(ctx context.Context, server target.ServerID) (query.Permit, error) {
 	for range 3 {
-		if granted, ok := w.TryAcquire(server); ok {
+		if granted, ok := c.TryAcquire(server); ok {
 			return granted, nil
 		}
 		if !sleep(ctx, time.Millisecond) {
@@ -275,55 +275,55 @@
 	return nil, &outcome.Error{Step: "acquire", Outcome: outcome.NotRun, Reason: outcome.ReasonOverloaded, RetryAfter: time.Second}
 }
 
-func (w *world) Observe(server target.ServerID) limit.Observation {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return limit.Observation{InFlight: w.permits[server], Limit: w.perServer}
+func (c *fakeCluster) Observe(server target.ServerID) limit.Observation {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return limit.Observation{InFlight: c.permits[server], Limit: c.permitsPerServer}
 }
 
 type permit struct {
-	world    *world
+	cluster  *fakeCluster
 	server   target.ServerID
 	released bool
 }
 
 func (p *permit) Release(limit.Result) {
-	p.world.mutex.Lock()
-	defer p.world.mutex.Unlock()
+	p.cluster.mutex.Lock()
+	defer p.cluster.mutex.Unlock()
 	if p.released {
 		panic("a permit was released twice")
 	}
 	p.released = true
-	p.world.permits[p.server]--
+	p.cluster.permits[p.server]--
 }
 
 // ledger is a budget that counts what was paid.
-type ledger struct {
+type fakeBudget struct {
 	mutex                 sync.Mutex
 	share                 float64
 	burst, primary, spent int
 }
 
-func (l *ledger) For(template.Key, string, policy.ExtraLoadSpec) query.Budget { return l }
+func (b *fakeBudget) For(template.Key, string, policy.ExtraLoadSpec) query.Budget { return b }
 
-func (l *ledger) Earn(primary int) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.primary += primary
+func (b *fakeBudget) Earn(primary int) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.primary += primary
 }
 
-func (l *ledger) TrySpend() bool {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if float64(l.spent+1) > l.share*float64(l.primary)+float64(l.burst) {
+func (b *fakeBudget) TrySpend() bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if float64(b.spent+1) > b.share*float64(b.primary)+float64(b.burst) {
 		return false
 	}
-	l.spent++
+	b.spent++
 	return true
 }
 
-func (l *ledger) Refund() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.spent--
+func (b *fakeBudget) Refund() {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.spent--
 }
--- a/pkg/query/launch.go
+++ b/pkg/query/launch.go
@@ -18,23 +18,23 @@
 	hedgeAt := p.hedgeTime()
 	primaries := 0
 	for i := range p.pinned.parts {
-		if p.open(&p.pinned.parts[i], hedgeAt) {
+		if p.openPart(&p.pinned.parts[i], hedgeAt) {
 			primaries++
 		}
 	}
 	if p.execution.restarts == 0 {
 		p.execution.budget.Earn(primaries)
 	}
-	p.afterStranding()
+	p.considerRestart()
 }
 
 // open adds a part and sends its first sub-request. It reports whether there
 // was a server to send it to.
-func (p *pass) open(plan *plannedPart, hedgeAt time.Duration) bool {
+func (p *pass) openPart(plan *plannedPart, hedgeAt time.Duration) bool {
 	p.parts = append(p.parts, partState{plan: plan, hedgeAt: never, retryAt: never})
 	index := len(p.parts) - 1
 	if !p.launch(index, Primary, false) {
-		p.strand(index)
+		p.markUnavailable(index)
 		return false
 	}
 	p.scheduleHedge(index, hedgeAt)
@@ -54,16 +54,16 @@
 	part.sent++
 	x := p.execution
 	x.attempts++
-	x.count(kind, 1)
+	x.countAttempts(kind, 1)
 	started := p.newAttempt()
 	started.pass = p
 	started.kind = kind
 	started.part = index
 	started.permit = permit
 	started.paid = paid
-	started.ctx, started.cancel = context.WithCancel(x.work)
+	started.ctx, started.cancel = context.WithCancel(x.workCtx)
 	started.request = p.subRequest(part.plan, part.plan.candidates[candidate].ID)
-	part.keep(started)
+	part.addRunning(started)
 	p.outstanding++
 	go started.run()
 	return true
@@ -97,10 +97,10 @@
 // a free permit it returns the first choice, for which the attempt waits; a
 // hedge does not wait. The index is negative if there is no candidate.
 func (p *pass) choose(part *partState, kind AttemptKind) (int, Permit) {
-	p.collect(part, kind)
+	p.collectCandidates(part, kind)
 	x := p.execution
 	limits := x.executor.options.Limits
-	first := -1
+	firstChoice := -1
 	for len(p.indices) > 0 {
 		chosen := x.request.Policies.Replica.Choose(p.replicas, x.random)
 		if chosen < 0 || chosen >= len(p.indices) {
@@ -111,8 +111,8 @@
 		if free {
 			return candidate, permit
 		}
-		if first < 0 {
-			first = candidate
+		if firstChoice < 0 {
+			firstChoice = candidate
 		}
 		p.indices = slices.Delete(p.indices, chosen, chosen+1)
 		p.replicas = slices.Delete(p.replicas, chosen, chosen+1)
@@ -120,25 +120,25 @@
 	if kind == Hedge {
 		return -1, nil
 	}
-	return first, nil
+	return firstChoice, nil
 }
 
 // collect lists the candidates to choose from: active replicas that were not
 // tried yet, else ejected ones, else (but not for a hedge) those tried before.
-func (p *pass) collect(part *partState, kind AttemptKind) {
+func (p *pass) collectCandidates(part *partState, kind AttemptKind) {
 	p.indices, p.replicas = p.indices[:0], p.replicas[:0]
 	candidates := part.plan.candidates
 	active := part.plan.active
-	p.collectFrom(part, 0, active, false)
+	p.collectCandidatesFrom(part, 0, active, false)
 	if len(p.indices) == 0 {
-		p.collectFrom(part, active, len(candidates), false)
+		p.collectCandidatesFrom(part, active, len(candidates), false)
 	}
 	if len(p.indices) == 0 && kind != Hedge {
-		p.collectFrom(part, 0, len(candidates), true)
+		p.collectCandidatesFrom(part, 0, len(candidates), true)
 	}
 }
 
-func (p *pass) collectFrom(part *partState, from, to int, tried bool) {
+func (p *pass) collectCandidatesFrom(part *partState, from, to int, tried bool) {
 	for i := from; i < to; i++ {
 		if part.tried&(1<<i) != 0 != tried {
 			continue
--- a/pkg/query/layout.go
+++ b/pkg/query/layout.go
@@ -18,10 +18,10 @@
 type layout struct {
 	version target.Version
 	// asked is the range that the parts divide.
-	asked keyspace.Range
-	parts []plannedPart
+	requested keyspace.Range
+	parts     []plannedPart
 	// reachable counts the positions that some server can be asked for.
-	reachable uint32
+	reachableWidth uint32
 }
 
 // skipFunc reports whether a server is not to be asked for a range.
@@ -29,12 +29,12 @@
 
 // newLayout plans the asked range of a version, leaving out what skip (which
 // may be nil) names.
-func newLayout(view *catalog.View, version target.Version, asked keyspace.Range, skip skipFunc) *layout {
-	planned := &layout{version: version, asked: asked}
-	planned.parts = tile(asked, shardsOf(view, version, skip))
+func newLayout(view *catalog.View, version target.Version, requested keyspace.Range, skip skipFunc) *layout {
+	planned := &layout{version: version, requested: requested}
+	planned.parts = tile(requested, shardsOf(view, version, skip))
 	for _, part := range planned.parts {
 		if len(part.candidates) > 0 {
-			planned.reachable += part.keys.Width()
+			planned.reachableWidth += part.keys.Width()
 		}
 	}
 	return planned
@@ -46,9 +46,9 @@
 		if !part.keys.Contains(position) {
 			continue
 		}
-		narrowed := &layout{version: l.version, asked: part.keys, parts: l.parts[i : i+1]}
+		narrowed := &layout{version: l.version, requested: part.keys, parts: l.parts[i : i+1]}
 		if len(part.candidates) > 0 {
-			narrowed.reachable = part.keys.Width()
+			narrowed.reachableWidth = part.keys.Width()
 		}
 		return narrowed
 	}
@@ -58,7 +58,7 @@
 // shardsOf returns the distinct ranges that servers hold at a version, in an
 // order that depends only on the view.
 func shardsOf(view *catalog.View, version target.Version, skip skipFunc) []shard {
-	index := make(map[keyspace.Range]int)
+	shardIndex := make(map[keyspace.Range]int)
 	var shards []shard
 	for _, server := range view.Servers {
 		usable := server.State == catalog.Active || server.State == catalog.Ejected
@@ -70,10 +70,10 @@
 				if !part.Range.Valid() {
 					continue
 				}
-				at, known := index[part.Range]
+				at, known := shardIndex[part.Range]
 				if !known {
 					at = len(shards)
-					index[part.Range] = at
+					shardIndex[part.Range] = at
 					shards = append(shards, shard{group: part.Group, keys: part.Range})
 				}
 				if usable && (skip == nil || !skip(server.ID, part.Range)) {
@@ -143,13 +143,13 @@
 		if key != "" {
 			candidate = candidate.narrow(keyspace.Position(key))
 		}
-		if candidate.reachable == 0 {
+		if candidate.reachableWidth == 0 {
 			continue
 		}
 		if key != "" {
 			return candidate
 		}
-		if best == nil || candidate.reachable > best.reachable {
+		if best == nil || candidate.reachableWidth > best.reachableWidth {
 			best = candidate
 		}
 	}
@@ -168,7 +168,7 @@
 	layouts *layouts
 }
 
-func (c *layoutCache) of(view *catalog.View) *layouts {
+func (c *layoutCache) get(view *catalog.View) *layouts {
 	found, ok := c.services.Load(view.Service)
 	if !ok {
 		found, _ = c.services.LoadOrStore(view.Service, &cachedLayouts{})
--- a/pkg/query/pass.go
+++ b/pkg/query/pass.go
@@ -16,22 +16,22 @@
 // never is a moment after every deadline.
 const never = time.Duration(math.MaxInt64)
 
-// usualReplicas is the number of candidates of a part that room is made for.
-const usualReplicas = 8
+// typicalReplicas is the number of candidates of a part that room is made for.
+const typicalReplicas = 8
 
 // partStatus is the state of one part of a pass.
 type partStatus int
 
 const (
 	// open means that the part is not covered and may yet be.
-	open partStatus = iota
-	covered
+	partOpen partStatus = iota
+	partCovered
 	// stranded means that no server is known to hold the part.
-	stranded
-	// givenUp means that no further sub-request is sent for the part.
-	givenUp
+	partUnavailable
+	// partGivenUp means that no further sub-request is sent for the part.
+	partGivenUp
 	// replaced means that other parts stand for the range of this one.
-	replaced
+	partReplaced
 )
 
 // partState is one part of a pass.
@@ -63,7 +63,7 @@
 }
 
 // drop takes an attempt off the running ones.
-func (s *partState) drop(finished *attempt) {
+func (s *partState) removeRunning(finished *attempt) {
 	for i := range s.running {
 		if s.running[i] == finished {
 			s.running[i] = nil
@@ -72,7 +72,7 @@
 }
 
 // keep puts an attempt among the running ones.
-func (s *partState) keep(started *attempt) {
+func (s *partState) addRunning(started *attempt) {
 	for i := range s.running {
 		if s.running[i] == nil {
 			s.running[i] = started
@@ -93,27 +93,27 @@
 	slab []attempt
 
 	covered     keyspace.Set
-	merged      top
+	merged      topRecords
 	matches     uint64
 	scoreSum    int64
 	outstanding int
 	// scheduled counts the parts with a retry to come.
 	scheduled int
-	// strandedParts counts the parts that no known server holds.
-	strandedParts int
+	// unavailableParts counts the parts that no known server holds.
+	unavailableParts int
 	// lost counts the sub-requests whose server broke the connection, and trials those that
-	// were sent although the request was suspect for that; see keepBack.
-	lost   int
-	trials int
+	// were sent although the request was suspect for that; see holdBack.
+	lostConnections int
+	trials          int
 	// refused is what servers said that they do not serve.
-	refused []refusal
-	fatal   *outcome.Error
-	restart *layout
+	refusals []refusal
+	fatal    *outcome.Error
+	restart  *layout
 
 	// now is the time since the start of the execution at the current event.
 	now time.Duration
-	// reachedAt is when the coverage reached the stop rule's target share.
-	reachedAt time.Duration
+	// targetReachedAt is when the coverage reached the stop rule's target share.
+	targetReachedAt time.Duration
 	// nextDue is the earliest hedge or retry; recheckAt is when the stop rule
 	// wants to be asked again.
 	nextDue   time.Duration
@@ -121,13 +121,13 @@
 	// timer wakes the event loop at timerDue.
 	timer    *time.Timer
 	timerDue time.Duration
-	// hedgeDue is what hedgeTime returned at hedgeAsked.
-	hedgeDue   time.Duration
-	hedgeAsked time.Duration
+	// cachedHedgeTime is what hedgeTime returned at hedgeTimeCachedAt.
+	cachedHedgeTime   time.Duration
+	hedgeTimeCachedAt time.Duration
 	// fresh is true if parts were covered since the last partial.
-	fresh         bool
-	nextPartialAt time.Duration
-	announced     bool
+	partialPending bool
+	nextPartialAt  time.Duration
+	partialSent    bool
 
 	// replicas and indices are scratch space for the choice of a replica.
 	replicas []policy.ReplicaState
@@ -136,69 +136,69 @@
 
 func newPass(x *execution, view *catalog.View, pinned *layout) *pass {
 	return &pass{
-		execution:  x,
-		inbox:      newInbox(),
-		view:       view,
-		pinned:     pinned,
-		merged:     newTop(x.request.Limit),
-		reachedAt:  never,
-		nextDue:    never,
-		recheckAt:  never,
-		hedgeAsked: never,
-		timerDue:   never,
-		replicas:   make([]policy.ReplicaState, 0, usualReplicas),
-		indices:    make([]int, 0, usualReplicas),
+		execution:         x,
+		inbox:             newInbox(),
+		view:              view,
+		pinned:            pinned,
+		merged:            newTopRecords(x.request.Limit),
+		targetReachedAt:   never,
+		nextDue:           never,
+		recheckAt:         never,
+		hedgeTimeCachedAt: never,
+		timerDue:          never,
+		replicas:          make([]policy.ReplicaState, 0, typicalReplicas),
+		indices:           make([]int, 0, typicalReplicas),
 	}
 }
 
 // run fans out and waits until the pass ends.
-func (p *pass) run() ending {
+func (p *pass) run() passResult {
 	p.tick()
 	p.fanOut()
 	p.timer = time.AfterFunc(never, p.inbox.wake)
 	defer p.timer.Stop()
-	defer context.AfterFunc(p.execution.caller, p.inbox.wake)()
+	defer context.AfterFunc(p.execution.callerCtx, p.inbox.wake)()
 	for {
-		if ended, done := p.decide(); done {
-			ended.awaited = p.awaited()
-			return ended
+		if result, done := p.decide(); done {
+			result.awaitedServer = p.soleRunningServer()
+			return result
 		}
 		p.sendPartial()
 		p.wait()
 		p.tick()
-		p.absorb()
-		p.proceed()
+		p.processFinished()
+		p.sendFurther()
 	}
 }
 
 // proceed sends what is due, unless the request is over.
-func (p *pass) proceed() {
+func (p *pass) sendFurther() {
 	if p.isOver() {
 		return
 	}
-	p.fireDue()
-	p.revisit()
+	p.sendDue()
+	p.retryUnavailable()
 }
 
 // isOver reports whether the deadline has come or the caller has cancelled.
 // Sub-requests that fail because of that are not tried again.
 func (p *pass) isOver() bool {
-	return p.remaining() <= 0 || p.execution.caller.Err() != nil
+	return p.remaining() <= 0 || p.execution.callerCtx.Err() != nil
 }
 
 // tick reads the clock.
 func (p *pass) tick() { p.now = time.Since(p.execution.started) }
 
 // total is the time from the start of the execution to its deadline.
-func (x *execution) total() time.Duration { return x.deadline.Sub(x.started) }
+func (x *execution) totalTime() time.Duration { return x.deadline.Sub(x.started) }
 
 // remaining is the time until the deadline.
-func (p *pass) remaining() time.Duration { return p.execution.total() - p.now }
+func (p *pass) remaining() time.Duration { return p.execution.totalTime() - p.now }
 
 // wait blocks until something happens or is due.
 func (p *pass) wait() {
-	due := min(p.execution.total(), p.nextDue, p.recheckAt)
-	if p.fresh && p.execution.partial != nil {
+	due := min(p.execution.totalTime(), p.nextDue, p.recheckAt)
+	if p.partialPending && p.execution.partial != nil {
 		due = min(due, p.nextPartialAt)
 	}
 	if due != p.timerDue || due <= p.now {
@@ -212,83 +212,83 @@
 }
 
 // decide tells whether the pass has ended, and how.
-func (p *pass) decide() (ending, bool) {
+func (p *pass) decide() (passResult, bool) {
 	x := p.execution
 	switch {
-	case x.caller.Err() != nil && p.covered.Width() < p.pinned.asked.Width():
-		return ending{failure: p.cancelled()}, true
+	case x.callerCtx.Err() != nil && p.covered.Width() < p.pinned.requested.Width():
+		return passResult{failure: p.cancellation()}, true
 	case p.fatal != nil:
-		return ending{failure: p.fatal}, true
-	case p.covered.Width() == p.pinned.asked.Width():
-		return ending{reason: policy.StopAllParts}, true
+		return passResult{failure: p.fatal}, true
+	case p.covered.Width() == p.pinned.requested.Width():
+		return passResult{reason: policy.StopAllParts}, true
 	case p.remaining() <= 0:
-		return ending{reason: policy.StopDeadline}, true
+		return passResult{reason: policy.StopDeadline}, true
 	case p.restart != nil:
-		return ending{restart: p.restart}, true
+		return passResult{restart: p.restart}, true
 	case p.outstanding == 0 && p.scheduled == 0:
-		return ending{reason: policy.StopExhausted}, true
+		return passResult{reason: policy.StopExhausted}, true
 	case x.request.Template.NotRepeatable:
-		return ending{}, false
+		return passResult{}, false
 	}
 	decision := x.request.Policies.Stop.Decide(p.progress())
 	if decision.Stop {
-		return ending{reason: decision.Reason}, true
+		return passResult{reason: decision.Reason}, true
 	}
 	p.recheckAt = never
 	if decision.Recheck > 0 {
 		p.recheckAt = p.now + decision.Recheck
 	}
-	return ending{}, false
+	return passResult{}, false
 }
 
 func (p *pass) progress() policy.Progress {
 	progress := policy.Progress{
 		CoveredWidth: p.covered.Width(),
-		TotalWidth:   p.pinned.asked.Width(),
-		Records:      p.merged.taken,
+		TotalWidth:   p.pinned.requested.Width(),
+		Records:      p.merged.received,
 		Outstanding:  p.outstanding,
 		Elapsed:      p.now,
 		Remaining:    p.remaining(),
 	}
-	if p.reachedAt == never && progress.Share() >= p.execution.request.Policies.Stop.TargetShare() {
-		p.reachedAt = p.now
+	if p.targetReachedAt == never && progress.Share() >= p.execution.request.Policies.Stop.TargetShare() {
+		p.targetReachedAt = p.now
 	}
-	if p.reachedAt != never {
-		progress.SinceCoverage = p.now - p.reachedAt
+	if p.targetReachedAt != never {
+		progress.SinceCoverage = p.now - p.targetReachedAt
 	}
 	return progress
 }
 
 // absorb takes in the attempts that have finished.
-func (p *pass) absorb() {
+func (p *pass) processFinished() {
 	for finished := p.inbox.take(); finished != nil; finished = finished.next {
-		p.settle(finished)
+		p.processAttempt(finished)
 	}
 }
 
 // settle takes in one finished attempt.
-func (p *pass) settle(finished *attempt) {
+func (p *pass) processAttempt(finished *attempt) {
 	if finished.detached {
-		p.dropLate(finished)
+		p.countLate(finished)
 		return
 	}
 	p.outstanding--
 	part := &p.parts[finished.part]
-	part.drop(finished)
+	part.removeRunning(finished)
 	if finished.err == nil && !p.covered.Add(finished.response.Range) {
 		finished.observer().CorruptResponse(finished.request.Target.Service, finished.request.Target.Server)
-		finished.err = unknown(stepCheck, finished.request.Target.Server, outcome.ReasonCorruptResponse, errRepeated)
+		finished.err = unknown(stepCheck, finished.request.Target.Server, outcome.ReasonCorruptResponse, errAlreadyCovered)
 	}
 	if finished.err != nil {
-		p.failed(finished)
+		p.handleFailure(finished)
 		return
 	}
 	p.execution.mayHaveRun++
 	p.merge(finished.response)
-	part.status = covered
+	part.status = partCovered
 	for _, running := range part.running {
 		if running != nil {
-			p.release(running, finished.outran(running))
+			p.discardRunning(running, finished.endStateOf(running))
 		}
 	}
 }
@@ -298,31 +298,31 @@
 	p.merged.add(response.Records)
 	p.matches += response.Matches
 	p.scoreSum += response.ScoreSum
-	p.fresh = true
+	p.partialPending = true
 }
 
 // release ends an attempt that is no longer wanted.
-func (p *pass) release(running *attempt, cause attemptState) {
+func (p *pass) discardRunning(running *attempt, state attemptState) {
 	p.outstanding--
-	p.parts[running.part].drop(running)
-	if running.end(cause) {
-		p.uncount(running)
+	p.parts[running.part].removeRunning(running)
+	if running.discard(state) {
+		p.uncountUnsent(running)
 	} else {
 		p.execution.mayHaveRun++
 	}
 }
 
 // uncount takes back an attempt that was never sent.
-func (p *pass) uncount(unsent *attempt) {
-	p.execution.count(unsent.kind, -1)
+func (p *pass) uncountUnsent(unsent *attempt) {
+	p.execution.countAttempts(unsent.kind, -1)
 	p.parts[unsent.part].sent--
 	if unsent.paid {
 		p.execution.budget.Refund()
 	}
 }
 
-// dropLate counts an answer that is no longer wanted.
-func (p *pass) dropLate(finished *attempt) {
+// countLate counts an answer that is no longer wanted.
+func (p *pass) countLate(finished *attempt) {
 	if finished.err == nil {
 		finished.observer().LateResponse(finished.request.Target.Service)
 	}
@@ -330,40 +330,40 @@
 
 // close ends what still runs. Answers that arrive from now on are dropped by
 // their own goroutines.
-func (p *pass) close(ended ending) {
-	cause := stopped
-	if ended.reason == policy.StopDeadline {
-		cause = expired
+func (p *pass) close(result passResult) {
+	state := attemptStopped
+	if result.reason == policy.StopDeadline {
+		state = attemptExpired
 	}
 	for finished := p.inbox.close(); finished != nil; finished = finished.next {
-		p.dropLate(finished)
+		p.countLate(finished)
 		if finished.detached {
 			continue
 		}
 		p.outstanding--
-		p.parts[finished.part].drop(finished)
-		p.account(finished)
+		p.parts[finished.part].removeRunning(finished)
+		p.countUnanswered(finished)
 	}
 	for i := range p.parts {
 		for _, running := range p.parts[i].running {
 			if running != nil {
-				p.release(running, cause)
+				p.discardRunning(running, state)
 			}
 		}
 	}
 }
 
 // account counts the end of an attempt that gave no answer to merge.
-func (p *pass) account(finished *attempt) {
+func (p *pass) countUnanswered(finished *attempt) {
 	switch outcome.ReasonOf(finished.err) {
 	case outcome.ReasonShed, outcome.ReasonOverloaded:
-		p.execution.load.Refused++
+		p.execution.extraLoad.Refused++
 	}
 	switch {
 	case !finished.wasSent():
-		p.uncount(finished)
+		p.uncountUnsent(finished)
 	case outcome.Of(finished.err) == outcome.NotRun:
-		p.execution.load.NotRun++
+		p.execution.extraLoad.NotRun++
 	default:
 		p.execution.mayHaveRun++
 	}
--- a/pkg/query/property_test.go
+++ b/pkg/query/property_test.go
@@ -24,30 +24,30 @@
 func TestExecuteKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		drawn := drawScenario(rt)
-		var found []string
-		synctest.Test(t, func(*testing.T) { found = drawn.run() })
-		if len(found) > 0 {
-			rt.Fatalf("%d violations:\n%s", len(found), found)
+		var violations []string
+		synctest.Test(t, func(*testing.T) { violations = drawn.run() })
+		if len(violations) > 0 {
+			rt.Fatalf("%d violations:\n%s", len(violations), violations)
 		}
 	})
 }
 
 // check returns the violations of one result.
-func (s scenario) check(w *world, got *result) []string {
-	var found []string
+func (s scenario) check(cluster *fakeCluster, got *result) []string {
+	var violations []string
 	report := func(format string, arguments ...any) {
-		found = append(found, fmt.Sprintf(got.request.ID+": "+format+"\n", arguments...))
+		violations = append(violations, fmt.Sprintf(got.request.ID+": "+format+"\n", arguments...))
 	}
 	if got.ended.After(got.request.Deadline) || got.ended.Sub(got.started) > got.caller.CancelAfter {
 		report("ended %s after the start", got.ended.Sub(got.started))
 	}
-	calls := w.callsOf(got.request.ID)
+	calls := cluster.callsOf(got.request.ID)
 	executed := 0
-	for _, made := range calls {
-		if made.executed {
+	for _, sub := range calls {
+		if sub.executed {
 			executed++
 		}
-		if spent := made.at.Sub(got.started); spent >= got.caller.Deadline-got.caller.Deadline/10 && spent >= got.caller.Deadline-query.DefaultAnswerMargin || spent >= got.caller.CancelAfter {
+		if spent := sub.at.Sub(got.started); spent >= got.caller.Deadline-got.caller.Deadline/10 && spent >= got.caller.Deadline-query.DefaultAnswerMargin || spent >= got.caller.CancelAfter {
 			report("a sub-request was sent after %s", spent)
 		}
 	}
@@ -64,14 +64,14 @@
 	if got.caller.NotRepeatable && load.Hedges > 0 {
 		report("not repeatable and hedged")
 	}
-	s.checkPartials(w, got, restarts, report)
+	s.checkPartials(cluster, got, restarts, report)
 	if got.answer == nil {
-		return found
+		return violations
 	}
 	answer := got.answer
-	s.checkContent(w, got, answer.Version, answer.Coverage, answer.Records, report)
+	s.checkContent(cluster, got, answer.Version, answer.Coverage, answer.Records, report)
 	covered := coveredRanges(answer.Coverage)
-	want := w.data.Evaluate(answer.Version, got.caller.Query, covered, got.caller.Limit)
+	want := cluster.data.Evaluate(answer.Version, got.caller.Query, covered, got.caller.Limit)
 	if answer.Matches != want.Matches || answer.ScoreSum != want.ScoreSum {
 		report("totals %d and %d, want %d and %d", answer.Matches, answer.ScoreSum, want.Matches, want.ScoreSum)
 	}
@@ -87,7 +87,7 @@
 	if got.caller.Key != "" && !answer.Coverage.Requested.Contains(keyspace.Position(got.caller.Key)) {
 		report("asked %s does not hold the key", answer.Coverage.Requested)
 	}
-	return found
+	return violations
 }
 
 // load returns the extra load of a result and whether it is known.
@@ -112,9 +112,9 @@
 }
 
 // checkContent compares records and coverage with the oracle.
-func (s scenario) checkContent(w *world, got *result, version target.Version, coverage query.Coverage, records []backend.Record, report func(string, ...any)) {
+func (s scenario) checkContent(cluster *fakeCluster, got *result, version target.Version, coverage query.Coverage, records []backend.Record, report func(string, ...any)) {
 	covered := coveredRanges(coverage)
-	want := w.data.Evaluate(version, got.caller.Query, covered, got.caller.Limit)
+	want := cluster.data.Evaluate(version, got.caller.Query, covered, got.caller.Limit)
 	if len(records)+len(want.Records) > 0 && !reflect.DeepEqual(records, want.Records) {
 		report("version %d, coverage %+v: records %v, want %v", version, coverage, records, want.Records)
 	}
@@ -131,10 +131,10 @@
 }
 
 // checkPartials checks that early states are true and only grow.
-func (s scenario) checkPartials(w *world, got *result, restarts int, report func(string, ...any)) {
+func (s scenario) checkPartials(cluster *fakeCluster, got *result, restarts int, report func(string, ...any)) {
 	var last query.Partial
 	for i, early := range got.partials {
-		s.checkContent(w, got, early.Version, early.Coverage, early.Records, report)
+		s.checkContent(cluster, got, early.Version, early.Coverage, early.Records, report)
 		if i > 0 && !early.Restarted && (early.Version != last.Version || early.Coverage.CoveredWidth <= last.Coverage.CoveredWidth) {
 			report("partial %+v after %+v", early.Coverage, last.Coverage)
 		}
@@ -149,56 +149,56 @@
 }
 
 // checkTotals checks what holds for all requests together.
-func (s scenario) checkTotals(w *world, account *ledger, results []*result) []string {
-	var found []string
-	for server, out := range w.permits {
+func (s scenario) checkTotals(cluster *fakeCluster, budget *fakeBudget, results []*result) []string {
+	var violations []string
+	for server, out := range cluster.permits {
 		if out != 0 {
-			found = append(found, fmt.Sprintf("%d permits of %s are still out\n", out, server))
+			violations = append(violations, fmt.Sprintf("%d permits of %s are still out\n", out, server))
 		}
 	}
-	extra, free := 0, 0
+	extra, unpaid := 0, 0
 	for _, got := range results {
 		load, _ := got.load()
 		extra += load.Hedges + load.Retries
-		free += freeRetries(w.callsOf(got.request.ID))
+		unpaid += unpaidRetries(cluster.callsOf(got.request.ID))
 	}
-	if extra > account.spent+free || account.spent > extra {
-		found = append(found, fmt.Sprintf("%d extra sub-requests, %d paid, at most %d free\n", extra, account.spent, free))
+	if extra > budget.spent+unpaid || budget.spent > extra {
+		violations = append(violations, fmt.Sprintf("%d extra sub-requests, %d paid, at most %d free\n", extra, budget.spent, unpaid))
 	}
-	if float64(account.spent) > account.share*float64(account.primary)+float64(account.burst) {
-		found = append(found, fmt.Sprintf("spent %d of the budget %+v\n", account.spent, account))
+	if float64(budget.spent) > budget.share*float64(budget.primary)+float64(budget.burst) {
+		violations = append(violations, fmt.Sprintf("spent %d of the budget %+v\n", budget.spent, budget))
 	}
-	return found
+	return violations
 }
 
-// freeRetries counts the sub-requests that may have followed on a refusal
+// unpaidRetries counts the sub-requests that may have followed on a refusal
 // because the plan no longer fitted, and so are not paid: those for a range
 // that was refused so before, and those of a restart.
-func freeRetries(calls []*call) int {
-	free := 0
-	for i, made := range calls {
+func unpaidRetries(calls []*call) int {
+	unpaid := 0
+	for i, sub := range calls {
 		refused := slices.ContainsFunc(calls[:i], func(earlier *call) bool {
-			if earlier.request.Target.Version < made.request.Target.Version {
+			if earlier.request.Target.Version < sub.request.Target.Version {
 				return true
 			}
 			stale := earlier.reason == outcome.ReasonDraining || earlier.reason == outcome.ReasonVersionGone || earlier.reason == outcome.ReasonRangeNotHeld
-			return stale && earlier.request.Target.Range.Covers(made.request.Target.Range)
+			return stale && earlier.request.Target.Range.Covers(sub.request.Target.Range)
 		})
 		if refused {
-			free++
+			unpaid++
 		}
 	}
-	return free
+	return unpaid
 }
 
 // callsOf returns the sub-requests of one request.
-func (w *world) callsOf(id string) []*call {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (c *fakeCluster) callsOf(id string) []*call {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	var found []*call
-	for _, made := range w.calls {
-		if made.request.RequestID == id {
-			found = append(found, made)
+	for _, sub := range c.calls {
+		if sub.request.RequestID == id {
+			found = append(found, sub)
 		}
 	}
 	return found
--- a/pkg/query/replan.go
+++ b/pkg/query/replan.go
@@ -15,7 +15,7 @@
 func (p *pass) reroute(index int) {
 	part := &p.parts[index]
 	if part.attempts >= maxAttempts {
-		part.status = givenUp
+		part.status = partGivenUp
 		return
 	}
 	if p.currentView() == p.view && p.hasUntried(part) {
@@ -23,7 +23,7 @@
 		return
 	}
 	p.replan(index)
-	p.afterStranding()
+	p.considerRestart()
 }
 
 // rerouteKind is Primary while nothing was sent for the part.
@@ -55,25 +55,25 @@
 type refusal struct {
 	server target.ServerID
 	// everything is true if the server serves nothing of the version.
-	everything bool
+	wholeVersion bool
 	// keys is the range that was asked.
 	keys keyspace.Range
 }
 
 // refuse remembers a refusal because the plan no longer fits.
-func (p *pass) refuse(asked target.Target, err error) {
-	p.refused = append(p.refused, refusal{
-		server:     asked.Server,
-		everything: outcome.ReasonOf(err) != outcome.ReasonRangeNotHeld,
-		keys:       asked.Range,
+func (p *pass) recordRefusal(refused target.Target, err error) {
+	p.refusals = append(p.refusals, refusal{
+		server:       refused.Server,
+		wholeVersion: outcome.ReasonOf(err) != outcome.ReasonRangeNotHeld,
+		keys:         refused.Range,
 	})
 }
 
 // isRefused reports whether the server said that it does not serve the range.
 // One that does not hold a range may still hold a piece of it.
 func (p *pass) isRefused(server target.ServerID, keys keyspace.Range) bool {
-	return slices.ContainsFunc(p.refused, func(refused refusal) bool {
-		return refused.server == server && (refused.everything || keys.Covers(refused.keys))
+	return slices.ContainsFunc(p.refusals, func(refused refusal) bool {
+		return refused.server == server && (refused.wholeVersion || keys.Covers(refused.keys))
 	})
 }
 
@@ -85,21 +85,21 @@
 func (p *pass) replan(index int) {
 	p.view = p.currentView()
 	old := p.parts[index]
-	if old.status == stranded {
-		p.strandedParts--
+	if old.status == partUnavailable {
+		p.unavailableParts--
 	}
-	fresh := newLayout(p.view, p.pinned.version, old.plan.keys, p.isRefused)
-	if fresh.reachable == 0 {
-		p.strand(index)
+	replanned := newLayout(p.view, p.pinned.version, old.plan.keys, p.isRefused)
+	if replanned.reachableWidth == 0 {
+		p.markUnavailable(index)
 		return
 	}
 	if p.execution.request.Key != "" {
-		fresh = fresh.narrow(keyspace.Position(p.execution.request.Key))
-		p.pinned = fresh
+		replanned = replanned.narrow(keyspace.Position(p.execution.request.Key))
+		p.pinned = replanned
 	}
-	p.parts[index].status = replaced
-	for i := range fresh.parts {
-		p.openPiece(&old, &fresh.parts[i])
+	p.parts[index].status = partReplaced
+	for i := range replanned.parts {
+		p.openPiece(&old, &replanned.parts[i])
 	}
 }
 
@@ -107,7 +107,7 @@
 func (p *pass) openPiece(old *partState, plan *plannedPart) {
 	p.parts = append(p.parts, partState{
 		plan:     plan,
-		tried:    triedOf(old, plan),
+		tried:    carryOverTried(old, plan),
 		attempts: old.attempts,
 		sent:     old.sent,
 		hedgeAt:  never,
@@ -115,15 +115,15 @@
 	})
 	index := len(p.parts) - 1
 	if !p.launch(index, p.rerouteKind(old), false) {
-		p.strand(index)
+		p.markUnavailable(index)
 		return
 	}
 	p.scheduleHedge(index, p.hedgeTime())
 }
 
-// triedOf returns the bits of the new plan's candidates that were tried for
+// carryOverTried returns the bits of the new plan's candidates that were tried for
 // the old part.
-func triedOf(old *partState, plan *plannedPart) uint64 {
+func carryOverTried(old *partState, plan *plannedPart) uint64 {
 	var tried uint64
 	for i, server := range plan.candidates {
 		at := slices.IndexFunc(old.plan.candidates, func(known *catalog.Server) bool { return known.ID == server.ID })
@@ -135,25 +135,25 @@
 }
 
 // strand marks a part that no known server holds at the pinned version.
-func (p *pass) strand(index int) {
-	p.parts[index].status = stranded
-	p.strandedParts++
+func (p *pass) markUnavailable(index int) {
+	p.parts[index].status = partUnavailable
+	p.unavailableParts++
 }
 
-// afterStranding looks for a newer version to restart on, if some part is out
+// considerRestart looks for a newer version to restart on, if some part is out
 // of reach at the pinned one.
-func (p *pass) afterStranding() {
-	if p.strandedParts == 0 || !p.mayRestart() {
+func (p *pass) considerRestart() {
+	if p.unavailableParts == 0 || !p.mayRestart() {
 		return
 	}
-	reachable := p.reachable()
+	reachable := p.reachableWidth()
 	x := p.execution
 	view := p.currentView()
-	newest := x.executor.layouts.of(view).pin(x.request.Key)
+	newest := x.executor.layouts.get(view).pin(x.request.Key)
 	if newest == nil || newest.version <= p.pinned.version {
 		return
 	}
-	if newest.reachable == newest.asked.Width() || newest.reachable > reachable {
+	if newest.reachableWidth == newest.requested.Width() || newest.reachableWidth > reachable {
 		p.view = view
 		p.restart = newest
 	}
@@ -161,11 +161,11 @@
 
 // reachable counts the positions that servers hold at the pinned version. A
 // part that was given up counts: a restart is no way round the retry policy.
-func (p *pass) reachable() uint32 {
+func (p *pass) reachableWidth() uint32 {
 	var width uint32
 	for i := range p.parts {
 		switch p.parts[i].status {
-		case open, covered, givenUp:
+		case partOpen, partCovered, partGivenUp:
 			width += p.parts[i].plan.keys.Width()
 		}
 	}
@@ -182,7 +182,7 @@
 		return false
 	case x.request.Template.NotRepeatable && (x.mayHaveRun > 0 || p.outstanding > 0):
 		return false
-	case float64(p.remaining()) < options.RestartShare*float64(x.total()):
+	case float64(p.remaining()) < options.RestartShare*float64(x.totalTime()):
 		return false
 	default:
 		return p.remaining() > x.quantile(typicalQuantile)
@@ -190,15 +190,15 @@
 }
 
 // revisit tries the stranded parts again if the catalog has news.
-func (p *pass) revisit() {
-	if p.strandedParts == 0 || p.currentView() == p.view {
+func (p *pass) retryUnavailable() {
+	if p.unavailableParts == 0 || p.currentView() == p.view {
 		return
 	}
 	p.view = p.currentView()
 	for i := range len(p.parts) {
-		if p.parts[i].status == stranded && p.parts[i].attempts < maxAttempts {
+		if p.parts[i].status == partUnavailable && p.parts[i].attempts < maxAttempts {
 			p.replan(i)
 		}
 	}
-	p.afterStranding()
+	p.considerRestart()
 }
--- a/pkg/query/scenario_test.go
+++ b/pkg/query/scenario_test.go
@@ -24,7 +24,7 @@
 	Kind   int
 	Server int
 	// Shown is how much later the catalog shows the change.
-	Shown time.Duration
+	CatalogDelay time.Duration
 }
 
 // The kinds of events.
@@ -38,8 +38,8 @@
 	eventKinds
 )
 
-// offGrid keeps cancellations away from the moments at which other things happen.
-const offGrid = 37 * time.Microsecond
+// cancelOffset keeps cancellations away from the moments at which other things happen.
+const cancelOffset = 37 * time.Microsecond
 
 // caller is one request of a scenario.
 type caller struct {
@@ -68,8 +68,8 @@
 
 func drawScenario(t *rapid.T) scenario {
 	percent := rapid.OneOf(rapid.Just(0), rapid.IntRange(0, 25))
-	millis := func(most int) *rapid.Generator[time.Duration] {
-		return rapid.Map(rapid.IntRange(0, most*10), func(tenths int) time.Duration { return time.Duration(tenths) * 100 * time.Microsecond })
+	millis := func(maximum int) *rapid.Generator[time.Duration] {
+		return rapid.Map(rapid.IntRange(0, maximum*10), func(tenths int) time.Duration { return time.Duration(tenths) * 100 * time.Microsecond })
 	}
 	return scenario{
 		Seed:      rapid.Uint64Range(0, 1<<20).Draw(t, "seed"),
@@ -85,20 +85,20 @@
 		Events: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) event {
 			return event{
 				At: millis(8).Draw(t, "at"), Kind: rapid.IntRange(0, eventKinds-1).Draw(t, "kind"),
-				Server: rapid.IntRange(0, 30).Draw(t, "server"), Shown: millis(6).Draw(t, "shown"),
+				Server: rapid.IntRange(0, 30).Draw(t, "server"), CatalogDelay: millis(6).Draw(t, "shown"),
 			}
 		}), 0, 8).Draw(t, "events"),
 		Callers: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) caller {
-			made := caller{
+			drawn := caller{
 				At: millis(5).Draw(t, "at"), Deadline: millis(40).Draw(t, "deadline"),
-				CancelAfter: rapid.OneOf(rapid.Just(time.Hour), millis(10)).Draw(t, "cancel") + offGrid,
+				CancelAfter: rapid.OneOf(rapid.Just(time.Hour), millis(10)).Draw(t, "cancel") + cancelOffset,
 				Key:         rapid.SampledFrom([]string{"", "", "group1/item1", "group5/item21"}).Draw(t, "key"),
 				Query:       rapid.SampledFrom([]string{"", "group1", "group1/item1"}).Draw(t, "query"),
 				Limit:       rapid.IntRange(0, 12).Draw(t, "limit"), Minimum: rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "minimum"),
 				Stream: rapid.Bool().Draw(t, "stream"),
 			}
-			made.NotRepeatable = made.Key != "" && rapid.Bool().Draw(t, "not repeatable")
-			return made
+			drawn.NotRepeatable = drawn.Key != "" && rapid.Bool().Draw(t, "not repeatable")
+			return drawn
 		}), 1, 4).Draw(t, "callers"),
 		Policies: policy.Spec{
 			Replica: policy.ReplicaSpec{Policy: rapid.SampledFrom([]string{"random", "least_in_flight", "two_choices"}).Draw(t, "replica")},
@@ -114,24 +114,24 @@
 }
 
 // build makes the world of a scenario. Two versions are served at first.
-func (s scenario) build() *world {
-	w := newWorld(s.Seed, s.Faults)
-	w.perServer = s.PerServer
+func (s scenario) newCluster() *fakeCluster {
+	cluster := newFakeCluster(s.Seed, s.Faults)
+	cluster.permitsPerServer = s.PerServer
 	for i, keys := range keyspace.Split(s.Groups) {
-		w.addGroup(fmt.Sprintf("g%d", i), s.Replicas, []target.Version{1, 2}, keys)
+		cluster.addGroup(fmt.Sprintf("g%d", i), s.Replicas, []target.Version{1, 2}, keys)
 		if s.Overlaps && i%2 == 0 {
-			w.addGroup(fmt.Sprintf("o%d", i), 1, []target.Version{2}, keyspace.Range{Start: keys.Start / 2, End: keys.End - keys.Width()/3})
+			cluster.addGroup(fmt.Sprintf("o%d", i), 1, []target.Version{2}, keyspace.Range{Start: keys.Start / 2, End: keys.End - keys.Width()/3})
 		}
 	}
-	w.refresh()
-	return w
+	cluster.updateCatalog()
+	return cluster
 }
 
 // apply carries out an event.
-func (w *world) apply(happened event) {
-	index := happened.Server % len(w.servers)
-	w.change(index, func(server *catalog.Server) {
-		switch happened.Kind {
+func (c *fakeCluster) apply(change event) {
+	index := change.Server % len(c.servers)
+	c.changeServer(index, func(server *catalog.Server) {
+		switch change.Kind {
 		case eventDrain:
 			server.State = catalog.Leaving
 		case eventEject:
@@ -145,34 +145,34 @@
 			}
 		case eventSplit, eventMerge:
 			for i := range server.Indexes {
-				server.Indexes[i].Shards = repartition(server.Indexes[i].Shards, happened)
+				server.Indexes[i].Shards = repartition(server.Indexes[i].Shards, change)
 			}
 		}
 	})
-	if happened.Kind == eventRetire {
-		for i := range w.servers {
-			w.change(i, func(server *catalog.Server) {
-				if len(server.Indexes) > 1 && server.Indexes[0].Version == target.Version(1+happened.Server%2) {
+	if change.Kind == eventRetire {
+		for i := range c.servers {
+			c.changeServer(i, func(server *catalog.Server) {
+				if len(server.Indexes) > 1 && server.Indexes[0].Version == target.Version(1+change.Server%2) {
 					server.Indexes = server.Indexes[1:]
 				}
 			})
 		}
 	}
-	time.Sleep(happened.Shown)
-	w.refresh()
+	time.Sleep(change.CatalogDelay)
+	c.updateCatalog()
 }
 
 // repartition returns a half of the first shard, or one twice as wide.
-func repartition(shards []backend.Shard, happened event) []backend.Shard {
+func repartition(shards []backend.Shard, change event) []backend.Shard {
 	changed := slices.Clone(shards)
 	keys := changed[0].Range
 	middle := keys.Start + keys.Width()/2
 	switch {
-	case happened.Kind == eventMerge:
+	case change.Kind == eventMerge:
 		changed[0].Range = keyspace.Range{Start: keys.Start, End: min(keys.End+keys.Width(), keyspace.Size)}
-	case happened.Server%3 == 0:
+	case change.Server%3 == 0:
 		changed[0].Range.End = max(middle, keys.Start+1)
-	case happened.Server%3 == 1:
+	case change.Server%3 == 1:
 		changed[0].Range.Start = middle
 	default:
 		changed[0].Range.End = max(middle, keys.Start+1)
@@ -194,33 +194,33 @@
 
 // run runs a scenario and returns every violation found.
 func (s scenario) run() []string {
-	w, account := s.build(), &ledger{share: s.ExtraShare, burst: s.Burst}
+	cluster, budget := s.newCluster(), &fakeBudget{share: s.ExtraShare, burst: s.Burst}
 	policies, err := policy.Build(s.Policies)
 	if err != nil {
 		return []string{err.Error()}
 	}
-	executor := query.New(query.Options{Client: w, Catalog: w, Limits: w, Budgets: account, Seed: s.Seed})
+	executor := query.New(query.Options{Client: cluster, Catalog: cluster, Limits: cluster, Budgets: budget, Seed: s.Seed})
 	for _, planned := range s.Events {
 		go func() {
 			time.Sleep(planned.At)
-			w.apply(planned)
+			cluster.apply(planned)
 		}()
 	}
 	results := make([]*result, len(s.Callers))
 	for i, planned := range s.Callers {
 		results[i] = &result{caller: planned}
-		go results[i].ask(executor, policies, fmt.Sprintf("q%d", i))
+		go results[i].execute(executor, policies, fmt.Sprintf("q%d", i))
 	}
 	time.Sleep(time.Minute)
 	synctest.Wait()
-	var found []string
+	var violations []string
 	for _, got := range results {
-		found = append(found, s.check(w, got)...)
+		violations = append(violations, s.check(cluster, got)...)
 	}
-	return append(found, s.checkTotals(w, account, results)...)
+	return append(violations, s.checkTotals(cluster, budget, results)...)
 }
 
-func (r *result) ask(executor *query.Executor, policies policy.Set, id string) {
+func (r *result) execute(executor *query.Executor, policies policy.Set, id string) {
 	time.Sleep(r.caller.At)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/pkg/query/kept_back_test.go
+++ b/pkg/query/suspect_test.go
@@ -21,40 +21,40 @@
 }
 
 // eighths adds eight groups of three servers, and lets requests be tried again.
-func (b *bench) eighths() *bench {
+func (f *fixture) addEightGroups() *fixture {
 	for i, keys := range keyspace.Split(8) {
-		b.world.addGroup(string(rune('a'+i)), 3, []target.Version{1}, keys)
+		f.cluster.addGroup(string(rune('a'+i)), 3, []target.Version{1}, keys)
 	}
-	b.world.refresh()
-	b.budget.burst = 1000
-	b.spec.Retry = policy.RetrySpec{Policy: policy.RetryDeadlineAware, MaxAttempts: 3}
-	return b
+	f.cluster.updateCatalog()
+	f.budget.burst = 1000
+	f.spec.Retry = policy.RetrySpec{Policy: policy.RetryDeadlineAware, MaxAttempts: 3}
+	return f
 }
 
 var _ = Describe("A request under which servers end", func() {
 	It("is not sent to a second server of each part, but tried twice", inVirtualTime(func() {
-		b := newBench().eighths()
+		f := newFixture().addEightGroups()
 		var ended atomic.Int64
-		for _, server := range b.world.servers {
-			b.world.scripts[server.ID] = after(time.Millisecond, func(ctx context.Context, request *backend.Request) (*backend.Response, error) {
+		for _, server := range f.cluster.servers {
+			f.cluster.scripts[server.ID] = delayed(time.Millisecond, func(ctx context.Context, request *backend.Request) (*backend.Response, error) {
 				ended.Add(1)
 				return loseConnection(ctx, request)
 			})
 		}
-		_, err := b.execute(nil)
+		_, err := f.execute(nil)
 		Expect(outcome.Of(err)).To(Equal(outcome.Unknown))
 		Expect(ended.Load()).To(BeNumerically("<=", 8+2+2), "two ends are retried at once, and two trials")
 	}))
 
 	It("is answered by the others if it was there by chance", inVirtualTime(func() {
-		b := newBench().eighths()
+		f := newFixture().addEightGroups()
 		// The first server of each group ends, whatever it runs.
-		for number := 0; number < len(b.world.servers); number += 3 {
-			b.world.scripts[b.world.servers[number].ID] = after(time.Millisecond, loseConnection)
+		for number := 0; number < len(f.cluster.servers); number += 3 {
+			f.cluster.scripts[f.cluster.servers[number].ID] = delayed(time.Millisecond, loseConnection)
 		}
-		b.spec.Replica.Policy = "first_candidate"
-		answer, err := b.execute(nil)
+		f.spec.Replica.Policy = "first_candidate"
+		answer, err := f.execute(nil)
 		Expect(err).NotTo(HaveOccurred())
-		b.expectAnswer(answer, 1)
+		f.expectAnswer(answer, 1)
 	}))
 })
--- a/pkg/query/tiling.go
+++ b/pkg/query/tiling.go
@@ -43,7 +43,7 @@
 	parts    int
 }
 
-func (c cost) plus(part plannedPart) cost {
+func (c cost) add(part plannedPart) cost {
 	width := part.keys.Width()
 	c.parts++
 	if part.cut {
@@ -80,32 +80,32 @@
 //
 // The division is a shortest path over the boundaries of the shards, from the
 // start to the end of the asked range; each usable part is an edge.
-func tile(asked keyspace.Range, shards []shard) []plannedPart {
-	edges := clipTo(asked, shards)
-	bounds := boundaries(asked, edges)
+func tile(requested keyspace.Range, shards []shard) []plannedPart {
+	edges := clipTo(requested, shards)
+	bounds := boundaries(requested, edges)
 	edges = append(edges, pieces(bounds, edges)...)
 	slices.SortStableFunc(edges, func(a, b plannedPart) int { return int(a.keys.Start) - int(b.keys.Start) })
 	return shortestPath(bounds, edges)
 }
 
 // clipTo returns the shards that overlap asked, cut to it.
-func clipTo(asked keyspace.Range, shards []shard) []plannedPart {
+func clipTo(requested keyspace.Range, shards []shard) []plannedPart {
 	var edges []plannedPart
 	for _, held := range shards {
-		if !held.keys.Overlaps(asked) {
+		if !held.keys.Overlaps(requested) {
 			continue
 		}
-		edge := plannedPart{shard: held, cut: !asked.Covers(held.keys)}
-		edge.keys.Start = max(held.keys.Start, asked.Start)
-		edge.keys.End = min(held.keys.End, asked.End)
+		edge := plannedPart{shard: held, cut: !requested.Covers(held.keys)}
+		edge.keys.Start = max(held.keys.Start, requested.Start)
+		edge.keys.End = min(held.keys.End, requested.End)
 		edges = append(edges, edge)
 	}
 	return edges
 }
 
 // boundaries returns the distinct ends of the edges and of asked, ascending.
-func boundaries(asked keyspace.Range, edges []plannedPart) []uint32 {
-	bounds := []uint32{asked.Start, asked.End}
+func boundaries(requested keyspace.Range, edges []plannedPart) []uint32 {
+	bounds := []uint32{requested.Start, requested.End}
 	for _, edge := range edges {
 		bounds = append(bounds, edge.keys.Start, edge.keys.End)
 	}
@@ -156,15 +156,15 @@
 		cost cost
 		edge int
 	}
-	const unreached = -1
+	const noEdge = -1
 	best := make(map[uint32]step, len(bounds))
-	best[bounds[0]] = step{edge: unreached}
+	best[bounds[0]] = step{edge: noEdge}
 	for index, edge := range edges {
 		from, reached := best[edge.keys.Start]
 		if !reached {
 			continue
 		}
-		total := from.cost.plus(edge)
+		total := from.cost.add(edge)
 		known, seen := best[edge.keys.End]
 		if !seen || total.less(known.cost) {
 			best[edge.keys.End] = step{cost: total, edge: index}
--- a/pkg/query/tiling_test.go
+++ b/pkg/query/tiling_test.go
@@ -39,18 +39,18 @@
 }
 
 // bestCost finds the least cost by trying every division at sixteenths.
-func bestCost(asked keyspace.Range, edges []plannedPart) cost {
-	if asked.Width() == 0 {
+func bestCost(requested keyspace.Range, edges []plannedPart) cost {
+	if requested.Width() == 0 {
 		return cost{}
 	}
 	var best cost
 	found := false
 	for _, edge := range edges {
-		if edge.keys.Start != asked.Start || edge.keys.End > asked.End {
+		if edge.keys.Start != requested.Start || edge.keys.End > requested.End {
 			continue
 		}
-		rest := bestCost(keyspace.Range{Start: edge.keys.End, End: asked.End}, edges)
-		total := cost{}.plus(edge)
+		rest := bestCost(keyspace.Range{Start: edge.keys.End, End: requested.End}, edges)
+		total := cost{}.add(edge)
 		total = cost{missing: total.missing + rest.missing, cut: total.cut + rest.cut, scarcity: total.scarcity + rest.scarcity, parts: total.parts + rest.parts}
 		if !found || total.less(best) {
 			best, found = total, true
@@ -63,32 +63,32 @@
 	rapid.Check(t, func(t *rapid.T) {
 		shards := drawShards(t)
 		start := rapid.Uint32Range(0, 15).Draw(t, "asked start")
-		asked := sixteenths(start, rapid.Uint32Range(start+1, 16).Draw(t, "asked end"))
-		parts := tile(asked, shards)
-		next := asked.Start
+		requested := sixteenths(start, rapid.Uint32Range(start+1, 16).Draw(t, "asked end"))
+		parts := tile(requested, shards)
+		next := requested.Start
 		var total cost
 		for _, part := range parts {
 			if part.keys.Start != next || !part.keys.Valid() {
-				t.Fatalf("%v does not divide %s", parts, asked)
+				t.Fatalf("%v does not divide %s", parts, requested)
 			}
 			next = part.keys.End
-			total = total.plus(part)
-			checkHolders(t, part, shards)
+			total = total.add(part)
+			checkCandidates(t, part, shards)
 		}
-		if next != asked.End {
-			t.Fatalf("%v does not reach the end of %s", parts, asked)
+		if next != requested.End {
+			t.Fatalf("%v does not reach the end of %s", parts, requested)
 		}
-		checkReach(t, parts, shards)
-		edges := clipTo(asked, shards)
-		edges = append(edges, pieces(boundaries(asked, edges), edges)...)
-		if best := bestCost(asked, edges); best.less(total) {
+		checkReachability(t, parts, shards)
+		edges := clipTo(requested, shards)
+		edges = append(edges, pieces(boundaries(requested, edges), edges)...)
+		if best := bestCost(requested, edges); best.less(total) {
 			t.Fatalf("cost %+v, but %+v is possible", total, best)
 		}
 	})
 }
 
-// checkHolders checks that each candidate holds the part as a whole.
-func checkHolders(t *rapid.T, part plannedPart, shards []shard) {
+// checkCandidates checks that each candidate holds the part as a whole.
+func checkCandidates(t *rapid.T, part plannedPart, shards []shard) {
 	for _, candidate := range part.candidates {
 		holds := false
 		for _, held := range shards {
@@ -102,8 +102,8 @@
 	}
 }
 
-// checkReach checks that every position that some server holds can be asked.
-func checkReach(t *rapid.T, parts []plannedPart, shards []shard) {
+// checkReachability checks that every position that some server holds can be asked.
+func checkReachability(t *rapid.T, parts []plannedPart, shards []shard) {
 	for _, part := range parts {
 		for _, held := range shards {
 			if len(part.candidates) == 0 && len(held.candidates) > 0 && held.keys.Overlaps(part.keys) {
--- a/pkg/query/top.go
+++ b/pkg/query/top.go
@@ -10,25 +10,25 @@
 // top keeps the best records of many lists. Its cost is low because most
 // records of a wide query fall below the worst one that can still be wanted.
 // It is not safe for concurrent use.
-type top struct {
+type topRecords struct {
 	// limit is the number of records wanted; all if zero or less.
 	limit   int
 	records []backend.Record
 	// taken counts the records of all parts.
-	taken int
+	received int
 	// full is true once records[limit-1] bounds what can still be wanted.
 	full  bool
 	worst backend.Record
 }
 
-// reservedRecords bounds the records for which room is made at the start.
-const reservedRecords = 256
+// maxReservedRecords bounds the records for which room is made at the start.
+const maxReservedRecords = 256
 
-func newTop(limit int) top {
+func newTopRecords(limit int) topRecords {
 	if limit <= 0 {
-		return top{}
+		return topRecords{}
 	}
-	return top{limit: limit, records: make([]backend.Record, 0, 2*min(limit, reservedRecords/2))}
+	return topRecords{limit: limit, records: make([]backend.Record, 0, 2*min(limit, maxReservedRecords/2))}
 }
 
 // compareRecords orders by score, highest first, ties by key.
@@ -40,8 +40,8 @@
 }
 
 // add takes the records of one more part, in any order.
-func (t *top) add(records []backend.Record) {
-	t.taken += len(records)
+func (t *topRecords) add(records []backend.Record) {
+	t.received += len(records)
 	if t.limit <= 0 {
 		t.records = append(t.records, records...)
 		return
@@ -52,13 +52,13 @@
 		}
 		t.records = append(t.records, records[i])
 		if len(t.records) >= 2*t.limit {
-			t.shrink()
+			t.trim()
 		}
 	}
 }
 
 // shrink sorts the records and drops those beyond the limit.
-func (t *top) shrink() {
+func (t *topRecords) trim() {
 	slices.SortFunc(t.records, compareRecords)
 	if t.limit <= 0 || len(t.records) < t.limit {
 		return
@@ -70,7 +70,7 @@
 
 // sorted returns the best records so far. The slice is valid until the next
 // add.
-func (t *top) sorted() []backend.Record {
-	t.shrink()
+func (t *topRecords) sorted() []backend.Record {
+	t.trim()
 	return t.records
 }
