--- a/pkg/directory/changes.go
+++ b/pkg/directory/changes.go
@@ -11,33 +11,33 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// hearTimes takes the moments in an answer to a question that was asked at a
+// learnTimes takes the moments in an answer to a question that was asked at a
 // moment, and returns when the other node knew all that the store held; zero if
 // it does not tell. A node that learns from others what has gone must know, like
 // them, whether the store has been away.
-func (p *Peers) hearTimes(reply *directorypb.ChangesReply, asked time.Time) time.Time {
+func (p *Peers) learnTimes(reply *directorypb.ChangesReply, askedAt time.Time) time.Time {
 	if reply.RegainedAgeMs != nil && p.follower.Role() == PeerPoller {
-		p.follower.hearOutage(outageOf(reply, asked))
+		p.follower.learnOutage(outageFrom(reply, askedAt))
 	}
 	if reply.KnownAgeMs == nil || p.incomplete {
 		return time.Time{}
 	}
-	return momentOf(asked, reply.KnownAgeMs)
+	return timeFromAge(askedAt, reply.KnownAgeMs)
 }
 
-// outageOf returns the outage that an answer to a question tells of; one that began too
+// outageFrom returns the outage that an answer to a question tells of; one that began too
 // long ago to be told began longer ago than anything that this node remembers.
-func outageOf(reply *directorypb.ChangesReply, asked time.Time) outage {
-	heard := outage{from: asked.Add(-greatestToldAge), to: momentOf(asked, reply.RegainedAgeMs)}
+func outageFrom(reply *directorypb.ChangesReply, askedAt time.Time) outage {
+	reported := outage{from: askedAt.Add(-maxReportedAge), to: timeFromAge(askedAt, reply.RegainedAgeMs)}
 	if reply.LostAgeMs != nil {
-		heard.from = momentOf(asked, reply.LostAgeMs)
+		reported.from = timeFromAge(askedAt, reply.LostAgeMs)
 	}
-	return heard
+	return reported
 }
 
-// momentOf returns the moment that an answer to a question tells as an age.
-func momentOf(asked time.Time, ageMillis *uint32) time.Time {
-	return asked.Add(-time.Duration(*ageMillis) * time.Millisecond)
+// timeFromAge returns the moment that an answer to a question tells as an age.
+func timeFromAge(askedAt time.Time, ageMillis *uint32) time.Time {
+	return askedAt.Add(-time.Duration(*ageMillis) * time.Millisecond)
 }
 
 // coverageOf returns what the last answer tells.
@@ -60,31 +60,31 @@
 func (p *Peers) decode(item *directorypb.Item) Entry {
 	entry := p.follower.source.Decode(item.Key, item.Value, item.Revision)
 	if item.Gone {
-		return entry.end(item.Revision)
+		return entry.gone(item.Revision)
 	}
 	return entry
 }
 
 // answer tells another node what it does not know.
-func (p *Peers) answer(_ context.Context, from target.NodeID, body []byte) (proto.Message, error) {
+func (p *Peers) handleChanges(_ context.Context, from target.NodeID, body []byte) (proto.Message, error) {
 	request := &directorypb.ChangesRequest{}
 	if err := request.UnmarshalVT(body); err != nil {
 		return nil, errors.Wrap(err, "decode question for changes")
 	}
 	// Read before the replica, which may know more by then.
-	knownAt := p.follower.ConfirmedAt()
+	confirmedAt := p.follower.ConfirmedAt()
 	batch, covered, continues := p.changesFor(request)
 	isAhead := request.Era > batch.Era || request.Era == batch.Era && request.After > batch.Revision
-	if isAhead && !p.follower.isFirstCall() {
+	if isAhead && !p.follower.isStoreUntried() {
 		select {
 		case p.ahead <- from:
 		default:
 		}
 	}
-	lapse := p.follower.lastOutage()
+	recentOutage := p.follower.lastOutage()
 	reply := &directorypb.ChangesReply{
 		Era: batch.Era, Revision: batch.Revision, Full: covered != allChanges, Continues: continues, AwaitsPeers: p.follower.AwaitsPeers(),
-		KnownAgeMs: ageMillis(knownAt), RegainedAgeMs: ageMillis(lapse.to), LostAgeMs: ageMillis(lapse.from),
+		KnownAgeMs: ageMillis(confirmedAt), RegainedAgeMs: ageMillis(recentOutage.to), LostAgeMs: ageMillis(recentOutage.from),
 	}
 	for _, each := range batch.gaps {
 		reply.Gaps = append(reply.Gaps, &directorypb.Gap{From: each.from, To: each.to})
@@ -94,7 +94,7 @@
 			Key: entry.Key, Value: entry.Value, Revision: entry.Revision, Gone: entry.Gone,
 		})
 	}
-	p.tellEarlier(request, reply)
+	p.addRetained(request, reply)
 	return reply, nil
 }
 
@@ -107,7 +107,7 @@
 	case request.Era > position.Era:
 		return Batch{Era: position.Era, Revision: position.Revision}, allChanges, false
 	case request.Era < position.Era:
-		if batch, known := p.follower.replica.continuing(Position{Era: request.Era, Revision: request.After}); known {
+		if batch, known := p.follower.replica.diffSince(Position{Era: request.Era, Revision: request.After}); known {
 			return batch, allChanges, true
 		}
 		after = 0
@@ -116,35 +116,35 @@
 	return batch, covered, false
 }
 
-// tellEarlier adds the states from before the era that the other node does not hold.
-func (p *Peers) tellEarlier(request *directorypb.ChangesRequest, reply *directorypb.ChangesReply) {
-	reply.EraAgeMs = ageMillis(p.follower.replica.eraBegan())
-	if request.EarlierDigest == p.follower.replica.earlierDigest() && request.Era <= reply.Era {
+// addRetained adds the states from before the era that the other node does not hold.
+func (p *Peers) addRetained(request *directorypb.ChangesRequest, reply *directorypb.ChangesReply) {
+	reply.EraAgeMs = ageMillis(p.follower.replica.eraStartedAt())
+	if request.EarlierDigest == p.follower.replica.retainedDigest() && request.Era <= reply.Era {
 		return
 	}
 	for _, state := range p.follower.replica.statesForEra(request.Era) {
 		reply.Earlier = append(reply.Earlier, &directorypb.Item{
-			Key: state.entry.Key, Value: state.entry.Value, Revision: state.written, Gone: state.entry.Gone, Era: state.entry.Era,
+			Key: state.entry.Key, Value: state.entry.Value, Revision: state.lastWrite, Gone: state.entry.Gone, Era: state.entry.Era,
 		})
 	}
 }
 
-// hearEarlier takes the states from before the era in an answer to a question of a moment. A node
+// applyRetained takes the states from before the era in an answer to a question of a moment. A node
 // that has been running knows what was in force, so that one which has just started need not wait.
-func (p *Peers) hearEarlier(reply *directorypb.ChangesReply, asked time.Time) {
-	states := make([]earlierState, 0, len(reply.Earlier))
+func (p *Peers) applyRetained(reply *directorypb.ChangesReply, askedAt time.Time) {
+	states := make([]retainedState, 0, len(reply.Earlier))
 	for _, item := range reply.Earlier {
 		entry := p.decode(item)
 		entry.Era = item.Era
-		states = append(states, earlierState{entry: entry, written: item.Revision})
+		states = append(states, retainedState{entry: entry, lastWrite: item.Revision})
 	}
-	var since time.Time
+	var eraStart time.Time
 	if reply.EraAgeMs != nil && reply.Era == p.follower.replica.position().Era {
-		since = momentOf(asked, reply.EraAgeMs)
+		eraStart = timeFromAge(askedAt, reply.EraAgeMs)
 	}
-	p.follower.replica.learnEarlier(states, since, p.follower.writeBackWithin(), time.Now())
+	p.follower.replica.learnRetained(states, eraStart, p.follower.writeBackSpan(), time.Now())
 	if reply.Revision > 0 && !reply.AwaitsPeers {
-		p.follower.endAwaitingPeers()
+		p.follower.stopAwaitingPeers()
 	}
 }
 
@@ -152,7 +152,7 @@
 // or too long ago to matter.
 func ageMillis(at time.Time) *uint32 {
 	age := time.Since(at)
-	if at.IsZero() || age > greatestToldAge {
+	if at.IsZero() || age > maxReportedAge {
 		return nil
 	}
 	millis := uint32(max(0, age).Milliseconds())
--- a/pkg/directory/contact.go
+++ b/pkg/directory/contact.go
@@ -12,17 +12,17 @@
 const (
 	contactUnknown contact = iota
 	contactLost
-	contactHeld
+	contactEstablished
 )
 
-// regainedByOthers notes that other nodes have read the store since it did not
+// noteRegainedByPeers notes that other nodes have read the store since it did not
 // answer this one.
-func (f *Follower) regainedByOthers() {
+func (f *Follower) noteRegainedByPeers() {
 	f.mutex.Lock()
 	isLost := f.contact == contactLost
 	if isLost {
-		f.contact = contactHeld
-		f.last = outage{from: f.lostSince, to: time.Now()}
+		f.contact = contactEstablished
+		f.latestOutage = outage{from: f.outageStart, to: time.Now()}
 	}
 	f.mutex.Unlock()
 	if isLost {
@@ -39,22 +39,22 @@
 	if f.contact == contactLost {
 		return now.Add(settle)
 	}
-	if f.last.to.IsZero() {
+	if f.latestOutage.to.IsZero() {
 		return time.Time{}
 	}
-	return f.last.to.Add(settle)
+	return f.latestOutage.to.Add(settle)
 }
 
 // inContact reports whether the store answered the last call.
 func (f *Follower) inContact() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.contact == contactHeld
+	return f.contact == contactEstablished
 }
 
-// isFirstCall reports whether the store has neither answered nor failed yet: a
+// isStoreUntried reports whether the store has neither answered nor failed yet: a
 // starting node reads everything there rather than from a peer.
-func (f *Follower) isFirstCall() bool {
+func (f *Follower) isStoreUntried() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.contact == contactUnknown
@@ -69,7 +69,7 @@
 
 // lost takes that a call to the store failed. It tells of the first failure in a row, and of each
 // that is of another kind than the one before.
-func (f *Follower) lost(cause error) {
+func (f *Follower) noteStoreLost(cause error) {
 	before, kind := f.setContact(contactLost), kindOfFailure(cause)
 	if before != contactLost || kind != f.failureKind {
 		f.listener.Dependency(storeDependency, false, cause)
@@ -99,8 +99,8 @@
 	return failureOther
 }
 
-func (f *Follower) regained() {
-	if f.setContact(contactHeld) != contactHeld {
+func (f *Follower) noteStoreRegained() {
+	if f.setContact(contactEstablished) != contactEstablished {
 		f.listener.Dependency(storeDependency, true, nil)
 	}
 }
@@ -111,26 +111,26 @@
 	defer f.mutex.Unlock()
 	before := f.contact
 	f.contact = now
-	if now == contactHeld {
+	if now == contactEstablished {
 		f.contactAt = time.Now()
 	}
 	if now == contactLost {
-		f.lostAt = time.Now()
+		f.failedAt = time.Now()
 	}
 	if now == contactLost && before != contactLost {
-		f.lostSince = f.lostAt
+		f.outageStart = f.failedAt
 	}
-	if now == contactHeld && before == contactLost {
-		f.last = outage{from: f.lostSince, to: f.contactAt}
+	if now == contactEstablished && before == contactLost {
+		f.latestOutage = outage{from: f.outageStart, to: f.contactAt}
 	}
 	return before
 }
 
 // Constants of what another node's loss of the store says about the store.
 const (
-	// agesDiffer is by how much two moments may be in the wrong order that other nodes
+	// ageTolerance is by how much two moments may be in the wrong order that other nodes
 	// tell as ages: the way of an answer between regions, and a busy process.
-	agesDiffer = 200 * time.Millisecond
+	ageTolerance = 200 * time.Millisecond
 	// confirmationSpacing and maxConfirmations bound what is remembered: 8 s.
 	confirmationSpacing = 250 * time.Millisecond
 	maxConfirmations    = 32
@@ -140,26 +140,26 @@
 // none.
 type outage struct{ from, to time.Time }
 
-// hearOutage takes when the store did not answer a node that this one learns from. What
+// learnOutage takes when the store did not answer a node that this one learns from. What
 // went missing then may be written again soon, for this node too; unless the store is known
 // to have answered others meanwhile, so that the other node alone was cut off from it. Each
 // healed cut would otherwise keep servers that have left in use at all nodes.
-func (f *Follower) hearOutage(heard outage) {
+func (f *Follower) learnOutage(reported outage) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.wasKnown(heard.from.Add(agesDiffer), heard.to.Add(-agesDiffer)) {
+	if f.wasConfirmedBetween(reported.from.Add(ageTolerance), reported.to.Add(-ageTolerance)) {
 		return
 	}
-	if heard.to.After(f.last.to) {
-		f.last = heard
+	if reported.to.After(f.latestOutage.to) {
+		f.latestOutage = reported
 	}
 }
 
-// lastOutage returns when the store did not answer last; see outage.
+// recentOutage returns when the store did not answer last; see outage.
 func (f *Follower) lastOutage() outage {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.last
+	return f.latestOutage
 }
 
 // noteConfirmation remembers a moment at which the store is known to have answered. The
@@ -174,9 +174,9 @@
 	f.confirmations = append(f.confirmations, at)
 }
 
-// wasKnown reports whether the store is known to have answered between two moments. The
+// wasConfirmedBetween reports whether the store is known to have answered between two moments. The
 // mutex is held.
-func (f *Follower) wasKnown(from, to time.Time) bool {
+func (f *Follower) wasConfirmedBetween(from, to time.Time) bool {
 	for _, at := range f.confirmations {
 		if at.After(from) && at.Before(to) {
 			return true
--- a/pkg/directory/contact_test.go
+++ b/pkg/directory/contact_test.go
@@ -23,8 +23,8 @@
 		}
 	}
 	cut := outage{from: at(7), to: at(18)}
-	inTouch.hearOutage(cut)
+	inTouch.learnOutage(cut)
 	g.Expect(inTouch.AbsenceUncertainUntil(settle, at(18.1))).To(BeZero())
-	cutOff.hearOutage(cut)
+	cutOff.learnOutage(cut)
 	g.Expect(cutOff.AbsenceUncertainUntil(settle, at(18.1))).To(Equal(at(22)))
 }
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -19,18 +19,18 @@
 )
 
 // history is a store for tests, whose answers can be withheld.
-type history struct {
+type fakeStore struct {
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
 	events  []Entry
 	changed chan struct{}
-	fail    error
+	failure error
 	// slow is how long one reading of everything takes.
-	slow time.Duration
+	loadDelay time.Duration
 	// deaf makes watches hear nothing.
-	deaf bool
+	watchesSilent bool
 	// forgotten is the revision up to which changes are forgotten.
-	forgotten uint64
+	compactedUpTo uint64
 	// era rises with each restore, writes with each write: it is the value that is written.
 	era    uint64
 	writes int
@@ -41,10 +41,10 @@
 	watches int
 }
 
-func newHistory() *history { return &history{changed: make(chan struct{})} }
+func newFakeStore() *fakeStore { return &fakeStore{changed: make(chan struct{})} }
 
 // set runs a change of the store's state and wakes its watches.
-func (h *history) set(change func()) {
+func (h *fakeStore) update(change func()) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	change()
@@ -52,9 +52,9 @@
 	h.changed = make(chan struct{})
 }
 
-func (h *history) write(key string, gone bool) uint64 {
+func (h *fakeStore) write(key string, gone bool) uint64 {
 	var revision uint64
-	h.set(func() {
+	h.update(func() {
 		revision = uint64(len(h.events) + 1)
 		h.events = append(h.events, Entry{Key: key, Revision: revision, Gone: gone, Value: []byte(strconv.Itoa(h.writes))})
 		h.writes++
@@ -63,23 +63,23 @@
 }
 
 // restore brings the store back from a copy that holds so many changes.
-func (h *history) restore(changes int) {
-	h.set(func() {
+func (h *fakeStore) restore(changes int) {
+	h.update(func() {
 		h.events = slices.Clone(h.events[:changes])
 		h.era++
 	})
 }
 
-func (h *history) Load(_ context.Context, fresh bool) (Batch, error) {
+func (h *fakeStore) Load(_ context.Context, fresh bool) (Batch, error) {
 	h.mutex.Lock()
-	slow := h.slow
+	loadDelay := h.loadDelay
 	h.mutex.Unlock()
-	time.Sleep(slow)
+	time.Sleep(loadDelay)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.loads++
-	if h.fail != nil {
-		return Batch{}, h.fail
+	if h.failure != nil {
+		return Batch{}, h.failure
 	}
 	events := h.events
 	if !fresh {
@@ -99,7 +99,7 @@
 	return batch, nil
 }
 
-func (h *history) Watch(ctx context.Context, after uint64, wait time.Duration) (Batch, error) {
+func (h *fakeStore) Watch(ctx context.Context, after uint64, wait time.Duration) (Batch, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	h.mutex.Lock()
@@ -108,18 +108,18 @@
 	for {
 		h.mutex.Lock()
 		batch := Batch{Era: h.era, Revision: uint64(len(h.events))}
-		fail, deaf, changed := h.fail, h.deaf, h.changed
-		if after < h.forgotten || after > uint64(len(h.events)) {
-			fail = ErrHistoryGone
+		failure, watchesSilent, changed := h.failure, h.watchesSilent, h.changed
+		if after < h.compactedUpTo || after > uint64(len(h.events)) {
+			failure = ErrHistoryGone
 		}
 		if after < uint64(len(h.events)) {
 			batch.Entries = append(batch.Entries, h.events[after:]...)
 		}
 		h.mutex.Unlock()
-		if fail != nil && !deaf {
-			return Batch{}, fail
+		if failure != nil && !watchesSilent {
+			return Batch{}, failure
 		}
-		if len(batch.Entries) > 0 && !deaf {
+		if len(batch.Entries) > 0 && !watchesSilent {
 			return batch, nil
 		}
 		select {
@@ -133,13 +133,13 @@
 }
 
 // calls returns how often the store was read and watched.
-func (h *history) calls() (loads, watches int) {
+func (h *fakeStore) calls() (loads, watches int) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.loads, h.watches
 }
 
-func (h *history) Decode(key string, value []byte, revision uint64) Entry {
+func (h *fakeStore) Decode(key string, value []byte, revision uint64) Entry {
 	return Entry{Key: key, Value: value, Revision: revision}
 }
 
@@ -149,13 +149,13 @@
 	// The fields below are guarded by mutex.
 	state map[string]uint64
 	// era is that of the last state of each key.
-	era  map[string]uint64
-	lost int
-	back int
+	era     map[string]uint64
+	losses  int
+	returns int
 	// restored are the revisions up to which the state was restored.
-	restored []uint64
+	loadedAt []uint64
 	// eras are the changes of era that were told.
-	eras []EraChange
+	eraChanges []EraChange
 }
 
 func (o *observer) Changed(entry Entry) {
@@ -176,33 +176,33 @@
 func (o *observer) Loaded(revision uint64) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.restored = append(o.restored, revision)
+	o.loadedAt = append(o.loadedAt, revision)
 }
 
 func (o *observer) Dependency(_ string, connected bool, _ error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if connected {
-		o.back++
+		o.returns++
 	} else {
-		o.lost++
+		o.losses++
 	}
 }
 
 func (o *observer) EraChanged(change EraChange) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.eras = append(o.eras, change)
+	o.eraChanges = append(o.eraChanges, change)
 }
 
 // dependency returns how often the store was lost and regained.
-func (o *observer) dependency() (lost, back int) {
+func (o *observer) dependencyEvents() (losses, returns int) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.lost, o.back
+	return o.losses, o.returns
 }
 
-func (o *observer) has(key string) uint64 {
+func (o *observer) revisionOf(key string) uint64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.state[key]
@@ -212,27 +212,27 @@
 type node struct {
 	*Follower
 	seen   *observer
-	source *history
-	// leftOut counts the readers that were left out.
-	leftOut atomic.Int64
+	source *fakeStore
+	// ejections counts the readers that were left out.
+	ejections atomic.Int64
 }
 
 // cluster starts nodes, each with a view of its own of the same store.
-func cluster(t *testing.T, count int) ([]*node, func()) {
+func startCluster(t *testing.T, count int) ([]*node, func()) {
 	t.Helper()
-	nodes, stop, _ := clusterOn(t, count)
+	nodes, stop, _ := startClusterOnNetwork(t, count)
 	return nodes, stop
 }
 
-// clusterOn is cluster with the network between the nodes.
-func clusterOn(t *testing.T, count int) ([]*node, func(), *peer.Network) {
+// startClusterOnNetwork is cluster with the network between the nodes.
+func startClusterOnNetwork(t *testing.T, count int) ([]*node, func(), *peer.Network) {
 	t.Helper()
-	return preparedCluster(t, count, func(*node) {}, func(_ *node, members []Node) []Node { return members })
+	return startPreparedCluster(t, count, func(*node) {}, func(_ *node, members []Node) []Node { return members })
 }
 
-// preparedCluster is clusterOn with nodes that are prepared before they start and know
+// startPreparedCluster is startClusterOnNetwork with nodes that are prepared before they start and know
 // a part of the others.
-func preparedCluster(
+func startPreparedCluster(
 	t *testing.T, count int, prepare func(*node), known func(of *node, members []Node) []Node,
 ) ([]*node, func(), *peer.Network) {
 	t.Helper()
@@ -246,13 +246,13 @@
 	}
 	for index := range count {
 		seen := &observer{state: make(map[string]uint64)}
-		source := newHistory()
+		source := newFakeStore()
 		started := &node{Follower: NewFollower(source, seen), seen: seen, source: source}
 		prepare(started)
 		peers := NewPeers(PeersOptions{
 			Follower: started.Follower, Transport: network.Transport(peer.Address(members[index].PeerAddress)),
 			Local: members[index], Nodes: func() []Node { return known(started, members) }, Seeds: []string{"0"},
-			ReaderEjected: func(string, error) { started.leftOut.Add(1) },
+			ReaderEjected: func(string, error) { started.ejections.Add(1) },
 		})
 		nodes = append(nodes, started)
 		group.Go(func() { _ = started.Run(ctx) })
@@ -277,11 +277,11 @@
 func TestChangesArriveAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := cluster(t, 1)
+		nodes, stop := startCluster(t, 1)
 		time.Sleep(time.Second)
 		revision := writeAll(nodes, "k", false)
 		synctest.Wait()
-		g.Expect(nodes[0].seen.has("k")).To(Equal(revision))
+		g.Expect(nodes[0].seen.revisionOf("k")).To(Equal(revision))
 		time.Sleep(time.Second)
 		_, before := nodes[0].source.calls()
 		time.Sleep(time.Minute)
@@ -296,17 +296,17 @@
 func TestASilentWatchIsNoticedByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := cluster(t, 4)
+		nodes, stop := startCluster(t, 4)
 		time.Sleep(time.Second)
-		for _, deaf := range nodes[:3] {
-			deaf.source.set(func() { deaf.source.deaf = true })
+		for _, silent := range nodes[:3] {
+			silent.source.update(func() { silent.source.watchesSilent = true })
 		}
 		time.Sleep(500 * time.Millisecond)
 		revision := writeAll(nodes, "k", false)
 		time.Sleep(3 * compareInterval)
 		synctest.Wait()
 		for _, each := range nodes {
-			g.Expect(each.seen.has("k")).To(Equal(revision))
+			g.Expect(each.seen.revisionOf("k")).To(Equal(revision))
 		}
 		stop()
 	})
@@ -317,45 +317,45 @@
 func TestAStoreThatIsAwayIsReplacedByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := cluster(t, 3)
+		nodes, stop := startCluster(t, 3)
 		refused := errors.New("refused")
-		nodes[2].source.set(func() { nodes[2].source.fail = refused })
+		nodes[2].source.update(func() { nodes[2].source.failure = refused })
 		writeAll(nodes, "old", false)
 		writeAll(nodes, "stays", false)
 		time.Sleep(2 * time.Second)
-		g.Expect(nodes[2].seen.has("old")).To(Equal(uint64(1)))
-		lost, _ := nodes[2].seen.dependency()
+		g.Expect(nodes[2].seen.revisionOf("old")).To(Equal(uint64(1)))
+		lost, _ := nodes[2].seen.dependencyEvents()
 		g.Expect(lost).To(Equal(1))
 		g.Expect(nodes[2].AbsenceUncertainUntil(time.Second, time.Now())).To(Equal(time.Now().Add(time.Second)))
 		writeAll(nodes, "old", true)
 		writeAll(nodes, "new", false)
 		time.Sleep(2 * time.Second)
-		g.Expect(nodes[2].seen.has("old")).To(BeZero())
-		g.Expect(nodes[2].seen.has("stays")).To(Equal(uint64(2)))
-		g.Expect(nodes[2].seen.has("new")).To(Equal(uint64(4)))
-		nodes[2].source.set(func() { nodes[2].source.fail = nil })
+		g.Expect(nodes[2].seen.revisionOf("old")).To(BeZero())
+		g.Expect(nodes[2].seen.revisionOf("stays")).To(Equal(uint64(2)))
+		g.Expect(nodes[2].seen.revisionOf("new")).To(Equal(uint64(4)))
+		nodes[2].source.update(func() { nodes[2].source.failure = nil })
 		time.Sleep(2 * time.Second)
-		_, back := nodes[2].seen.dependency()
+		_, back := nodes[2].seen.dependencyEvents()
 		g.Expect(back).To(Equal(1))
 		stop()
 	})
 }
 
-// TestAForgottenHistoryIsReadAnew: what went meanwhile is gone.
-func TestAForgottenHistoryIsReadAnew(t *testing.T) {
+// TestACompactedHistoryIsReloaded: what went meanwhile is gone.
+func TestACompactedHistoryIsReloaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := cluster(t, 1)
+		nodes, stop := startCluster(t, 1)
 		source := nodes[0].source
 		writeAll(nodes, "gone", false)
 		time.Sleep(time.Second)
-		source.set(func() { source.deaf = true })
+		source.update(func() { source.watchesSilent = true })
 		source.write("gone", true)
 		revision := source.write("new", false)
-		source.set(func() { source.deaf, source.forgotten = false, revision })
+		source.update(func() { source.watchesSilent, source.compactedUpTo = false, revision })
 		time.Sleep(10 * time.Second)
-		g.Expect(nodes[0].seen.has("gone")).To(BeZero())
-		g.Expect(nodes[0].seen.has("new")).To(Equal(revision))
+		g.Expect(nodes[0].seen.revisionOf("gone")).To(BeZero())
+		g.Expect(nodes[0].seen.revisionOf("new")).To(Equal(revision))
 		loads, _ := source.calls()
 		g.Expect(loads).To(Equal(2))
 		stop()
@@ -366,12 +366,12 @@
 func TestAStoreThatForgetsAtOnceIsReadWithPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := cluster(t, 1)
+		nodes, stop := startCluster(t, 1)
 		source := nodes[0].source
 		revision := writeAll(nodes, "key", false)
 		time.Sleep(time.Second)
 		before, _ := source.calls()
-		source.set(func() { source.forgotten, source.slow = revision+1, 4*time.Millisecond })
+		source.update(func() { source.compactedUpTo, source.loadDelay = revision+1, 4*time.Millisecond })
 		time.Sleep(8 * time.Second)
 		after, _ := source.calls()
 		g.Expect(after - before).To(BeNumerically(">", 3))
@@ -385,15 +385,15 @@
 func TestAnOlderStoreIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := cluster(t, 1)
+		nodes, stop := startCluster(t, 1)
 		source := nodes[0].source
 		writeAll(nodes, "a", false)
 		revision := writeAll(nodes, "b", false)
 		time.Sleep(time.Second)
-		source.set(func() { source.events, source.forgotten = source.events[:1], 99 })
+		source.update(func() { source.events, source.compactedUpTo = source.events[:1], 99 })
 		time.Sleep(10 * time.Second)
-		g.Expect(nodes[0].seen.has("b")).To(Equal(revision))
-		lost, _ := nodes[0].seen.dependency()
+		g.Expect(nodes[0].seen.revisionOf("b")).To(Equal(revision))
+		lost, _ := nodes[0].seen.dependencyEvents()
 		g.Expect(lost).To(Equal(1))
 		stop()
 	})
@@ -403,14 +403,14 @@
 // part, from the store or from other replicas.
 func TestReplicasAgreeInWhateverOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		source := newHistory()
+		source := newFakeStore()
 		replicas := make([]*replica, 3)
 		for index := range replicas {
 			replicas[index] = newReplica(&observer{state: make(map[string]uint64)})
 		}
-		told := make(map[*replica]map[string]uint64)
+		received := make(map[*replica]map[string]uint64)
 		for _, each := range replicas {
-			told[each] = make(map[string]uint64)
+			received[each] = make(map[string]uint64)
 		}
 		now := time.Unix(0, 0)
 		any := func() *replica { return replicas[rapid.IntRange(0, 2).Draw(t, "replica")] }
@@ -424,32 +424,32 @@
 			},
 			"watch": func(*rapid.T) {
 				target := any()
-				after := target.at
+				after := target.completeUpTo
 				if after > 0 && after < uint64(len(source.events)) {
 					target.apply(Batch{Entries: source.events[after:], Revision: uint64(len(source.events))}, allChanges, now)
 				}
 			},
 			"tell": func(*rapid.T) {
 				from, to := any(), any()
-				if to.at >= from.at {
+				if to.completeUpTo >= from.completeUpTo {
 					return
 				}
-				batch, covered := from.since(to.at)
+				batch, covered := from.since(to.completeUpTo)
 				to.apply(batch, covered, now)
 				for _, entry := range batch.Entries {
-					told[to][entry.Key] = max(told[to][entry.Key], entry.Revision)
+					received[to][entry.Key] = max(received[to][entry.Key], entry.Revision)
 				}
 				if covered == newerOnly {
 					return
 				}
-				for key, revision := range told[from] {
-					told[to][key] = max(told[to][key], revision)
+				for key, revision := range received[from] {
+					received[to][key] = max(received[to][key], revision)
 				}
 			},
 			"wait": func(*rapid.T) { now = now.Add(time.Minute) },
 			"": func(t *rapid.T) {
 				for _, each := range replicas {
-					checkReplica(t, source, each, told[each])
+					checkReplica(t, source, each, received[each])
 				}
 			},
 		})
@@ -458,10 +458,10 @@
 
 // checkReplica compares a replica with the history: up to its revision, and for
 // single keys up to what it was told beyond that.
-func checkReplica(t *rapid.T, source *history, checked *replica, told map[string]uint64) {
+func checkReplica(t *rapid.T, source *fakeStore, checked *replica, received map[string]uint64) {
 	want := make(map[string]uint64)
 	for _, event := range source.events {
-		if event.Revision > max(checked.at, told[event.Key]) {
+		if event.Revision > max(checked.completeUpTo, received[event.Key]) {
 			continue
 		}
 		want[event.Key] = event.Revision
@@ -470,11 +470,11 @@
 		}
 	}
 	if len(want) != len(checked.entries) {
-		t.Fatalf("at %d: %d keys, want %d", checked.at, len(checked.entries), len(want))
+		t.Fatalf("at %d: %d keys, want %d", checked.completeUpTo, len(checked.entries), len(want))
 	}
 	for key, revision := range want {
 		if checked.entries[key].Revision != revision {
-			t.Fatalf("at %d: %s has revision %d, want %d", checked.at, key, checked.entries[key].Revision, revision)
+			t.Fatalf("at %d: %s has revision %d, want %d", checked.completeUpTo, key, checked.entries[key].Revision, revision)
 		}
 	}
 }
@@ -486,31 +486,31 @@
 func TestChangesAreReadSoonWhileTheListSettles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := cluster(t, 1)
+		nodes, stop := startCluster(t, 1)
 		nodes[0].SetStalenessBound(3 * time.Second)
 		writeAll(nodes, "first", false)
 		time.Sleep(200 * time.Millisecond)
 		soon := writeAll(nodes, "soon", false)
 		time.Sleep(MinStalenessBound + 100*time.Millisecond)
-		g.Expect(nodes[0].seen.has("soon")).To(Equal(soon))
+		g.Expect(nodes[0].seen.revisionOf("soon")).To(Equal(soon))
 		time.Sleep(2 * settleSpan)
 		writeAll(nodes, "next", false)
 		time.Sleep(200 * time.Millisecond)
 		later := writeAll(nodes, "later", false)
 		time.Sleep(2 * time.Second)
-		g.Expect(nodes[0].seen.has("later")).To(BeZero())
+		g.Expect(nodes[0].seen.revisionOf("later")).To(BeZero())
 		time.Sleep(1500 * time.Millisecond)
-		g.Expect(nodes[0].seen.has("later")).To(Equal(later))
+		g.Expect(nodes[0].seen.revisionOf("later")).To(Equal(later))
 		stop()
 	})
 }
 
-// TestWhatWasKnownIsOlderByASuspension of the machine, which the steady clock does not count.
-func TestWhatWasKnownIsOlderByASuspension(t *testing.T) {
+// TestASuspensionAgesTheConfirmation of the machine, which the steady clock does not count.
+func TestASuspensionAgesTheConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		var suspended time.Duration
-		tested := NewFollower(newHistory(), &observer{state: make(map[string]uint64)})
+		tested := NewFollower(newFakeStore(), &observer{state: make(map[string]uint64)})
 		tested.SetSuspensionClock(func() time.Duration { return suspended })
 		g.Expect(tested.ConfirmedAt().IsZero()).To(BeTrue())
 		tested.confirm(time.Now())
--- a/pkg/directory/succession.go
+++ b/pkg/directory/era_diff.go
@@ -6,61 +6,61 @@
 
 // succession is what a node remembers of the begin of an era, so that it need not tell everything to
 // nodes that know the era before: at a restore few keys differ. The zero value stands for none.
-type succession struct {
+type eraDiff struct {
 	// from is how far the era before was known, and first the revision of the first state of the era.
-	from  Position
-	first uint64
+	from          Position
+	firstRevision uint64
 	// changed are the keys whose state or revision differs between the two.
 	changed map[string]bool
 	// removed are the revisions at which keys had gone in the era before.
-	removed map[string]uint64
-	// forgottenUpTo and gaps are what is not known of the era before; see replica.
-	forgottenUpTo uint64
-	gaps          []gap
+	deletedAt map[string]uint64
+	// deletionsUnknownUpTo and gaps are what is not known of the era before; see replica.
+	deletionsUnknownUpTo uint64
+	gaps                 []gap
 }
 
-// successionTo returns how a batch, the first of an era, differs from what is known of the era before. The
+// diffTo returns how a batch, the first of an era, differs from what is known of the era before. The
 // mutex is held.
-func (r *replica) successionTo(batch Batch) succession {
-	next := succession{
-		from: Position{Era: r.era, Revision: r.at}, first: batch.Revision, changed: make(map[string]bool),
-		removed: make(map[string]uint64, len(r.tombstones)), forgottenUpTo: r.forgottenUpTo, gaps: r.gaps,
+func (r *replica) diffTo(batch Batch) eraDiff {
+	diff := eraDiff{
+		from: Position{Era: r.era, Revision: r.completeUpTo}, firstRevision: batch.Revision, changed: make(map[string]bool),
+		deletedAt: make(map[string]uint64, len(r.tombstones)), deletionsUnknownUpTo: r.deletionsUnknownUpTo, gaps: r.gaps,
 	}
-	for key, old := range r.tombstones {
-		next.removed[key] = old.revision
+	for key, deleted := range r.tombstones {
+		diff.deletedAt[key] = deleted.revision
 	}
 	for key := range r.entries {
-		next.changed[key] = true
+		diff.changed[key] = true
 	}
 	for _, entry := range batch.Entries {
 		known, exists := r.entries[entry.Key]
-		state := earlierState{entry: known, written: known.Revision}
+		state := retainedState{entry: known, lastWrite: known.Revision}
 		if exists && known.Revision == entry.Revision && state.isConfirmedBy(entry) {
-			delete(next.changed, entry.Key)
+			delete(diff.changed, entry.Key)
 		} else {
-			next.changed[entry.Key] = true
+			diff.changed[entry.Key] = true
 		}
 	}
-	return next
+	return diff
 }
 
 // knows reports whether a node at a position of the era before can be told the differences alone.
-func (s succession) knows(position Position) bool {
+func (s eraDiff) covers(position Position) bool {
 	isWithin := s.from.Revision > 0 && position.Era == s.from.Era && position.Revision > 0 && position.Revision <= s.from.Revision
-	return isWithin && !isForgottenBy(position.Revision, s.forgottenUpTo, s.gaps)
+	return isWithin && !areDeletionsUnknownIn(position.Revision, s.deletionsUnknownUpTo, s.gaps)
 }
 
 // continuing returns what a node at a position of the era before does not know; false if it is to be told
 // everything.
-func (r *replica) continuing(position Position) (Batch, bool) {
+func (r *replica) diffSince(position Position) (Batch, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if !r.succession.knows(position) {
+	if !r.eraDiff.covers(position) {
 		return Batch{}, false
 	}
-	batch := Batch{Era: r.era, Revision: r.at}
-	gone := maps.Clone(r.succession.changed)
-	for key, revision := range r.succession.removed {
+	batch := Batch{Era: r.era, Revision: r.completeUpTo}
+	gone := maps.Clone(r.eraDiff.changed)
+	for key, revision := range r.eraDiff.deletedAt {
 		if revision > position.Revision {
 			gone[key] = true
 		}
@@ -69,25 +69,25 @@
 		gone[key] = true
 	}
 	// Revisions of the era that follow its first state may be smaller than those that the node knows.
-	from := min(position.Revision, r.succession.first)
+	from := min(position.Revision, r.eraDiff.firstRevision)
 	for key, entry := range r.entries {
-		if entry.Revision > from || r.succession.changed[key] {
+		if entry.Revision > from || r.eraDiff.changed[key] {
 			batch.Entries = append(batch.Entries, entry)
 		}
 		delete(gone, key)
 	}
 	for key := range gone {
-		batch.Entries = append(batch.Entries, Entry{Key: key, Revision: r.at, Gone: true})
+		batch.Entries = append(batch.Entries, Entry{Key: key, Revision: r.completeUpTo, Gone: true})
 	}
 	return batch, true
 }
 
 // whole returns the whole state of an era of which a batch holds what differs from what this node knew at
 // a position of the era before; false if it knows something else by now.
-func (r *replica) whole(batch Batch, position Position) (Batch, bool) {
+func (r *replica) mergeDiff(batch Batch, position Position) (Batch, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.era != position.Era || r.at != position.Revision || r.knowsBeyond(r.at) {
+	if r.era != position.Era || r.completeUpTo != position.Revision || r.hasChangesAfter(r.completeUpTo) {
 		return Batch{}, false
 	}
 	entries := maps.Clone(r.entries)
@@ -103,8 +103,8 @@
 	return state, true
 }
 
-// knowsBeyond reports whether single changes after a revision are known. The mutex is held.
-func (r *replica) knowsBeyond(revision uint64) bool {
+// hasChangesAfter reports whether single changes after a revision are known. The mutex is held.
+func (r *replica) hasChangesAfter(revision uint64) bool {
 	for _, entry := range r.entries {
 		if entry.Revision > revision {
 			return true
--- a/pkg/directory/era_test.go
+++ b/pkg/directory/era_test.go
@@ -16,14 +16,14 @@
 	"github.com/bramblemast/bramblemast/pkg/template/stored"
 )
 
-// inForceOf returns the revisions of the keys that a replica has in force.
-func inForceOf(tested *replica) map[string]uint64 {
+// revisionsInForce returns the revisions of the keys that a replica has in force.
+func revisionsInForce(tested *replica) map[string]uint64 {
 	tested.mutex.Lock()
 	defer tested.mutex.Unlock()
 	revisions := make(map[string]uint64)
-	for key, state := range tested.inForce() {
+	for key, state := range tested.statesInForce() {
 		if !state.entry.Gone {
-			revisions[key] = state.written
+			revisions[key] = state.lastWrite
 		}
 	}
 	return revisions
@@ -41,7 +41,7 @@
 		tested := newReplica(&observer{state: make(map[string]uint64)})
 		tested.apply(Batch{Era: 1, Revision: 50, Entries: []Entry{entry("same", 10, "a"), entry("ended", 11, "a"), entry("changed", 12, "a")}}, wholeState, now)
 		tested.apply(Batch{Era: 1, Revision: 90, Entries: []Entry{
-			entry("ended", 60, "").end(60), entry("changed", 61, "b"), entry("added", 62, "a"), entry("passing", 63, "a"), entry("passing", 64, "").end(64),
+			entry("ended", 60, "").gone(60), entry("changed", 61, "b"), entry("added", 62, "a"), entry("passing", 63, "a"), entry("passing", 64, "").gone(64),
 		}}, allChanges, now)
 		return tested
 	}
@@ -49,35 +49,35 @@
 
 	tested := before()
 	tested.apply(copied, wholeState, now)
-	g.Expect(inForceOf(tested)).To(Equal(map[string]uint64{"same": 10, "changed": 61, "added": 62}))
-	g.Expect(tested.earlierKeys()).To(Equal([]string{"added", "changed", "ended"}))
-	tested.expireEarlier(now.Add(span-1), span)
-	g.Expect(tested.earlierKeys()).To(HaveLen(3))
-	tested.expireEarlier(now.Add(span), span)
-	g.Expect(inForceOf(tested)).To(Equal(map[string]uint64{"same": 10, "changed": 12, "ended": 11}), "nobody wrote them again")
+	g.Expect(revisionsInForce(tested)).To(Equal(map[string]uint64{"same": 10, "changed": 61, "added": 62}))
+	g.Expect(tested.retainedKeys()).To(Equal([]string{"added", "changed", "ended"}))
+	tested.expireRetained(now.Add(span-1), span)
+	g.Expect(tested.retainedKeys()).To(HaveLen(3))
+	tested.expireRetained(now.Add(span), span)
+	g.Expect(revisionsInForce(tested)).To(Equal(map[string]uint64{"same": 10, "changed": 12, "ended": 11}), "nobody wrote them again")
 
 	tested = before()
 	tested.apply(copied, wholeState, now)
 	tested.apply(Batch{Era: 2, Revision: 54, Entries: []Entry{
-		entry("changed", 51, "b"), entry("added", 52, "c"), entry("ended", 53, "").end(53), entry("same", 54, "").end(54),
+		entry("changed", 51, "b"), entry("added", 52, "c"), entry("ended", 53, "").gone(53), entry("same", 54, "").gone(54),
 	}}, allChanges, now)
-	g.Expect(inForceOf(tested)).To(Equal(map[string]uint64{"changed": 51, "added": 52}), "each was written again")
-	g.Expect(tested.earlierKeys()).To(BeEmpty())
+	g.Expect(revisionsInForce(tested)).To(Equal(map[string]uint64{"changed": 51, "added": 52}), "each was written again")
+	g.Expect(tested.retainedKeys()).To(BeEmpty())
 
 	tested = before()
 	tested.apply(Batch{Era: 2, Revision: 80, Entries: []Entry{entry("changed", 70, "c"), entry("ended", 55, "z"), entry("added", 62, "other")}}, wholeState, now)
-	g.Expect(inForceOf(tested)).To(Equal(map[string]uint64{"same": 10, "changed": 70, "ended": 55, "added": 62}),
+	g.Expect(revisionsInForce(tested)).To(Equal(map[string]uint64{"same": 10, "changed": 70, "ended": 55, "added": 62}),
 		"written after what is known of the key, or with the same revision as something else")
 	g.Expect(tested.apply(Batch{Era: 1, Revision: 95, Entries: []Entry{entry("late", 95, "a")}}, allChanges, now)).To(BeZero(), "late news of the era before")
 	g.Expect(tested.apply(Batch{Era: 3, Revision: 99}, allChanges, now)).To(BeZero(), "changes cannot begin an era")
 }
 
-// TestAHeartbeatTellsNothingOfTheCopy: a server's entry changes with each heartbeat without a new revision. The same
+// TestAHeartbeatDoesNotRevealTheCopysRevision: a server's entry changes with each heartbeat without a new revision. The same
 // revision with another value shows for other keys that it was given out again, so that all that follow are news.
-func TestAHeartbeatTellsNothingOfTheCopy(t *testing.T) {
+func TestAHeartbeatDoesNotRevealTheCopysRevision(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	for key, isNews := range map[string]bool{"servers/i": false, "other": true} {
+	for key, isRewritten := range map[string]bool{"servers/i": false, "other": true} {
 		entry := func(key string, revision uint64, value string) Entry {
 			entry := Entry{Key: key, Revision: revision, Value: []byte(value)}
 			if key == "servers/i" {
@@ -88,7 +88,7 @@
 		tested := newReplica(&observer{state: make(map[string]uint64)})
 		tested.apply(Batch{Era: 1, Revision: 9, Entries: []Entry{entry(key, 4, "beat 1"), entry("changed", 8, "new")}}, wholeState, now)
 		tested.apply(Batch{Era: 2, Revision: 6, Entries: []Entry{entry(key, 4, "beat 2"), entry("changed", 5, "old")}}, wholeState, now)
-		g.Expect(inForceOf(tested)["changed"] == 5).To(Equal(isNews), key)
+		g.Expect(revisionsInForce(tested)["changed"] == 5).To(Equal(isRewritten), key)
 		g.Expect(tested.entries[key].Value).To(Equal([]byte("beat 2")))
 	}
 }
@@ -102,26 +102,26 @@
 		return Entry{Key: "config", Revision: revision, Value: []byte{byte(version)}, Configuration: &route.Configuration{Version: version}}
 	}
 	versionOf := func(tested *replica) uint64 {
-		return tested.inForce()["config"].entry.Configuration.Version
+		return tested.statesInForce()["config"].entry.Configuration.Version
 	}
 	tested := newReplica(&observer{state: make(map[string]uint64)})
 	tested.apply(Batch{Era: 1, Revision: 9, Entries: []Entry{entry(9, 5)}}, wholeState, now)
 	tested.apply(Batch{Era: 2, Revision: 4, Entries: []Entry{entry(4, 3)}}, wholeState, now)
-	tested.expireEarlier(now.Add(time.Hour), time.Second)
+	tested.expireRetained(now.Add(time.Hour), time.Second)
 	g.Expect(versionOf(tested)).To(Equal(uint64(5)))
 	started := newReplica(&observer{state: make(map[string]uint64)})
 	started.apply(Batch{Era: 2, Revision: 4, Entries: []Entry{entry(4, 3)}}, wholeState, now)
 	g.Expect(versionOf(started)).To(Equal(uint64(3)))
-	g.Expect(started.learnEarlier(tested.statesForEra(2), now, time.Second, now.Add(time.Hour))).To(Equal(1))
+	g.Expect(started.learnRetained(tested.statesForEra(2), now, time.Second, now.Add(time.Hour))).To(Equal(1))
 	g.Expect(versionOf(started)).To(Equal(uint64(5)))
 	for _, each := range []*replica{tested, started} {
 		each.apply(Batch{Era: 2, Revision: 5, Entries: []Entry{entry(5, 4)}}, allChanges, now)
 		g.Expect(versionOf(each)).To(Equal(uint64(5)))
 		each.apply(Batch{Era: 2, Revision: 6, Entries: []Entry{entry(6, 6)}}, allChanges, now)
 		g.Expect(versionOf(each)).To(Equal(uint64(6)))
-		g.Expect(each.earlierKeys()).To(BeEmpty())
+		g.Expect(each.retainedKeys()).To(BeEmpty())
 	}
-	g.Expect(started.learnEarlier([]earlierState{{entry: Entry{Key: "config", Era: 1, Configuration: &route.Configuration{Version: 5}}, written: 9}},
+	g.Expect(started.learnRetained([]retainedState{{entry: Entry{Key: "config", Era: 1, Configuration: &route.Configuration{Version: 5}}, lastWrite: 9}},
 		now, time.Second, now)).To(BeZero(), "a later version is in the store")
 }
 
@@ -149,25 +149,25 @@
 	tested := newReplica(&observer{state: make(map[string]uint64)})
 	tested.apply(Batch{Era: 1, Revision: 2, Entries: []Entry{second}}, wholeState, now)
 	tested.apply(Batch{Era: 2, Revision: 1, Entries: []Entry{first}}, wholeState, now)
-	lost := tested.lostOwn()
+	lost := tested.lostEntries()
 	g.Expect(lost).To(HaveLen(1))
 	g.Expect(lost[0].StoreRevision).To(Equal(uint64(1)))
 	g.Expect(lost[0].Entry.Template.Template.ChangeID).To(Equal("change-2"))
 	again := second
 	again.Revision = 3
 	tested.apply(Batch{Era: 2, Revision: 3, Entries: []Entry{again}}, allChanges, now)
-	g.Expect(tested.lostOwn()).To(BeEmpty(), "a node wrote it back")
+	g.Expect(tested.lostEntries()).To(BeEmpty(), "a node wrote it back")
 
 	tested = newReplica(&observer{state: make(map[string]uint64)})
 	tested.apply(Batch{Era: 1, Revision: 2, Entries: []Entry{second}}, wholeState, now)
 	tested.apply(Batch{Era: 2, Revision: 1, Entries: []Entry{other}}, wholeState, now)
-	g.Expect(tested.lostOwn()).To(BeEmpty())
-	g.Expect(tested.inForce()[stored.Key(key)].entry.Template.Template.ChangeID).To(Equal("change-3"))
+	g.Expect(tested.lostEntries()).To(BeEmpty())
+	g.Expect(tested.statesInForce()[stored.Key(key)].entry.Template.Template.ChangeID).To(Equal("change-3"))
 }
 
 // forward is an observer to which no key goes back to a state that was written before the one that it was told last,
 // unless it is known to be gone in between.
-type forward struct {
+type monotonicObserver struct {
 	observer
 	fail func(format string, arguments ...any)
 	// mayGoBack says that states that were not written again expire, or that another node tells that it keeps one.
@@ -175,7 +175,7 @@
 	written   map[string]int
 }
 
-func (f *forward) Changed(entry Entry) {
+func (f *monotonicObserver) Changed(entry Entry) {
 	f.observer.Changed(entry)
 	number, err := strconv.Atoi(string(entry.Value))
 	if entry.Gone || err != nil {
@@ -187,22 +187,22 @@
 	f.written[entry.Key] = number
 }
 
-// continuingTo returns the whole state that a replica has by what another one tells of the differences between its
+// mergedDiff returns the whole state that a replica has by what another one tells of the differences between its
 // era and the one before; false if it cannot be told so.
-func continuingTo(from, to *replica) (Batch, bool) {
+func mergedDiff(from, to *replica) (Batch, bool) {
 	position := to.position()
 	if position.Era >= from.era {
 		return Batch{}, false
 	}
-	batch, isKnown := from.continuing(position)
+	batch, isKnown := from.diffSince(position)
 	if !isKnown {
 		return Batch{}, false
 	}
-	return to.whole(batch, position)
+	return to.mergeDiff(batch, position)
 }
 
-// statesOf returns the keys of a whole state with their revisions and values, as text.
-func statesOf(batch Batch) string {
+// describeState returns the keys of a whole state with their revisions and values, as text.
+func describeState(batch Batch) string {
 	states := make(map[string]string)
 	for _, entry := range batch.Entries {
 		states[entry.Key] = fmt.Sprint(entry.Revision, " ", string(entry.Value))
@@ -222,26 +222,26 @@
 	}
 	before.Entries = append(before.Entries, Entry{Key: "lost", Revision: keys + 1, Value: []byte("a")})
 	before.Entries[0] = Entry{Key: "key/0", Revision: keys + 2, Value: []byte("b")}
-	teller, asker := newReplica(&observer{state: make(map[string]uint64)}), newReplica(&observer{state: make(map[string]uint64)})
-	for _, each := range []*replica{teller, asker} {
+	sender, receiver := newReplica(&observer{state: make(map[string]uint64)}), newReplica(&observer{state: make(map[string]uint64)})
+	for _, each := range []*replica{sender, receiver} {
 		each.apply(before, wholeState, now)
 	}
-	teller.apply(after, wholeState, now)
-	teller.apply(Batch{Era: 2, Revision: keys + 1, Entries: []Entry{{Key: "new", Revision: keys + 1, Value: []byte("a")}}}, allChanges, now)
-	batch, isKnown := teller.continuing(asker.position())
+	sender.apply(after, wholeState, now)
+	sender.apply(Batch{Era: 2, Revision: keys + 1, Entries: []Entry{{Key: "new", Revision: keys + 1, Value: []byte("a")}}}, allChanges, now)
+	batch, isKnown := sender.diffSince(receiver.position())
 	g.Expect(isKnown).To(BeTrue())
 	g.Expect(batch.Entries).To(HaveLen(3), "one that went back, one that is gone, one that is new")
-	whole, isKnown := asker.whole(batch, asker.position())
+	whole, isKnown := receiver.mergeDiff(batch, receiver.position())
 	g.Expect(isKnown).To(BeTrue())
-	everything, _ := teller.since(0)
-	g.Expect(statesOf(whole)).To(Equal(statesOf(everything)))
+	everything, _ := sender.since(0)
+	g.Expect(describeState(whole)).To(Equal(describeState(everything)))
 
-	asker.apply(Batch{Revision: keys + 3, Entries: []Entry{{Key: "later", Revision: keys + 3}}}, allChanges, now)
-	_, isKnown = asker.whole(batch, Position{Era: 1, Revision: keys + 2})
+	receiver.apply(Batch{Revision: keys + 3, Entries: []Entry{{Key: "later", Revision: keys + 3}}}, allChanges, now)
+	_, isKnown = receiver.mergeDiff(batch, Position{Era: 1, Revision: keys + 2})
 	g.Expect(isKnown).To(BeFalse(), "it has moved on meanwhile")
-	_, isKnown = teller.continuing(asker.position())
+	_, isKnown = sender.diffSince(receiver.position())
 	g.Expect(isKnown).To(BeFalse(), "it knows more of the era before")
-	_, isKnown = teller.continuing(Position{Era: 0, Revision: 5})
+	_, isKnown = sender.diffSince(Position{Era: 0, Revision: 5})
 	g.Expect(isKnown).To(BeFalse())
 }
 
@@ -249,17 +249,17 @@
 // the listener was told is what is in force, and once the store has settled that is what the store holds.
 func TestReplicasAgreeAfterRestores(t *testing.T) {
 	// told counts how often a node was told only what differs between two eras.
-	told := 0
-	defer func() { t.Logf("%d times only the differences were told", told) }()
+	diffsSent := 0
+	defer func() { t.Logf("%d times only the differences were told", diffsSent) }()
 	rapid.Check(t, func(t *rapid.T) {
-		source := newHistory()
+		source := newFakeStore()
 		source.era = 1
 		const span = 3 * time.Second
 		now := time.Unix(0, 0)
-		listeners := make([]*forward, 3)
+		listeners := make([]*monotonicObserver, 3)
 		replicas := make([]*replica, 3)
 		for index := range replicas {
-			listeners[index] = &forward{observer: observer{state: make(map[string]uint64)}, fail: t.Fatalf, written: make(map[string]int)}
+			listeners[index] = &monotonicObserver{observer: observer{state: make(map[string]uint64)}, fail: t.Fatalf, written: make(map[string]int)}
 			replicas[index] = newReplica(listeners[index])
 		}
 		any := func() *replica { return replicas[rapid.IntRange(0, 2).Draw(t, "replica")] }
@@ -275,7 +275,7 @@
 			"load":    func(*rapid.T) { load(any()) },
 			"watch": func(*rapid.T) {
 				target := any()
-				after := target.at
+				after := target.completeUpTo
 				if target.era == source.era && after > 0 && after < uint64(len(source.events)) {
 					target.apply(Batch{Era: source.era, Entries: source.events[after:], Revision: uint64(len(source.events))}, allChanges, now)
 				}
@@ -283,37 +283,37 @@
 			"tell": func(*rapid.T) {
 				from, to := any(), any()
 				learn := func(since time.Time) {
-					listener := to.listener.(*forward)
+					listener := to.listener.(*monotonicObserver)
 					listener.mayGoBack = true
-					to.learnEarlier(from.statesForEra(to.era), since, span, now)
+					to.learnRetained(from.statesForEra(to.era), since, span, now)
 					listener.mayGoBack = false
 				}
 				if to.era > from.era {
 					learn(time.Time{})
 					return
 				}
-				after := to.at
+				after := to.completeUpTo
 				if to.era < from.era {
 					after = 0
 				}
 				batch, covered := from.since(after)
-				if whole, isKnown := continuingTo(from, to); isKnown {
-					told++
-					if got, want := statesOf(whole), statesOf(batch); got != want {
+				if whole, isKnown := mergedDiff(from, to); isKnown {
+					diffsSent++
+					if got, want := describeState(whole), describeState(batch); got != want {
 						t.Fatalf("continued to %s, the other node has %s", got, want)
 					}
 					batch = whole
 				}
 				to.apply(batch, covered, now)
 				if to.era == from.era {
-					learn(from.eraBegan())
+					learn(from.eraStartedAt())
 				}
 			},
 			"wait": func(t *rapid.T) { now = now.Add(time.Duration(rapid.IntRange(1, 4).Draw(t, "seconds")) * time.Second) },
 			"": func(t *rapid.T) {
 				for index, each := range replicas {
-					if told, want := fmt.Sprint(listeners[index].state), fmt.Sprint(inForceOf(each)); told != want {
-						t.Fatalf("the listener has %s, in force is %s", told, want)
+					if notified, want := fmt.Sprint(listeners[index].state), fmt.Sprint(revisionsInForce(each)); notified != want {
+						t.Fatalf("the listener has %s, in force is %s", notified, want)
 					}
 				}
 			},
@@ -327,8 +327,8 @@
 		for index, each := range replicas {
 			load(each)
 			listeners[index].mayGoBack = true
-			each.expireEarlier(now.Add(span), span)
-			if got := fmt.Sprint(inForceOf(each)); got != fmt.Sprint(want) {
+			each.expireRetained(now.Add(span), span)
+			if got := fmt.Sprint(revisionsInForce(each)); got != fmt.Sprint(want) {
 				t.Fatalf("replica %d has %s, the store %v", index, got, want)
 			}
 		}
--- a/pkg/directory/follower.go
+++ b/pkg/directory/follower.go
@@ -14,46 +14,46 @@
 
 // Times of the follower.
 const (
-	// leastWait and greatestWait bound how long one watch waits. A watch that
+	// minWatchWait and maxWatchWait bound how long one watch waits. A watch that
 	// says nothing any more is noticed after it, or earlier by peers that know
 	// more. The waits differ, so that watches which fell silent together are not
 	// all noticed late.
-	leastWait    = 4 * time.Second
-	greatestWait = 6 * time.Second
+	minWatchWait = 4 * time.Second
+	maxWatchWait = 6 * time.Second
 	// watchSlack is how much longer the answer of a watch may take.
 	watchSlack = time.Second
 	// loadTimeout bounds one reading of everything.
 	loadTimeout = 2 * time.Second
 	// MinStalenessBound is the least age that news may have; see SetStalenessBound.
 	MinStalenessBound = 800 * time.Millisecond
-	// leastWatchWait is the wait of a watch that is to tell at once all that the
+	// immediateWatchWait is the wait of a watch that is to tell at once all that the
 	// store holds now.
-	leastWatchWait = time.Millisecond
+	immediateWatchWait = time.Millisecond
 	// settleSpan is for how long after a reading of everything, or after a return
 	// of the store, changes are read after the least pause: servers write their
 	// entries again within about two seconds and a heartbeat.
 	settleSpan = 4 * time.Second
-	// leastRetry and greatestRetry bound the wait after a failed call.
-	leastRetry    = 100 * time.Millisecond
-	greatestRetry = 800 * time.Millisecond
-	// greatestFirstRetry bounds it until the store has been read once: a node
+	// minRetry and maxRetry bound the wait after a failed call.
+	minRetry = 100 * time.Millisecond
+	maxRetry = 800 * time.Millisecond
+	// maxInitialRetry bounds it until the store has been read once: a node
 	// that knows nothing serves nothing.
-	greatestFirstRetry = 250 * time.Millisecond
-	// leastAskerRetry and greatestAskerRetry bound it for a node that others read for:
-	// they notice the return of the store within greatestRetry and tell it.
-	leastAskerRetry    = 3 * time.Second
-	greatestAskerRetry = 5 * time.Second
-	// confirmSpan is how long a node that has read a copy of the store, which may be
+	maxInitialRetry = 250 * time.Millisecond
+	// minPollerRetry and maxPollerRetry bound it for a node that others read for:
+	// they notice the return of the store within maxRetry and tell it.
+	minPollerRetry = 3 * time.Second
+	maxPollerRetry = 5 * time.Second
+	// confirmTimeout is how long a node that has read a copy of the store, which may be
 	// seconds old, leaves it to others to tell it the rest. They answer within an
 	// urgentInterval once they have read the store themselves.
-	confirmSpan = time.Second
-	// gatherSpan is for how long a node of a system that starts for the first time reads
-	// copies of the store, once in a confirmSpan, until others read for it: nodes that
+	confirmTimeout = time.Second
+	// discoverySpan is for how long a node of a system that starts for the first time reads
+	// copies of the store, once in a confirmTimeout, until others read for it: nodes that
 	// start together show there within seconds, and few need to read the store itself.
-	gatherSpan = 3 * time.Second
-	// outageSpread is by how much the nodes' own readings are spread when those that
+	discoverySpan = 3 * time.Second
+	// maxOutageJitter is by how much the nodes' own readings are spread when those that
 	// read for them have old news too, as in an outage of the store.
-	outageSpread = 800 * time.Millisecond
+	maxOutageJitter = 800 * time.Millisecond
 )
 
 // Names of dependencies.
@@ -71,65 +71,65 @@
 	listener Listener
 	replica  *replica
 	// kick ends a watch that waits.
-	kick chan struct{}
-	// newsAge is how old news may be, and writeBackSpan how long the operator and the servers may
+	interrupt chan struct{}
+	// stalenessBound is how old news may be, and writeBackNanos how long the operator and the servers may
 	// take to write again what a restore has lost, in nanoseconds.
-	newsAge       atomic.Int64
-	writeBackSpan atomic.Int64
+	stalenessNanos atomic.Int64
+	writeBackNanos atomic.Int64
 	// awaitsPeers says that the node has just started and cannot tell whether what it has read is
 	// older than what was in force.
 	awaitsPeers atomic.Bool
-	// confirms says that what is known is confirmed within newsAge also where nothing
+	// confirms says that what is known is confirmed within stalenessBound also where nothing
 	// changes.
-	confirms atomic.Bool
+	confirmWhenIdle atomic.Bool
 	// role is a Role.
 	role atomic.Int32
 	// suspended returns for how long the machine has been suspended so far.
-	suspended func() time.Duration
+	suspendedTotal func() time.Duration
 	// others returns how many other nodes are known; nil if there is nobody to ask.
-	others func() int
+	peerCount func() int
 	// isFirstStart says that the whole system starts for the first time.
 	isFirstStart bool
 	// firstLoad is closed when the store has been read for the first time.
 	firstLoad chan struct{}
 	// loads counts the readings of everything, and assigned those after which the node
-	// has got its role from the nodes that were found. loadDone and roleSet have an
+	// has got its role from the nodes that were found. loadDone and roleAssigned have an
 	// element after a change of the one and the other.
-	loads    atomic.Int64
-	assigned atomic.Int64
-	loadDone chan struct{}
-	roleSet  chan struct{}
+	loadCount    atomic.Int64
+	loadsAtRole  atomic.Int64
+	loadDone     chan struct{}
+	roleAssigned chan struct{}
 	// spread is how much longer than the others this node waits in an outage, and
 	// isOutage says that those that read for it have old news.
-	spread   time.Duration
-	isOutage atomic.Bool
+	outageJitter time.Duration
+	isOutage     atomic.Bool
 
 	// taking makes batches be applied one at a time, so that one of them begins an era.
-	taking sync.Mutex
+	applying sync.Mutex
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
 	contactAt time.Time
-	// knownAt is the latest moment at which the replica was all that the store
+	// confirmedAt is the latest moment at which the replica was all that the store
 	// held, as the store or another node has shown; zero for never.
-	knownAt time.Time
-	// knownSuspended is for how long the machine had been suspended then.
-	knownSuspended time.Duration
+	confirmedAt time.Time
+	// confirmedSuspended is for how long the machine had been suspended then.
+	confirmedSuspended time.Duration
 	// confirmations are the latest moments of that kind, oldest first, a
 	// confirmationSpacing apart at least.
 	confirmations []time.Time
 	// roleSince is when the node got its role.
 	roleSince time.Time
-	// last is when the store did not answer last, and then did again; lostSince is since
-	// when it does not, and lostAt when it last did not.
-	last      outage
-	lostSince time.Time
-	lostAt    time.Time
-	contact   contact
-	// provenAt is the latest moment before the last restore of the store at which the replica was all
-	// that it held, and provenSuspended for how long the machine had been suspended at the restore.
-	provenAt        time.Time
-	provenSuspended time.Duration
+	// last is when the store did not answer last, and then did again; outageStart is since
+	// when it does not, and failedAt when it last did not.
+	latestOutage outage
+	outageStart  time.Time
+	failedAt     time.Time
+	contact      contact
+	// provenBeforeRestore is the latest moment before the last restore of the store at which the replica was all
+	// that it held, and suspendedAtRestore for how long the machine had been suspended at the restore.
+	provenBeforeRestore time.Time
+	suspendedAtRestore  time.Duration
 
 	// Only Run uses the fields below.
 	loaded    bool
@@ -146,9 +146,9 @@
 // NewFollower returns a follower that has read nothing yet.
 func NewFollower(source Source, listener Listener) *Follower {
 	created := &Follower{
-		source: source, listener: listener, replica: newReplica(listener), kick: make(chan struct{}, 1),
-		firstLoad: make(chan struct{}), loadDone: make(chan struct{}, 1), roleSet: make(chan struct{}, 1), spread: rand.N(outageSpread),
-		suspended: func() time.Duration { return 0 },
+		source: source, listener: listener, replica: newReplica(listener), interrupt: make(chan struct{}, 1),
+		firstLoad: make(chan struct{}), loadDone: make(chan struct{}, 1), roleAssigned: make(chan struct{}, 1), outageJitter: rand.N(maxOutageJitter),
+		suspendedTotal: func() time.Duration { return 0 },
 	}
 	created.SetStalenessBound(MinStalenessBound)
 	created.SetWriteBackSpan(defaultWriteBackSpan)
@@ -160,7 +160,7 @@
 // nodes of a zone read for the others. Those that read make calls in inverse
 // proportion to it.
 func (f *Follower) SetStalenessBound(span time.Duration) {
-	f.newsAge.Store(int64(max(span, MinStalenessBound)))
+	f.stalenessNanos.Store(int64(max(span, MinStalenessBound)))
 }
 
 // SetFirstStart tells that the whole system starts for the first time. It is called
@@ -183,13 +183,13 @@
 		f.roleSince = time.Now()
 		f.mutex.Unlock()
 	}
-	f.assigned.Store(loads)
-	signal(f.roleSet)
+	f.loadsAtRole.Store(loads)
+	signal(f.roleAssigned)
 	return isNew
 }
 
-// assignedAt returns when the node got its role.
-func (f *Follower) assignedAt() time.Time {
+// roleAssignedAt returns when the node got its role.
+func (f *Follower) roleAssignedAt() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.roleSince
@@ -203,13 +203,13 @@
 	}
 }
 
-// allowedNewsAge returns how old news may be.
-func (f *Follower) allowedNewsAge() time.Duration { return time.Duration(f.newsAge.Load()) }
+// stalenessBound returns how old news may be.
+func (f *Follower) stalenessBound() time.Duration { return time.Duration(f.stalenessNanos.Load()) }
 
 // readerPause returns how old a reader's own news may be, so that the nodes which
 // ask it have news in time: it waits as long after a change, or for one.
 func (f *Follower) readerPause() time.Duration {
-	return time.Duration(readerShare * float64(f.allowedNewsAge()))
+	return time.Duration(readerShare * float64(f.stalenessBound()))
 }
 
 // ConfirmedAt returns the latest moment at which the node knew all that the store
@@ -217,42 +217,42 @@
 func (f *Follower) ConfirmedAt() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.knownMoment()
+	return f.adjustedConfirmedAt()
 }
 
-// knownMoment returns knownAt on the steady clock as if that had run on while the machine was
+// adjustedConfirmedAt returns confirmedAt on the steady clock as if that had run on while the machine was
 // suspended. The mutex is held.
-func (f *Follower) knownMoment() time.Time {
-	if f.knownAt.IsZero() {
-		return f.knownAt
+func (f *Follower) adjustedConfirmedAt() time.Time {
+	if f.confirmedAt.IsZero() {
+		return f.confirmedAt
 	}
-	return f.knownAt.Add(f.knownSuspended - f.suspended())
+	return f.confirmedAt.Add(f.confirmedSuspended - f.suspendedTotal())
 }
 
 // SetSuspensionClock takes what tells for how long the machine has been suspended so far: what was
 // known before is older by what has been added since. It is called before Run.
-func (f *Follower) SetSuspensionClock(total func() time.Duration) { f.suspended = total }
+func (f *Follower) SetSuspensionClock(total func() time.Duration) { f.suspendedTotal = total }
 
 // Resumed tells that the machine was suspended: a watch that waits may be dead.
-func (f *Follower) Resumed() { f.askAgain() }
+func (f *Follower) Resumed() { f.interruptWatch() }
 
 // confirm takes a moment at which the replica was all that the store held.
 func (f *Follower) confirm(at time.Time) {
 	f.mutex.Lock()
-	f.knownAt = later(f.knownMoment(), at)
-	f.knownSuspended = f.suspended()
+	f.confirmedAt = later(f.adjustedConfirmedAt(), at)
+	f.confirmedSuspended = f.suspendedTotal()
 	f.noteConfirmation(at)
-	isBack := f.contact == contactLost && f.Role() == PeerPoller && at.After(f.lostAt)
-	knownAt := f.knownAt
+	isBack := f.contact == contactLost && f.Role() == PeerPoller && at.After(f.failedAt)
+	confirmedAt := f.confirmedAt
 	f.mutex.Unlock()
-	f.replica.expireEarlier(knownAt, f.writeBackWithin())
+	f.replica.expireRetained(confirmedAt, f.writeBackSpan())
 	if isBack {
-		f.regainedByOthers()
+		f.noteRegainedByPeers()
 	}
 }
 
-// heardOldNews notes whether the nodes that read for this one have old news.
-func (f *Follower) heardOldNews(isOld bool) { f.isOutage.Store(isOld) }
+// setOutage notes whether the nodes that read for this one have old news.
+func (f *Follower) setOutage(isStale bool) { f.isOutage.Store(isStale) }
 
 // Revision returns up to which revision the store is known, and when it last
 // answered.
@@ -262,25 +262,25 @@
 	return f.replica.revision(), f.contactAt
 }
 
-// askAgain ends a watch that waits, since it seems to miss changes.
-func (f *Follower) askAgain() {
-	signal(f.kick)
+// interruptWatch ends a watch that waits, since it seems to miss changes.
+func (f *Follower) interruptWatch() {
+	signal(f.interrupt)
 }
 
 // Run follows the store until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	f.startedAt = time.Now()
 	for ctx.Err() == nil {
-		f.awaitTurn(ctx)
+		f.awaitOwnRead(ctx)
 		changed, err := f.step(ctx)
 		if ctx.Err() != nil {
 			return nil
 		}
-		if errors.Is(err, errAskedAgain) {
+		if errors.Is(err, errWatchInterrupted) {
 			continue
 		}
 		if err != nil {
-			f.lost(err)
+			f.noteStoreLost(err)
 			pause.For(ctx, f.retryDelay())
 			f.failures++
 			continue
@@ -295,66 +295,66 @@
 
 // step makes one call and reports whether anything changed.
 func (f *Follower) step(ctx context.Context) (bool, error) {
-	if !f.loaded || f.gathers() {
+	if !f.loaded || f.isDiscovering() {
 		return false, f.load(ctx)
 	}
 	return f.watch(ctx)
 }
 
-// errAskedAgain ends a watch because other nodes know more.
-var errAskedAgain = errors.New("other nodes know more than the watch has told")
+// errWatchInterrupted ends a watch because other nodes know more.
+var errWatchInterrupted = errors.New("other nodes know more than the watch has told")
 
 func (f *Follower) watch(ctx context.Context) (bool, error) {
-	f.forgetKick()
+	f.clearInterrupt()
 	wait := f.watchWait()
 	limited, cancel := context.WithTimeout(ctx, wait+watchSlack)
 	defer cancel()
-	kickable, kick := context.WithCancelCause(limited)
-	defer kick(nil)
-	defer f.listenForKick(kick)()
-	asked := f.replica.position()
-	batch, err := f.source.Watch(kickable, asked.Revision, wait)
+	interruptible, cancelCause := context.WithCancelCause(limited)
+	defer cancelCause(nil)
+	defer f.cancelOnInterrupt(cancelCause)()
+	before := f.replica.position()
+	batch, err := f.source.Watch(interruptible, before.Revision, wait)
 	if errors.Is(err, ErrHistoryGone) {
 		f.loaded, f.historyGone = false, true
 		return false, nil
 	}
-	if err != nil && errors.Is(context.Cause(kickable), errAskedAgain) {
-		return false, errAskedAgain
+	if err != nil && errors.Is(context.Cause(interruptible), errWatchInterrupted) {
+		return false, errWatchInterrupted
 	}
 	if err != nil {
 		return false, errors.WithMessage(err, "watch the store")
 	}
-	f.regained()
-	if batch.Era > asked.Era {
+	f.noteStoreRegained()
+	if batch.Era > before.Era {
 		// The revision that was asked for belongs to an era before.
 		f.loaded, f.historyGone = false, true
 		return false, nil
 	}
-	if current := f.replica.position(); current.Era > asked.Era || batch.Era != 0 && batch.Era < asked.Era {
+	if current := f.replica.position(); current.Era > before.Era || batch.Era != 0 && batch.Era < before.Era {
 		return false, errors.Wrapf(ErrStoreBehind, "the watch tells of era %d, %d was seen", batch.Era, current.Era)
 	}
-	f.take(batch, allChanges)
+	f.applyBatch(batch, allChanges)
 	f.confirm(time.Now())
 	return len(batch.Entries) > 0, nil
 }
 
-// forgetKick drops what askAgain has asked for so far. It comes before anything that a
+// clearInterrupt drops what interruptWatch has asked for so far. It comes before anything that a
 // watch depends on is looked at, so that a change after it ends the watch.
-func (f *Follower) forgetKick() {
+func (f *Follower) clearInterrupt() {
 	select {
-	case <-f.kick:
+	case <-f.interrupt:
 	default:
 	}
 }
 
-// listenForKick lets askAgain end the watch until the returned function is
+// cancelOnInterrupt lets interruptWatch end the watch until the returned function is
 // called.
-func (f *Follower) listenForKick(kick context.CancelCauseFunc) func() {
+func (f *Follower) cancelOnInterrupt(cancelCause context.CancelCauseFunc) func() {
 	stop := make(chan struct{})
 	go func() {
 		select {
-		case <-f.kick:
-			kick(errAskedAgain)
+		case <-f.interrupt:
+			cancelCause(errWatchInterrupted)
 		case <-stop:
 		}
 	}()
@@ -389,9 +389,9 @@
 		return errors.Wrapf(ErrStoreBehind, "the store answered with revision %d of era %d, %d of era %d was seen",
 			batch.Revision, batch.Era, known.Revision, known.Era)
 	}
-	f.regained()
-	f.beginAwaitingPeers(batch)
-	f.take(batch, wholeState)
+	f.noteStoreRegained()
+	f.startAwaitingPeers(batch)
+	f.applyBatch(batch, wholeState)
 	f.noteSettlingAtStart()
 	f.noteLoaded(time.Now())
 	if fresh {
@@ -407,18 +407,18 @@
 		close(f.firstLoad)
 	}
 	f.loaded, f.loadedAt = true, now
-	f.loads.Add(1)
+	f.loadCount.Add(1)
 	signal(f.loadDone)
 }
 
 // retryDelay returns the wait after a failed call. Only Run calls it.
 func (f *Follower) retryDelay() time.Duration {
-	greatest := greatestRetry
+	maxDelay := maxRetry
 	switch revision, _ := f.Revision(); {
 	case revision == 0:
-		greatest = greatestFirstRetry
+		maxDelay = maxInitialRetry
 	case f.Role() == PeerPoller:
-		return leastAskerRetry + rand.N(greatestAskerRetry-leastAskerRetry)
+		return minPollerRetry + rand.N(maxPollerRetry-minPollerRetry)
 	}
-	return pause.Doubled(leastRetry, greatest, f.failures)
+	return pause.Doubled(minRetry, maxDelay, f.failures)
 }
--- a/pkg/directory/news.go
+++ b/pkg/directory/freshness.go
@@ -4,12 +4,12 @@
 
 // SetConfirmWhenIdle tells whether what is known is to be confirmed within the age that news may
 // have also where nothing changes: a node that reads for itself alone then asks more often.
-func (f *Follower) SetConfirmWhenIdle(isAsked bool) { f.confirms.Store(isAsked) }
+func (f *Follower) SetConfirmWhenIdle(isEnabled bool) { f.confirmWhenIdle.Store(isEnabled) }
 
 // IsFreshWithin reports whether the node is known to have had all that was acknowledged a span
 // ago. While a restored store may lack some of it, what it tells proves nothing.
 func (f *Follower) IsFreshWithin(span time.Duration) bool {
-	provenAt := f.proven()
+	provenAt := f.lastProvenAt()
 	return !provenAt.IsZero() && time.Since(provenAt) <= span
 }
 
@@ -20,9 +20,9 @@
 	if f.IsSettling() {
 		return false
 	}
-	greatest := f.allowedNewsAge() + watchSlack
+	maxAge := f.stalenessBound() + watchSlack
 	if f.Role() == Standalone && f.inContact() {
-		greatest += greatestWait
+		maxAge += maxWatchWait
 	}
-	return f.IsFreshWithin(greatest)
+	return f.IsFreshWithin(maxAge)
 }
--- a/pkg/directory/news_test.go
+++ b/pkg/directory/freshness_test.go
@@ -15,21 +15,21 @@
 func TestNewsGetsOld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		const newsAge = 2 * time.Second
+		const stalenessBound = 2 * time.Second
 		tested := NewFollower(nil, &observer{})
-		tested.SetStalenessBound(newsAge)
+		tested.SetStalenessBound(stalenessBound)
 		g.Expect(tested.IsFresh()).To(BeFalse(), "nothing is known yet")
 		g.Expect(tested.IsFreshWithin(time.Hour)).To(BeFalse())
-		tested.regained()
+		tested.noteStoreRegained()
 		tested.confirm(time.Now())
-		time.Sleep(newsAge + greatestWait + watchSlack)
+		time.Sleep(stalenessBound + maxWatchWait + watchSlack)
 		g.Expect(tested.IsFresh()).To(BeTrue(), "its watch tells changes as they happen")
-		g.Expect(tested.IsFreshWithin(newsAge)).To(BeFalse())
+		g.Expect(tested.IsFreshWithin(stalenessBound)).To(BeFalse())
 		time.Sleep(time.Millisecond)
 		g.Expect(tested.IsFresh()).To(BeFalse())
 		tested.confirm(time.Now())
-		tested.lost(errors.New("refused"))
-		time.Sleep(newsAge + watchSlack)
+		tested.noteStoreLost(errors.New("refused"))
+		time.Sleep(stalenessBound + watchSlack)
 		g.Expect(tested.IsFresh()).To(BeTrue())
 		time.Sleep(time.Millisecond)
 		g.Expect(tested.IsFresh()).To(BeFalse())
@@ -40,40 +40,40 @@
 	})
 }
 
-// TestNewsIsConfirmedWithinItsAgeWhereAsked though nothing changes.
-func TestNewsIsConfirmedWithinItsAgeWhereAsked(t *testing.T) {
+// TestUnchangedStateIsConfirmedWithinTheStalenessBound though nothing changes.
+func TestUnchangedStateIsConfirmedWithinTheStalenessBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		const newsAge = time.Second
+		const stalenessBound = time.Second
 		tested := NewFollower(nil, &observer{})
-		tested.SetStalenessBound(newsAge)
+		tested.SetStalenessBound(stalenessBound)
 		tested.confirm(time.Now())
-		g.Expect(tested.watchWait()).To(BeNumerically(">=", leastWait))
+		g.Expect(tested.watchWait()).To(BeNumerically(">=", minWatchWait))
 		tested.SetConfirmWhenIdle(true)
-		g.Expect(tested.watchWait()).To(Equal(newsAge))
-		time.Sleep(newsAge / 2)
-		g.Expect(tested.watchWait()).To(Equal(newsAge / 2))
-		time.Sleep(newsAge)
-		g.Expect(tested.watchWait()).To(Equal(leastWatchWait))
+		g.Expect(tested.watchWait()).To(Equal(stalenessBound))
+		time.Sleep(stalenessBound / 2)
+		g.Expect(tested.watchWait()).To(Equal(stalenessBound / 2))
+		time.Sleep(stalenessBound)
+		g.Expect(tested.watchWait()).To(Equal(immediateWatchWait))
 	})
 }
 
-// TestALossIsToldAgainWhenItsCauseChanges: a store that cannot be reached, then answers with an older
+// TestALossIsReportedAgainWhenItsCauseChanges: a store that cannot be reached, then answers with an older
 // state than is known, is two matters for whoever reads the log; a hundred lost connections are one.
-func TestALossIsToldAgainWhenItsCauseChanges(t *testing.T) {
+func TestALossIsReportedAgainWhenItsCauseChanges(t *testing.T) {
 	g := NewWithT(t)
 	seen := &observer{state: make(map[string]uint64)}
 	tested := NewFollower(nil, seen)
 	for range 3 {
-		tested.lost(errors.New("connection reset"))
+		tested.noteStoreLost(errors.New("connection reset"))
 	}
 	for range 3 {
-		tested.lost(fmt.Errorf("revision 3, 4 was seen: %w", ErrStoreBehind))
+		tested.noteStoreLost(fmt.Errorf("revision 3, 4 was seen: %w", ErrStoreBehind))
 	}
-	lost, _ := seen.dependency()
+	lost, _ := seen.dependencyEvents()
 	g.Expect(lost).To(Equal(2))
-	tested.regained()
-	tested.lost(fmt.Errorf("revision 3, 4 was seen: %w", ErrStoreBehind))
-	lost, _ = seen.dependency()
+	tested.noteStoreRegained()
+	tested.noteStoreLost(fmt.Errorf("revision 3, 4 was seen: %w", ErrStoreBehind))
+	lost, _ = seen.dependencyEvents()
 	g.Expect(lost).To(Equal(3))
 }
--- a/pkg/directory/fuzz_test.go
+++ b/pkg/directory/fuzz_test.go
@@ -34,28 +34,28 @@
 		if reply.UnmarshalVT(body) != nil {
 			return
 		}
-		watched := &observer{state: make(map[string]uint64)}
-		known := newReplica(watched)
+		listener := &observer{state: make(map[string]uint64)}
+		known := newReplica(listener)
 		now := time.Now()
 		known.apply(Batch{Revision: 7, Entries: []Entry{{Key: "a", Revision: 6}, {Key: "b", Revision: 7}}}, wholeState, now)
-		asker := &Peers{follower: &Follower{source: newHistory()}}
+		receiver := &Peers{follower: &Follower{source: newFakeStore()}}
 		batch := Batch{Revision: reply.Revision}
 		for _, each := range reply.Gaps {
 			batch.gaps = append(batch.gaps, gap{from: each.From, to: each.To})
 		}
 		for _, item := range reply.Items {
-			batch.Entries = append(batch.Entries, asker.decode(item))
+			batch.Entries = append(batch.Entries, receiver.decode(item))
 		}
-		known.apply(batch, asker.coverageOf(reply), now)
+		known.apply(batch, receiver.coverageOf(reply), now)
 		if known.revision() < 7 {
 			t.Fatalf("went back to %d", known.revision())
 		}
-		for key, least := range map[string]uint64{"a": 6, "b": 7} {
-			if entry, isHeld := known.entries[key]; isHeld && entry.Revision < least {
+		for key, minRevision := range map[string]uint64{"a": 6, "b": 7} {
+			if entry, isHeld := known.entries[key]; isHeld && entry.Revision < minRevision {
 				t.Fatalf("%s went back to %d", key, entry.Revision)
 			}
 		}
-		if taken := allocated() - before; taken > leastFuzzMemory+fuzzMemoryPerByte*uint64(len(body)) {
+		if taken := allocated() - before; taken > baseFuzzMemory+fuzzMemoryPerByte*uint64(len(body)) {
 			t.Fatalf("%d bytes for a message of %d", taken, len(body))
 		}
 	})
@@ -64,13 +64,13 @@
 // Bounds of the memory that is taken, in all, to read a message: an item without content has two
 // bytes on the wire, and an entry in several lists here.
 const (
-	leastFuzzMemory   = 256 << 10
+	baseFuzzMemory    = 256 << 10
 	fuzzMemoryPerByte = 1 << 10
 )
 
 // allocated returns how much memory has been taken so far.
 func allocated() uint64 {
-	var figures runtime.MemStats
-	runtime.ReadMemStats(&figures)
-	return figures.TotalAlloc
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.TotalAlloc
 }
--- a/pkg/directory/turn.go
+++ b/pkg/directory/pacing.go
@@ -8,31 +8,31 @@
 	"github.com/bramblemast/bramblemast/internal/pause"
 )
 
-// awaitTurn waits while other nodes read for this one: until what it knows is as
+// awaitOwnRead waits while other nodes read for this one: until what it knows is as
 // old as allowed. Only Run calls it.
-func (f *Follower) awaitTurn(ctx context.Context) {
+func (f *Follower) awaitOwnRead(ctx context.Context) {
 	f.awaitRole(ctx)
 	for ctx.Err() == nil {
-		left := time.Until(f.turn())
+		left := time.Until(f.nextReadAt())
 		if left <= 0 {
 			return
 		}
 		// A node may be given another role meanwhile.
-		pause.For(ctx, min(left, confirmSpan))
+		pause.For(ctx, min(left, confirmTimeout))
 	}
 }
 
 // awaitRole waits, after a reading of everything, until the nodes that were found there
 // have decided what this one does. Only Run calls it.
 func (f *Follower) awaitRole(ctx context.Context) {
-	if f.others == nil {
+	if f.peerCount == nil {
 		return
 	}
-	timer := time.NewTimer(confirmSpan)
+	timer := time.NewTimer(confirmTimeout)
 	defer timer.Stop()
-	for f.assigned.Load() < f.loads.Load() {
+	for f.loadsAtRole.Load() < f.loadCount.Load() {
 		select {
-		case <-f.roleSet:
+		case <-f.roleAssigned:
 		case <-timer.C:
 			return
 		case <-ctx.Done():
@@ -42,22 +42,22 @@
 }
 
 // turn returns when this node reads the store itself. Only Run calls it.
-func (f *Follower) turn() time.Time {
+func (f *Follower) nextReadAt() time.Time {
 	if !f.loaded {
 		return time.Time{}
 	}
-	knownAt := f.ConfirmedAt()
+	confirmedAt := f.ConfirmedAt()
 	switch {
-	case knownAt.IsZero() && f.Role() == PeerPoller:
-		return later(f.loadedAt, f.assignedAt()).Add(confirmSpan)
-	case f.gathers():
-		return f.loadedAt.Add(confirmSpan)
-	case f.Role() != PeerPoller || knownAt.IsZero():
+	case confirmedAt.IsZero() && f.Role() == PeerPoller:
+		return later(f.loadedAt, f.roleAssignedAt()).Add(confirmTimeout)
+	case f.isDiscovering():
+		return f.loadedAt.Add(confirmTimeout)
+	case f.Role() != PeerPoller || confirmedAt.IsZero():
 		return time.Time{}
 	case f.isOutage.Load():
-		return knownAt.Add(f.allowedNewsAge() + f.spread)
+		return confirmedAt.Add(f.stalenessBound() + f.outageJitter)
 	}
-	return knownAt.Add(f.allowedNewsAge())
+	return confirmedAt.Add(f.stalenessBound())
 }
 
 // later returns the later of two moments.
@@ -70,8 +70,8 @@
 
 // gathers reports whether this node reads for itself alone only because it has not
 // found the others yet, which all start within seconds. Only Run calls it.
-func (f *Follower) gathers() bool {
-	return f.isFirstStart && f.others != nil && f.Role() == Standalone && f.ConfirmedAt().IsZero() && time.Since(f.startedAt) < gatherSpan
+func (f *Follower) isDiscovering() bool {
+	return f.isFirstStart && f.peerCount != nil && f.Role() == Standalone && f.ConfirmedAt().IsZero() && time.Since(f.startedAt) < discoverySpan
 }
 
 // pauseAfterChange returns the pause after a change. Right after a reading of
@@ -86,23 +86,23 @@
 	case role == Reader:
 		return f.readerPause()
 	}
-	return f.allowedNewsAge()
+	return f.stalenessBound()
 }
 
 // watchWait returns how long a watch waits for a change.
 func (f *Follower) watchWait() time.Duration {
 	switch f.Role() {
 	case Reader:
-		return max(leastWatchWait, f.readerPause()-time.Since(f.ConfirmedAt()))
+		return max(immediateWatchWait, f.readerPause()-time.Since(f.ConfirmedAt()))
 	case PeerPoller:
-		return leastWatchWait
+		return immediateWatchWait
 	}
-	if f.confirms.Load() {
-		return max(leastWatchWait, f.allowedNewsAge()-time.Since(f.ConfirmedAt()))
+	if f.confirmWhenIdle.Load() {
+		return max(immediateWatchWait, f.stalenessBound()-time.Since(f.ConfirmedAt()))
 	}
-	wait := leastWait + rand.N(greatestWait-leastWait)
-	if end, isSettling := f.settles(); isSettling {
-		return max(leastWatchWait, min(wait, time.Until(end)))
+	wait := minWatchWait + rand.N(maxWatchWait-minWatchWait)
+	if end, isSettling := f.settlingEnd(); isSettling {
+		return max(immediateWatchWait, min(wait, time.Until(end)))
 	}
 	return wait
 }
--- a/pkg/directory/peers.go
+++ b/pkg/directory/peers.go
@@ -29,13 +29,13 @@
 	// relayInterval takes the place of compareInterval at nodes that tell others what
 	// they hear from the readers.
 	relayInterval = compareInterval / 2
-	// firstInterval is how long a node that knows nothing leaves it to the store
+	// initialInterval is how long a node that knows nothing leaves it to the store
 	// to tell everything, unless the store fails.
-	firstInterval = loadTimeout + 100*time.Millisecond
-	// greatestToldAge is the greatest age of a moment that nodes tell each other.
-	greatestToldAge = time.Minute
-	// maxFirstTurn bounds the number at which a node begins to count its turns.
-	maxFirstTurn = 1 << 16
+	initialInterval = loadTimeout + 100*time.Millisecond
+	// maxReportedAge is the greatest age of a moment that nodes tell each other.
+	maxReportedAge = time.Minute
+	// maxInitialTurn bounds the number at which a node begins to count its turns.
+	maxInitialTurn = 1 << 16
 )
 
 // Peers keeps a follower up to date from other nodes: while the store does not
@@ -56,15 +56,15 @@
 	// incomplete says that the last answer could not tell which keys have gone;
 	// only Run uses it.
 	incomplete bool
-	// wantsAll says that the last answer cannot be used by what this node knows, so that everything is
+	// needsFullState says that the last answer cannot be used by what this node knows, so that everything is
 	// asked for; only Run uses it.
-	wantsAll bool
+	needsFullState bool
 	// readers divides the reading of the store; only Run uses it.
 	readers *readers
 	// roleChanged is told of a new role.
 	roleChanged func(Role)
-	// readerLeftOut is told of a reader that is not asked for a while, and why.
-	readerLeftOut func(name string, cause error)
+	// readerEjected is told of a reader that is not asked for a while, and why.
+	readerEjected func(name string, cause error)
 }
 
 // PeersOptions are the parts of Peers.
@@ -89,18 +89,18 @@
 func NewPeers(options PeersOptions) *Peers {
 	peers := &Peers{
 		follower: options.Follower, transport: options.Transport, local: options.Local, nodes: options.Nodes,
-		ahead: make(chan target.NodeID, 1), turn: rand.IntN(maxFirstTurn),
-		readers: newReaders(options.Local, options.Regions), roleChanged: options.RoleChanged, readerLeftOut: options.ReaderEjected,
+		ahead: make(chan target.NodeID, 1), turn: rand.IntN(maxInitialTurn),
+		readers: newReaders(options.Local, options.Regions), roleChanged: options.RoleChanged, readerEjected: options.ReaderEjected,
 	}
 	if peers.roleChanged == nil {
 		peers.roleChanged = func(Role) {}
 	}
-	if peers.readerLeftOut == nil {
-		peers.readerLeftOut = func(string, error) {}
+	if peers.readerEjected == nil {
+		peers.readerEjected = func(string, error) {}
 	}
 	peers.SetSeeds(options.Seeds)
-	options.Follower.others = func() int { return len(peers.others()) }
-	options.Transport.Handle(kindChanges, peers.answer)
+	options.Follower.peerCount = func() int { return len(peers.others()) }
+	options.Transport.Handle(kindChanges, peers.handleChanges)
 	return peers
 }
 
@@ -118,17 +118,17 @@
 // Run compares with other nodes until ctx ends.
 func (p *Peers) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		ahead := p.await(ctx)
+		ahead := p.awaitNext(ctx)
 		if ctx.Err() != nil {
 			return nil
 		}
-		loads := p.follower.loads.Load()
-		p.assume(p.readers.role(p.nodes(), p.follower.allowedNewsAge(), time.Now()), loads)
+		loads := p.follower.loadCount.Load()
+		p.assumeRole(p.readers.role(p.nodes(), p.follower.stalenessBound(), time.Now()), loads)
 		if ahead == "" && p.follower.Role() == PeerPoller {
-			p.askReaders(ctx)
+			p.pollReaders(ctx)
 			continue
 		}
-		if address, ok := p.choose(ahead); ok {
+		if address, ok := p.choosePeer(ahead); ok {
 			// A peer that does not answer is no loss: another one is asked next.
 			_, _ = p.compare(ctx, address)
 		}
@@ -138,59 +138,59 @@
 
 // assume takes the node's role, by the nodes that were known after so many loads. A
 // watch that waits goes on in the new one.
-func (p *Peers) assume(role Role, loads int64) {
+func (p *Peers) assumeRole(role Role, loads int64) {
 	if p.follower.setRole(role, loads) {
-		p.follower.askAgain()
+		p.follower.interruptWatch()
 		p.roleChanged(role)
 	}
 }
 
-// askReaders compares with a reader of the zone, and with the next one if it does
+// pollReaders compares with a reader of the zone, and with the next one if it does
 // not answer or its own news is old.
-func (p *Peers) askReaders(ctx context.Context) {
+func (p *Peers) pollReaders(ctx context.Context) {
 	p.turn++
-	for attempt := range leastReaders {
-		reader, ok := p.readers.ask(p.nodes(), p.turn+attempt, time.Now())
+	for attempt := range readersPerRegion {
+		reader, ok := p.readers.choose(p.nodes(), p.turn+attempt, time.Now())
 		if !ok {
 			return
 		}
-		knownAt, err := p.compare(ctx, peer.Address(reader.PeerAddress))
+		confirmedAt, err := p.compare(ctx, peer.Address(reader.PeerAddress))
 		if ctx.Err() != nil {
 			return
 		}
-		isOld := err == nil && time.Since(knownAt) >= p.follower.allowedNewsAge()
-		p.follower.heardOldNews(isOld)
+		isStale := err == nil && time.Since(confirmedAt) >= p.follower.stalenessBound()
+		p.follower.setOutage(isStale)
 		switch {
 		case err != nil && p.follower.ConfirmedAt().IsZero():
 			// Nodes that start together are not all up yet: it is asked again soon.
 		case err != nil:
-			p.leaveOut(reader, err)
-		case !isOld:
+			p.ejectReader(reader, err)
+		case !isStale:
 			return
-		case time.Since(p.follower.ConfirmedAt()) < p.follower.allowedNewsAge():
-			p.leaveOut(reader, errOldNews)
+		case time.Since(p.follower.ConfirmedAt()) < p.follower.stalenessBound():
+			p.ejectReader(reader, errReaderStale)
 		}
 	}
 }
 
-// leaveOut does not ask a node for a while.
-func (p *Peers) leaveOut(reader Node, cause error) {
-	p.readers.avoid(reader.Name, time.Now())
-	p.readerLeftOut(reader.Name, cause)
+// ejectReader does not ask a node for a while.
+func (p *Peers) ejectReader(reader Node, cause error) {
+	p.readers.eject(reader.Name, time.Now())
+	p.readerEjected(reader.Name, cause)
 }
 
-// errOldNews means that a node has not known for too long what the store holds,
+// errReaderStale means that a node has not known for too long what the store holds,
 // although this one has. Where both have not, as in an outage of the store, nobody is
 // left out: otherwise all nodes would begin to read.
-var errOldNews = errors.New("its own news of the store is old")
+var errReaderStale = errors.New("its own news of the store is old")
 
 // await waits until it is time to ask, and returns the node that is known to
 // know more, if that is why.
-func (p *Peers) await(ctx context.Context) target.NodeID {
+func (p *Peers) awaitNext(ctx context.Context) target.NodeID {
 	began := time.Now()
 	for time.Since(began) < p.interval() {
 		wait := p.interval() - time.Since(began)
-		if p.follower.isFirstCall() {
+		if p.follower.isStoreUntried() {
 			wait = min(wait, urgentInterval)
 		}
 		timer := time.NewTimer(wait)
@@ -217,21 +217,21 @@
 	switch {
 	case p.follower.IsStoreLost():
 		return urgentInterval
-	case p.follower.isFirstCall():
-		return firstInterval
+	case p.follower.isStoreUntried():
+		return initialInterval
 	case p.follower.Role() == PeerPoller && p.follower.ConfirmedAt().IsZero(), p.follower.AwaitsPeers():
 		return urgentInterval
-	case p.follower.Role() == PeerPoller && (p.readers.tells || p.readers.isTold && !p.isRelaxed()):
+	case p.follower.Role() == PeerPoller && (p.readers.isRelay || p.readers.usesRelay && !p.allowsSlowRelay()):
 		return relayInterval
 	}
 	return compareInterval
 }
 
-// isRelaxed reports whether news that comes through another node is in time though
+// allowsSlowRelay reports whether news that comes through another node is in time though
 // this one asks for it each compareInterval only.
-func (p *Peers) isRelaxed() bool {
-	const calls = 200 * time.Millisecond
-	return p.follower.readerPause()+relayInterval+compareInterval+calls <= p.follower.allowedNewsAge()
+func (p *Peers) allowsSlowRelay() bool {
+	const callSlack = 200 * time.Millisecond
+	return p.follower.readerPause()+relayInterval+compareInterval+callSlack <= p.follower.stalenessBound()
 }
 
 // compare asks one node for what this one does not know, and returns when that
@@ -245,35 +245,35 @@
 	defer cancel()
 	known := p.follower.replica.position()
 	after := known.Revision
-	if p.wantsAll || p.incomplete && (p.follower.IsStoreLost() || p.follower.ConfirmedAt().IsZero()) {
-		after, p.wantsAll = 0, false
+	if p.needsFullState || p.incomplete && (p.follower.IsStoreLost() || p.follower.ConfirmedAt().IsZero()) {
+		after, p.needsFullState = 0, false
 	}
-	request := &directorypb.ChangesRequest{After: after, Era: known.Era, EarlierDigest: p.follower.replica.earlierDigest()}
+	request := &directorypb.ChangesRequest{After: after, Era: known.Era, EarlierDigest: p.follower.replica.retainedDigest()}
 	reply := &directorypb.ChangesReply{}
 	if err := p.transport.Call(limited, address, kindChanges, request, reply); err != nil {
 		return time.Time{}, errors.WithMessage(err, "ask a peer for changes")
 	}
-	knownAt, news := p.hear(request, reply, known, began)
-	p.hearEarlier(reply, began)
-	if news && p.follower.inContact() {
-		p.follower.askAgain()
+	confirmedAt, isBehind := p.applyReply(request, reply, known, began)
+	p.applyRetained(reply, began)
+	if isBehind && p.follower.inContact() {
+		p.follower.interruptWatch()
 	}
-	return knownAt, nil
+	return confirmedAt, nil
 }
 
 // hear takes the answer to a question of a moment. It returns when the other node knew all that the
 // store held, zero if the answer does not tell, and whether the store knows more than this node.
-func (p *Peers) hear(request *directorypb.ChangesRequest, reply *directorypb.ChangesReply, known Position, asked time.Time) (time.Time, bool) {
+func (p *Peers) applyReply(request *directorypb.ChangesRequest, reply *directorypb.ChangesReply, known Position, askedAt time.Time) (time.Time, bool) {
 	if current := p.follower.replica.position(); reply.Era < current.Era {
 		// It has not heard of the restore yet and asks this node in turn, or this node was told of the
 		// restore meanwhile.
 		return time.Time{}, false
 	}
 	p.incomplete = reply.Era == known.Era && isNewerOnly(reply, request.After)
-	knownAt := p.hearTimes(reply, asked)
+	confirmedAt := p.learnTimes(reply, askedAt)
 	if reply.Era == known.Era && reply.Revision <= known.Revision && !p.incomplete {
-		p.follower.confirm(knownAt)
-		return knownAt, false
+		p.follower.confirm(confirmedAt)
+		return confirmedAt, false
 	}
 	batch := Batch{Era: reply.Era, Revision: reply.Revision}
 	for _, each := range reply.Gaps {
@@ -284,26 +284,26 @@
 	}
 	covered := p.coverageOf(reply)
 	if reply.Continues {
-		whole, isKnown := p.follower.replica.whole(batch, known)
+		whole, isKnown := p.follower.replica.mergeDiff(batch, known)
 		if !isKnown {
 			// Everything is asked for next, unless this node was told of the era meanwhile.
-			p.wantsAll = p.follower.replica.position().Era == known.Era
+			p.needsFullState = p.follower.replica.position().Era == known.Era
 			return time.Time{}, false
 		}
 		batch, covered = whole, wholeState
 	}
-	news := p.follower.take(batch, covered)
+	changes := p.follower.applyBatch(batch, covered)
 	if !p.incomplete && p.follower.replica.position().Era == reply.Era {
-		p.follower.confirm(knownAt)
+		p.follower.confirm(confirmedAt)
 	}
-	return knownAt, news > 0 || p.incomplete
+	return confirmedAt, changes > 0 || p.incomplete
 }
 
 // choose returns the node to ask: the one that was found to know more, or else
 // each other one in turn, so that what one node knows reaches all in a number of
 // steps that grows with the logarithm of their number, also where a whole zone
 // knows nothing of it.
-func (p *Peers) choose(ahead target.NodeID) (peer.Address, bool) {
+func (p *Peers) choosePeer(ahead target.NodeID) (peer.Address, bool) {
 	others := p.others()
 	for _, node := range others {
 		if target.NodeID(node.Name) == ahead {
--- a/pkg/directory/readers.go
+++ b/pkg/directory/readers.go
@@ -10,26 +10,26 @@
 
 // Constants of the division of reading.
 const (
-	// leastReaders is how many nodes of a region read the store for the others: one
+	// readersPerRegion is how many nodes of a region read the store for the others: one
 	// that is lost does not take the news of its region with it. Their calls do not grow
 	// with the region. Two a region instead of two a zone make 550 calls a day of 890 and
 	// 680 of 1,075 on 65 nodes of 6 zones in 3 regions.
-	leastReaders = 2
-	// nodesPerParent bounds what a node sends: it tells each change to as many others.
+	readersPerRegion = 2
+	// childrenPerParent bounds what a node sends: it tells each change to as many others.
 	// Those that the readers do not tell ask nodes that ask the readers, and so on. At
 	// the size to design for that is 8 times 0.6 kB/s, of 12 kB/s that a node may spend
 	// for control (docs/CAPACITY.md).
-	nodesPerParent = 8
-	// avoidSpan is for how long a node that did not answer, or answered with old
+	childrenPerParent = 8
+	// ejectionSpan is for how long a node that did not answer, or answered with old
 	// news, is not counted among those to ask.
-	avoidSpan = 10 * time.Second
+	ejectionSpan = 10 * time.Second
 	// readerShare is the part of the allowed age of news that readers use; the
 	// rest is for the way to the other nodes of the zone.
 	readerShare = 0.5
-	// leastSharedNewsAge is from which allowed age of news on nodes read for each
+	// minSharedStaleness is from which allowed age of news on nodes read for each
 	// other: readers need their share of it, and a comparison with them comes an
 	// interval and a call later at most.
-	leastSharedNewsAge = 2*compareInterval + 500*time.Millisecond
+	minSharedStaleness = 2*compareInterval + 500*time.Millisecond
 	// rankKey is what the nodes of a zone are ranked for.
 	rankKey = "readers of the store"
 )
@@ -60,20 +60,20 @@
 	// regions maps each zone to its region; the nodes of a region read for each other.
 	regions map[string]string
 	// tells says that other nodes of the region ask this one for news, although it is no
-	// reader, and isTold that it asks such a node.
-	tells, isTold bool
+	// reader, and usesRelay that it asks such a node.
+	isRelay, usesRelay bool
 	// avoided are nodes by name that are no readers until a moment.
-	avoided map[string]time.Time
+	ejected map[string]time.Time
 }
 
 func newReaders(local Node, regions map[string]string) *readers {
-	return &readers{local: local, regions: regions, avoided: make(map[string]time.Time)}
+	return &readers{local: local, regions: regions, ejected: make(map[string]time.Time)}
 }
 
 // avoid leaves a node out of the readers for a while.
-func (r *readers) avoid(name string, now time.Time) {
-	maps.DeleteFunc(r.avoided, func(_ string, until time.Time) bool { return !now.Before(until) })
-	r.avoided[name] = now.Add(avoidSpan)
+func (r *readers) eject(name string, now time.Time) {
+	maps.DeleteFunc(r.ejected, func(_ string, until time.Time) bool { return !now.Before(until) })
+	r.ejected[name] = now.Add(ejectionSpan)
 }
 
 // rank returns the nodes of the region that may read, this one among them, best
@@ -81,7 +81,7 @@
 func (r *readers) rank(nodes []Node, now time.Time) []Node {
 	byName := map[string]Node{r.local.Name: r.local}
 	for _, node := range nodes {
-		if node.Name != r.local.Name && SameRegion(r.regions, node.Zone, r.local.Zone) && node.PeerAddress != "" && !now.Before(r.avoided[node.Name]) {
+		if node.Name != r.local.Name && SameRegion(r.regions, node.Zone, r.local.Zone) && node.PeerAddress != "" && !now.Before(r.ejected[node.Name]) {
 			byName[node.Name] = node
 		}
 	}
@@ -99,33 +99,35 @@
 // parents returns the positions of the first and the last of the nodes that the one
 // at a rank asks: the readers, or further down two of those that the readers tell.
 func parents(rank int) (first, last int) {
-	pair := (rank - leastReaders) / (leastReaders * nodesPerParent)
-	return leastReaders * pair, leastReaders*pair + leastReaders - 1
+	pair := (rank - readersPerRegion) / (readersPerRegion * childrenPerParent)
+	return readersPerRegion * pair, readersPerRegion*pair + readersPerRegion - 1
 }
 
 // firstChild returns the position of the first node that asks the one at a rank.
-func firstChild(rank int) int { return leastReaders + rank/leastReaders*leastReaders*nodesPerParent }
+func firstChild(rank int) int {
+	return readersPerRegion + rank/readersPerRegion*readersPerRegion*childrenPerParent
+}
 
-// role returns what this node does while news may be as old as newsAge.
-func (r *readers) role(nodes []Node, newsAge time.Duration, now time.Time) Role {
+// role returns what this node does while news may be as old as stalenessBound.
+func (r *readers) role(nodes []Node, stalenessBound time.Duration, now time.Time) Role {
 	ranked := r.rank(nodes, now)
-	own := slices.Index(ranked, r.local)
-	r.tells = own >= leastReaders && firstChild(own) < len(ranked)
-	r.isTold = own >= firstChild(leastReaders)
+	ownRank := slices.Index(ranked, r.local)
+	r.isRelay = ownRank >= readersPerRegion && firstChild(ownRank) < len(ranked)
+	r.usesRelay = ownRank >= firstChild(readersPerRegion)
 	switch {
-	case newsAge < leastSharedNewsAge || len(ranked) <= leastReaders:
+	case stalenessBound < minSharedStaleness || len(ranked) <= readersPerRegion:
 		return Standalone
-	case slices.Contains(ranked[:leastReaders], r.local):
+	case slices.Contains(ranked[:readersPerRegion], r.local):
 		return Reader
 	}
 	return PeerPoller
 }
 
 // ask returns the node to ask in a turn, and false if this node has become a reader.
-func (r *readers) ask(nodes []Node, turn int, now time.Time) (Node, bool) {
+func (r *readers) choose(nodes []Node, turn int, now time.Time) (Node, bool) {
 	ranked := r.rank(nodes, now)
 	own := slices.Index(ranked, r.local)
-	if own < leastReaders {
+	if own < readersPerRegion {
 		return Node{}, false
 	}
 	first, last := parents(own)
--- a/pkg/directory/readers_test.go
+++ b/pkg/directory/readers_test.go
@@ -15,16 +15,16 @@
 	"github.com/bramblemast/bramblemast/pkg/peer"
 )
 
-// sharedNewsAge is an allowed age of news with which nodes read for each other.
-const sharedNewsAge = 2800 * time.Millisecond
+// sharedStaleness is an allowed age of news with which nodes read for each other.
+const sharedStaleness = 2800 * time.Millisecond
 
-// sharingCluster starts nodes of one zone that read for each other and lets them
+// startSharingCluster starts nodes of one zone that read for each other and lets them
 // settle.
-func sharingCluster(t *testing.T, count int) ([]*node, func()) {
+func startSharingCluster(t *testing.T, count int) ([]*node, func()) {
 	t.Helper()
-	nodes, stop := cluster(t, count)
+	nodes, stop := startCluster(t, count)
 	for _, each := range nodes {
-		each.SetStalenessBound(sharedNewsAge)
+		each.SetStalenessBound(sharedStaleness)
 	}
 	writeAll(nodes, "first", false)
 	time.Sleep(10 * time.Second)
@@ -42,13 +42,13 @@
 	return found
 }
 
-// expectNews writes a key and checks that all nodes know of it in time. The
+// expectDelivered writes a key and checks that all nodes know of it in time. The
 // allowed age may be exceeded by a call that fails and the comparison after it.
-func expectNews(g *WithT, nodes []*node, key string) {
+func expectDelivered(g *WithT, nodes []*node, key string) {
 	revision := writeAll(nodes, key, false)
-	time.Sleep(sharedNewsAge + compareInterval)
+	time.Sleep(sharedStaleness + compareInterval)
 	for index, each := range nodes {
-		g.Expect(each.seen.has(key)).To(Equal(revision), "%s at node %d, role %s", key, index, each.Role())
+		g.Expect(each.seen.revisionOf(key)).To(Equal(revision), "%s at node %d, role %s", key, index, each.Role())
 	}
 }
 
@@ -59,9 +59,9 @@
 	for _, count := range []int{3, 12, 40} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			nodes, stop := sharingCluster(t, count)
-			g.Expect(withRole(nodes, Reader)).To(HaveLen(leastReaders))
-			g.Expect(withRole(nodes, PeerPoller)).To(HaveLen(count - leastReaders))
+			nodes, stop := startSharingCluster(t, count)
+			g.Expect(withRole(nodes, Reader)).To(HaveLen(readersPerRegion))
+			g.Expect(withRole(nodes, PeerPoller)).To(HaveLen(count - readersPerRegion))
 			watchesOf := func() int {
 				total := 0
 				for _, each := range nodes {
@@ -72,15 +72,15 @@
 			}
 			before := watchesOf()
 			for index := range 20 {
-				expectNews(g, nodes, fmt.Sprint("key ", index))
+				expectDelivered(g, nodes, fmt.Sprint("key ", index))
 			}
 			made := watchesOf() - before
 			stop()
-			elapsed := 20 * (sharedNewsAge + compareInterval)
+			elapsed := 20 * (sharedStaleness + compareInterval)
 			// A change ends one wait of a reader early.
-			greatest := leastReaders * (int(elapsed/(sharedNewsAge/2)) + 20)
+			maxCalls := readersPerRegion * (int(elapsed/(sharedStaleness/2)) + 20)
 			t.Logf("%d nodes: %d calls", count, made)
-			g.Expect(made).To(BeNumerically("<=", greatest))
+			g.Expect(made).To(BeNumerically("<=", maxCalls))
 		})
 	}
 }
@@ -88,34 +88,34 @@
 // TestALostReaderHoldsNoNewsBack: one that the store refuses, one whose watch
 // hears nothing, and both lost at once.
 func TestALostReaderHoldsNoNewsBack(t *testing.T) {
-	refuse := func(lost *node) { lost.source.set(func() { lost.source.fail = errors.New("refused") }) }
-	hang := func(lost *node) { lost.source.set(func() { lost.source.deaf = true }) }
+	refuse := func(lost *node) { lost.source.update(func() { lost.source.failure = errors.New("refused") }) }
+	silence := func(lost *node) { lost.source.update(func() { lost.source.watchesSilent = true }) }
 	for name, test := range map[string]struct {
 		lost  int
 		lose  func(*node)
 		heals func(*node)
 	}{
-		"one refused":  {1, refuse, func(lost *node) { lost.source.set(func() { lost.source.fail = nil }) }},
-		"both refused": {2, refuse, func(lost *node) { lost.source.set(func() { lost.source.fail = nil }) }},
-		"one deaf":     {1, hang, func(lost *node) { lost.source.set(func() { lost.source.deaf = false }) }},
+		"one refused":  {1, refuse, func(lost *node) { lost.source.update(func() { lost.source.failure = nil }) }},
+		"both refused": {2, refuse, func(lost *node) { lost.source.update(func() { lost.source.failure = nil }) }},
+		"one deaf":     {1, silence, func(lost *node) { lost.source.update(func() { lost.source.watchesSilent = false }) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				nodes, stop := sharingCluster(t, 8)
+				nodes, stop := startSharingCluster(t, 8)
 				lost := withRole(nodes, Reader)[:test.lost]
 				for _, each := range lost {
 					test.lose(each)
 				}
 				for index := range 8 {
-					expectNews(g, nodes, fmt.Sprint(name, index))
+					expectDelivered(g, nodes, fmt.Sprint(name, index))
 				}
 				for _, each := range lost {
 					test.heals(each)
 				}
-				time.Sleep(avoidSpan + 5*time.Second)
-				expectNews(g, nodes, "healed")
-				g.Expect(withRole(nodes, Reader)).To(HaveLen(leastReaders), "those that were lost read again")
+				time.Sleep(ejectionSpan + 5*time.Second)
+				expectDelivered(g, nodes, "healed")
+				g.Expect(withRole(nodes, Reader)).To(HaveLen(readersPerRegion), "those that were lost read again")
 				stop()
 			})
 		})
@@ -127,9 +127,9 @@
 func TestASilentReaderIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop, network := clusterOn(t, 6)
+		nodes, stop, network := startClusterOnNetwork(t, 6)
 		for _, each := range nodes {
-			each.SetStalenessBound(sharedNewsAge)
+			each.SetStalenessBound(sharedStaleness)
 		}
 		time.Sleep(10 * time.Second)
 		silent := slices.Index(nodes, withRole(nodes, Reader)[0])
@@ -137,17 +137,17 @@
 		network.Freeze(peer.Address(fmt.Sprint(silent)))
 		for index := range 5 {
 			revision := writeAll(nodes, fmt.Sprint(index), false)
-			time.Sleep(sharedNewsAge + compareInterval)
+			time.Sleep(sharedStaleness + compareInterval)
 			for _, each := range others {
-				g.Expect(each.seen.has(fmt.Sprint(index))).To(Equal(revision))
+				g.Expect(each.seen.revisionOf(fmt.Sprint(index))).To(Equal(revision))
 			}
 		}
-		g.Expect(withRole(others, Reader)).To(HaveLen(leastReaders))
-		told := 0
+		g.Expect(withRole(others, Reader)).To(HaveLen(readersPerRegion))
+		total := 0
 		for _, each := range others {
-			told += int(each.leftOut.Load())
+			total += int(each.ejections.Load())
 		}
-		g.Expect(told).To(BeNumerically(">", 0), "and the operators are told why")
+		g.Expect(total).To(BeNumerically(">", 0), "and the operators are told why")
 		network.Thaw(peer.Address(fmt.Sprint(silent)))
 		stop()
 	})
@@ -158,20 +158,20 @@
 func TestAnAskerKnowsThatTheStoreWasAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := sharingCluster(t, 6)
+		nodes, stop := startSharingCluster(t, 6)
 		for _, reader := range withRole(nodes, Reader) {
-			reader.source.set(func() { reader.source.fail = errors.New("refused") })
+			reader.source.update(func() { reader.source.failure = errors.New("refused") })
 		}
 		time.Sleep(600 * time.Millisecond)
 		for _, reader := range withRole(nodes, Reader) {
-			reader.source.set(func() { reader.source.fail = nil })
+			reader.source.update(func() { reader.source.failure = nil })
 		}
 		writeAll(nodes, "first", true)
 		time.Sleep(2 * time.Second)
 		for _, asker := range withRole(nodes, PeerPoller) {
-			g.Expect(asker.seen.has("first")).To(BeZero())
-			doubted := asker.AbsenceUncertainUntil(5*time.Second, time.Now())
-			g.Expect(doubted).To(BeTemporally(">", time.Now().Add(time.Second)))
+			g.Expect(asker.seen.revisionOf("first")).To(BeZero())
+			uncertainUntil := asker.AbsenceUncertainUntil(5*time.Second, time.Now())
+			g.Expect(uncertainUntil).To(BeTemporally(">", time.Now().Add(time.Second)))
 		}
 		stop()
 	})
@@ -184,42 +184,42 @@
 	g := NewWithT(t)
 	for _, nodes := range []int{3, 18, 19, 52, 318} {
 		children, steps := make(map[int]int), make([]int, nodes)
-		for rank := leastReaders; rank < nodes; rank++ {
+		for rank := readersPerRegion; rank < nodes; rank++ {
 			first, last := parents(rank)
 			g.Expect(last-first).To(Equal(1), "each node has two to ask")
 			g.Expect(last).To(BeNumerically("<", rank))
 			steps[rank] = max(steps[first], steps[last]) + 1
 			children[first]++
 			children[last]++
-			g.Expect(rank).To(And(BeNumerically(">=", firstChild(first)), BeNumerically("<", firstChild(first+leastReaders))))
+			g.Expect(rank).To(And(BeNumerically(">=", firstChild(first)), BeNumerically("<", firstChild(first+readersPerRegion))))
 		}
 		for rank, count := range children {
 			// A node shares its children with another one.
-			g.Expect(count).To(BeNumerically("<=", leastReaders*nodesPerParent), "rank %d of %d", rank, nodes)
+			g.Expect(count).To(BeNumerically("<=", readersPerRegion*childrenPerParent), "rank %d of %d", rank, nodes)
 		}
-		most := slices.Max(steps)
-		g.Expect(most > 1).To(Equal(nodes > leastReaders*(1+nodesPerParent)))
-		g.Expect(most).To(BeNumerically("<=", 3))
+		maxSteps := slices.Max(steps)
+		g.Expect(maxSteps > 1).To(Equal(nodes > readersPerRegion*(1+childrenPerParent)))
+		g.Expect(maxSteps).To(BeNumerically("<=", 3))
 	}
 }
 
-// TestNodesReadAloneWhereNewsMustBeYoung, and where a zone has few of them.
-func TestNodesReadAloneWhereNewsMustBeYoung(t *testing.T) {
+// TestNodesReadAloneUnderATightStalenessBound, and where a zone has few of them.
+func TestNodesReadAloneUnderATightStalenessBound(t *testing.T) {
 	g := NewWithT(t)
 	local := Node{Name: "a", PeerAddress: "a", Zone: "z"}
 	zone := []Node{local, {Name: "b", PeerAddress: "b", Zone: "z"}, {Name: "c", PeerAddress: "c", Zone: "z"}}
 	now := time.Unix(100, 0)
 	g.Expect(newReaders(local, nil).role(zone, MinStalenessBound, now)).To(Equal(Standalone))
-	g.Expect(newReaders(local, nil).role(zone[:2], sharedNewsAge, now)).To(Equal(Standalone))
-	g.Expect(newReaders(local, nil).role(nil, sharedNewsAge, now)).To(Equal(Standalone))
+	g.Expect(newReaders(local, nil).role(zone[:2], sharedStaleness, now)).To(Equal(Standalone))
+	g.Expect(newReaders(local, nil).role(nil, sharedStaleness, now)).To(Equal(Standalone))
 	others := []Node{{Name: "b", PeerAddress: "b", Zone: "y"}, {Name: "c", PeerAddress: "c", Zone: "y"}}
-	g.Expect(newReaders(local, nil).role(others, sharedNewsAge, now)).To(Equal(Standalone), "another zone's nodes")
+	g.Expect(newReaders(local, nil).role(others, sharedStaleness, now)).To(Equal(Standalone), "another zone's nodes")
 	apart, together := map[string]string{local.Zone: "r", others[0].Zone: "q"}, map[string]string{local.Zone: "r", others[0].Zone: "r"}
-	g.Expect(newReaders(local, apart).role(others, sharedNewsAge, now)).To(Equal(Standalone), "another region's nodes")
-	g.Expect(newReaders(local, together).role(others, sharedNewsAge, now)).NotTo(Equal(Standalone), "the region's nodes")
+	g.Expect(newReaders(local, apart).role(others, sharedStaleness, now)).To(Equal(Standalone), "another region's nodes")
+	g.Expect(newReaders(local, together).role(others, sharedStaleness, now)).NotTo(Equal(Standalone), "the region's nodes")
 	byRole := make(map[Role]int)
 	for _, each := range zone {
-		byRole[newReaders(each, nil).role(zone, sharedNewsAge, now)]++
+		byRole[newReaders(each, nil).role(zone, sharedStaleness, now)]++
 	}
 	g.Expect(byRole).To(Equal(map[Role]int{Reader: 2, PeerPoller: 1}))
 }
@@ -231,7 +231,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const count = 40
-		nodes, stop := sharingCluster(t, count)
+		nodes, stop := startSharingCluster(t, count)
 		callsOf := func() int {
 			total := 0
 			for _, each := range nodes {
@@ -241,19 +241,19 @@
 			return total
 		}
 		for _, each := range nodes {
-			each.source.set(func() { each.source.fail = errors.New("refused") })
+			each.source.update(func() { each.source.failure = errors.New("refused") })
 		}
 		before := callsOf()
 		time.Sleep(5 * time.Second)
 		t.Logf("%d calls in an outage of 5 s", callsOf()-before)
-		g.Expect(callsOf() - before).To(BeNumerically("<=", count+leastReaders*10))
+		g.Expect(callsOf() - before).To(BeNumerically("<=", count+readersPerRegion*10))
 		for _, each := range nodes {
-			each.source.set(func() { each.source.fail = nil })
+			each.source.update(func() { each.source.failure = nil })
 		}
 		revision := writeAll(nodes, "after", false)
-		time.Sleep(greatestRetry + readerShareOf(sharedNewsAge) + 2*compareInterval)
+		time.Sleep(maxRetry + readerShareOf(sharedStaleness) + 2*compareInterval)
 		for index, each := range nodes {
-			g.Expect(each.seen.has("after")).To(Equal(revision), "node %d, role %s", index, each.Role())
+			g.Expect(each.seen.revisionOf("after")).To(Equal(revision), "node %d, role %s", index, each.Role())
 			g.Expect(each.IsStoreLost()).To(BeFalse())
 		}
 		stop()
@@ -269,9 +269,9 @@
 func TestAForgottenHistoryIsReadByReadersOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := sharingCluster(t, 12)
+		nodes, stop := startSharingCluster(t, 12)
 		writeAll(nodes, "gone", false)
-		time.Sleep(sharedNewsAge + compareInterval)
+		time.Sleep(sharedStaleness + compareInterval)
 		loadsOf := func() int {
 			total := 0
 			for _, each := range withRole(nodes, PeerPoller) {
@@ -283,23 +283,23 @@
 		before := loadsOf()
 		for range 4 {
 			for _, each := range nodes {
-				each.source.set(func() { each.source.deaf = true })
+				each.source.update(func() { each.source.watchesSilent = true })
 			}
 			writeAll(nodes, "gone", true)
 			writeAll(nodes, "comes and goes", false)
 			writeAll(nodes, "comes and goes", true)
 			revision := writeAll(nodes, "new", false)
 			for _, each := range nodes {
-				each.source.set(func() { each.source.deaf, each.source.forgotten = false, revision })
+				each.source.update(func() { each.source.watchesSilent, each.source.compactedUpTo = false, revision })
 			}
-			time.Sleep(sharedNewsAge + 2*compareInterval)
+			time.Sleep(sharedStaleness + 2*compareInterval)
 			for _, each := range nodes {
-				g.Expect(each.seen.has("new")).To(Equal(revision))
-				g.Expect(each.seen.has("gone")).To(BeZero())
-				g.Expect(each.seen.has("comes and goes")).To(BeZero())
+				g.Expect(each.seen.revisionOf("new")).To(Equal(revision))
+				g.Expect(each.seen.revisionOf("gone")).To(BeZero())
+				g.Expect(each.seen.revisionOf("comes and goes")).To(BeZero())
 			}
 			writeAll(nodes, "gone", false)
-			time.Sleep(sharedNewsAge + compareInterval)
+			time.Sleep(sharedStaleness + compareInterval)
 		}
 		g.Expect(loadsOf()).To(Equal(before))
 		stop()
@@ -318,16 +318,16 @@
 		knowRegistered := func(of *node, members []Node) []Node {
 			var known []Node
 			for _, member := range members {
-				if of.seen.has(member.Name) != 0 {
+				if of.seen.revisionOf(member.Name) != 0 {
 					known = append(known, member)
 				}
 			}
 			return known
 		}
-		nodes, stop, _ := preparedCluster(t, count, func(prepared *node) {
+		nodes, stop, _ := startPreparedCluster(t, count, func(prepared *node) {
 			prepared.source.lag = count
 			prepared.SetFirstStart(true)
-			prepared.SetStalenessBound(sharedNewsAge)
+			prepared.SetStalenessBound(sharedStaleness)
 		}, knowRegistered)
 		time.Sleep(20 * time.Millisecond)
 		for index := range nodes {
@@ -335,10 +335,10 @@
 		}
 		time.Sleep(500 * time.Millisecond)
 		for _, each := range nodes {
-			each.source.set(func() { each.source.lag = 0 })
+			each.source.update(func() { each.source.lag = 0 })
 		}
 		time.Sleep(5 * time.Second)
-		g.Expect(withRole(nodes, Reader)).To(HaveLen(leastReaders))
+		g.Expect(withRole(nodes, Reader)).To(HaveLen(readersPerRegion))
 		for _, asker := range withRole(nodes, PeerPoller) {
 			loads, watches := asker.source.calls()
 			g.Expect(loads).To(Equal(asker.source.copies))
@@ -353,17 +353,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const written, lag = 20, 5
-		nodes, stop, _ := preparedCluster(t, 12, func(prepared *node) {
+		nodes, stop, _ := startPreparedCluster(t, 12, func(prepared *node) {
 			prepared.source.lag = lag
-			prepared.SetStalenessBound(sharedNewsAge)
+			prepared.SetStalenessBound(sharedStaleness)
 			for index := range written {
 				prepared.source.write(fmt.Sprint("key ", index), index >= written-lag && index%2 == 0)
 			}
 		}, knowAll)
-		time.Sleep(2 * confirmSpan)
+		time.Sleep(2 * confirmTimeout)
 		for index, each := range nodes {
-			g.Expect(each.seen.has(fmt.Sprint("key ", written-1))).To(BeEquivalentTo(written), "node %d, role %s", index, each.Role())
-			g.Expect(each.seen.has(fmt.Sprint("key ", written-2))).To(BeZero())
+			g.Expect(each.seen.revisionOf(fmt.Sprint("key ", written-1))).To(BeEquivalentTo(written), "node %d, role %s", index, each.Role())
+			g.Expect(each.seen.revisionOf(fmt.Sprint("key ", written-2))).To(BeZero())
 			loads, watches := each.source.calls()
 			g.Expect(loads).To(Equal(each.source.copies))
 			if each.Role() == PeerPoller {
@@ -374,19 +374,19 @@
 	})
 }
 
-// TestACopyWhoseHistoryIsForgottenIsNotReadAgain: the store itself is.
-func TestACopyWhoseHistoryIsForgottenIsNotReadAgain(t *testing.T) {
+// TestACopyWithACompactedHistoryIsNotReadAgain: the store itself is.
+func TestACopyWithACompactedHistoryIsNotReadAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop, _ := preparedCluster(t, 1, func(prepared *node) {
+		nodes, stop, _ := startPreparedCluster(t, 1, func(prepared *node) {
 			prepared.source.lag = 1
 			prepared.source.write("gone", false)
 			prepared.source.write("gone", true)
-			prepared.source.forgotten = prepared.source.write("new", false)
+			prepared.source.compactedUpTo = prepared.source.write("new", false)
 		}, knowAll)
 		time.Sleep(2 * MinStalenessBound)
-		g.Expect(nodes[0].seen.has("new")).To(BeEquivalentTo(3))
-		g.Expect(nodes[0].seen.has("gone")).To(BeZero())
+		g.Expect(nodes[0].seen.revisionOf("new")).To(BeEquivalentTo(3))
+		g.Expect(nodes[0].seen.revisionOf("gone")).To(BeZero())
 		loads, _ := nodes[0].source.calls()
 		g.Expect(loads).To(Equal(2))
 		stop()
@@ -397,21 +397,21 @@
 func TestAWholeSystemThatStartsReadsCopies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		seen, source := &observer{state: make(map[string]uint64)}, newHistory()
+		seen, source := &observer{state: make(map[string]uint64)}, newFakeStore()
 		follower := NewFollower(source, seen)
 		follower.SetFirstStart(true)
-		follower.others = func() int { return 0 }
+		follower.peerCount = func() int { return 0 }
 		ctx, cancel := context.WithCancel(context.Background())
 		var group sync.WaitGroup
 		group.Go(func() { _ = follower.Run(ctx) })
-		time.Sleep(gatherSpan - time.Millisecond)
+		time.Sleep(discoverySpan - time.Millisecond)
 		_, watches := source.calls()
 		g.Expect(watches).To(BeZero())
-		g.Expect(source.copies).To(Equal(int(gatherSpan / confirmSpan)))
-		time.Sleep(2 * confirmSpan)
+		g.Expect(source.copies).To(Equal(int(discoverySpan / confirmTimeout)))
+		time.Sleep(2 * confirmTimeout)
 		revision := source.write("key", false)
 		synctest.Wait()
-		g.Expect(seen.has("key")).To(Equal(revision), "then it reads the store itself")
+		g.Expect(seen.revisionOf("key")).To(Equal(revision), "then it reads the store itself")
 		cancel()
 		group.Wait()
 	})
--- a/pkg/directory/replica.go
+++ b/pkg/directory/replica.go
@@ -17,28 +17,28 @@
 	listener Listener
 
 	// order makes changes reach the listener one at a time.
-	order sync.Mutex
+	notifying sync.Mutex
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
 	entries    map[string]Entry
 	tombstones map[string]tombstone
-	// forgottenUpTo is the revision up to which it is not known which keys have
+	// deletionsUnknownUpTo is the revision up to which it is not known which keys have
 	// gone.
-	forgottenUpTo uint64
+	deletionsUnknownUpTo uint64
 	// gaps are the later spans of revisions that were passed over by reading
 	// everything, oldest first; at most maxGaps.
 	gaps []gap
 	// at is the revision up to which the replica is complete; zero for nothing. era is the era of
 	// the store that it and all others belong to; zero if the store tells none.
-	at  uint64
-	era uint64
-	// isRestored says that the listener was told of the first state.
-	isRestored bool
+	completeUpTo uint64
+	era          uint64
+	// isLoaded says that the listener was told of the first state.
+	isLoaded bool
 	// earlier are states from before the era, which go before what the store holds.
-	earlier earlierStates
+	retained retainedStates
 	// succession is how the era differs from the one before, for nodes that know that one.
-	succession succession
+	eraDiff eraDiff
 }
 
 // gap is a span of revisions of which only the outcome is known. A key that was
@@ -52,17 +52,17 @@
 
 // tombstone remembers a key that is gone.
 type tombstone struct {
-	revision uint64
-	since    time.Time
+	revision  uint64
+	deletedAt time.Time
 	// end is the state that the listener was told, and written the revision of the last write.
-	end     Entry
-	written uint64
+	notified  Entry
+	lastWrite uint64
 }
 
 func newReplica(listener Listener) *replica {
 	return &replica{
 		listener: listener, entries: make(map[string]Entry), tombstones: make(map[string]tombstone),
-		earlier: earlierStates{states: make(map[string]earlierState)},
+		retained: retainedStates{states: make(map[string]retainedState)},
 	}
 }
 
@@ -73,7 +73,7 @@
 func (r *replica) position() Position {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return Position{Era: r.era, Revision: r.at}
+	return Position{Era: r.era, Revision: r.completeUpTo}
 }
 
 // apply takes a batch and returns the number of changes that were news. covered
@@ -82,8 +82,8 @@
 // changes up to that of the batch. A batch of an earlier era tells nothing, and of a later
 // one only the whole state does.
 func (r *replica) apply(batch Batch, covered coverage, now time.Time) int {
-	r.order.Lock()
-	defer r.order.Unlock()
+	r.notifying.Lock()
+	defer r.notifying.Unlock()
 	position := r.position()
 	if batch.Era == 0 {
 		batch.Era = position.Era
@@ -92,62 +92,62 @@
 	case batch.Era < position.Era, batch.Era > position.Era && covered != wholeState:
 		return 0
 	case batch.Era > position.Era:
-		r.beginEra(batch, now)
+		r.startEra(batch, now)
 	case batch.Revision < position.Revision:
 		return 0
 	}
 	known := r.revision()
-	news := 0
+	changes := 0
 	switch covered {
 	case wholeState:
-		news += r.offerAll(r.absent(batch, 0), now)
+		changes += r.applyEntries(r.impliedDeletions(batch, 0), now)
 	case allChanges:
-		news += r.offerAll(r.absent(batch, known), now)
+		changes += r.applyEntries(r.impliedDeletions(batch, known), now)
 	}
-	news += r.offerAll(batch.Entries, now)
+	changes += r.applyEntries(batch.Entries, now)
 	r.mutex.Lock()
-	r.at = max(r.at, batch.Revision)
+	r.completeUpTo = max(r.completeUpTo, batch.Revision)
 	if covered == wholeState {
 		r.noteGap(gap{from: known, to: batch.Revision})
 	}
 	for _, each := range batch.gaps {
 		r.noteGap(each)
 	}
-	r.forget(now)
-	isFirst := !r.isRestored && batch.Revision > 0
-	r.isRestored = r.isRestored || isFirst
+	r.expireTombstones(now)
+	isFirst := !r.isLoaded && batch.Revision > 0
+	r.isLoaded = r.isLoaded || isFirst
 	r.mutex.Unlock()
 	if isFirst {
 		r.listener.Loaded(batch.Revision)
 	}
-	return news
+	return changes
 }
 
 // noteGap notes that the changes between two revisions were not seen. The mutex is
 // held.
-func (r *replica) noteGap(passed gap) {
-	if passed.from == 0 {
-		r.forgottenUpTo = max(r.forgottenUpTo, passed.to)
+func (r *replica) noteGap(skipped gap) {
+	if skipped.from == 0 {
+		r.deletionsUnknownUpTo = max(r.deletionsUnknownUpTo, skipped.to)
 		return
 	}
-	if passed.from < passed.to && !slices.Contains(r.gaps, passed) {
-		r.gaps = append(r.gaps, passed)
+	if skipped.from < skipped.to && !slices.Contains(r.gaps, skipped) {
+		r.gaps = append(r.gaps, skipped)
 	}
 	if len(r.gaps) > maxGaps {
-		r.forgottenUpTo = max(r.forgottenUpTo, r.gaps[0].to)
+		r.deletionsUnknownUpTo = max(r.deletionsUnknownUpTo, r.gaps[0].to)
 		r.gaps = slices.Delete(r.gaps, 0, 1)
 	}
 }
 
-// isForgotten reports whether a node that knows everything up to a revision may hold
+// areDeletionsUnknown reports whether a node that knows everything up to a revision may hold
 // keys of which it is not known that they have gone. One that is at the begin of a
 // gap, or before it, holds none that came within it. The mutex is held.
-func (r *replica) isForgotten(after uint64) bool {
-	return isForgottenBy(after, r.forgottenUpTo, r.gaps)
+func (r *replica) areDeletionsUnknown(after uint64) bool {
+	return areDeletionsUnknownIn(after, r.deletionsUnknownUpTo, r.gaps)
 }
 
-func isForgottenBy(after, forgottenUpTo uint64, gaps []gap) bool {
-	if after < forgottenUpTo {
+func areDeletionsUnknownIn(after, unknownUpTo uint64, gaps []gap) bool {
+	if after < unknownUpTo {
 		return true
 	}
 	for _, each := range gaps {
@@ -160,45 +160,45 @@
 
 // absent returns the end of each key that was written after a revision and that a
 // batch does not hold.
-func (r *replica) absent(batch Batch, after uint64) []Entry {
+func (r *replica) impliedDeletions(batch Batch, after uint64) []Entry {
 	r.mutex.Lock()
 	missing := maps.Clone(r.entries)
 	r.mutex.Unlock()
 	for _, entry := range batch.Entries {
 		delete(missing, entry.Key)
 	}
-	var ends []Entry
+	var deletions []Entry
 	for _, entry := range missing {
 		if entry.Revision > after && entry.Revision <= batch.Revision {
-			ends = append(ends, entry.end(batch.Revision))
+			deletions = append(deletions, entry.gone(batch.Revision))
 		}
 	}
-	return ends
+	return deletions
 }
 
-// offerAll offers entries and returns how many of them were news.
-func (r *replica) offerAll(entries []Entry, now time.Time) int {
-	news := 0
+// applyEntries offers entries and returns how many of them were news.
+func (r *replica) applyEntries(entries []Entry, now time.Time) int {
+	changes := 0
 	for _, entry := range entries {
-		news += r.offer(entry, now)
+		changes += r.applyEntry(entry, now)
 	}
-	return news
+	return changes
 }
 
 // offer hands an entry to the listener if it is newer than what is known of its
 // key, and returns 1 if it is. An earlier state may go before it.
-func (r *replica) offer(entry Entry, now time.Time) int {
-	if !r.replace(&entry, now) {
+func (r *replica) applyEntry(entry Entry, now time.Time) int {
+	if !r.update(&entry, now) {
 		return 0
 	}
-	if r.isInForce(entry) {
+	if r.shouldNotify(entry) {
 		r.listener.Changed(entry)
 	}
 	return 1
 }
 
 // replace takes an entry, which becomes one of the era, and reports whether it is news.
-func (r *replica) replace(entry *Entry, now time.Time) bool {
+func (r *replica) update(entry *Entry, now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	entry.Era = r.era
@@ -211,16 +211,16 @@
 		return true
 	}
 	delete(r.entries, entry.Key)
-	written := max(known.Revision, r.tombstones[entry.Key].written)
-	r.tombstones[entry.Key] = tombstone{revision: entry.Revision, since: now, end: *entry, written: written}
+	lastWrite := max(known.Revision, r.tombstones[entry.Key].lastWrite)
+	r.tombstones[entry.Key] = tombstone{revision: entry.Revision, deletedAt: now, notified: *entry, lastWrite: lastWrite}
 	return exists
 }
 
 // forget drops old tombstones. The mutex is held.
-func (r *replica) forget(now time.Time) {
-	for key, old := range r.tombstones {
-		if now.Sub(old.since) > tombstoneLifetime {
-			r.forgottenUpTo = max(r.forgottenUpTo, old.revision)
+func (r *replica) expireTombstones(now time.Time) {
+	for key, deleted := range r.tombstones {
+		if now.Sub(deleted.deletedAt) > tombstoneLifetime {
+			r.deletionsUnknownUpTo = max(r.deletionsUnknownUpTo, deleted.revision)
 			delete(r.tombstones, key)
 		}
 	}
@@ -243,8 +243,8 @@
 func (r *replica) since(after uint64) (Batch, coverage) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	batch := Batch{Era: r.era, Revision: r.at}
-	if after >= r.at {
+	batch := Batch{Era: r.era, Revision: r.completeUpTo}
+	if after >= r.completeUpTo {
 		return batch, allChanges
 	}
 	for _, entry := range r.entries {
@@ -260,7 +260,7 @@
 			batch.Entries = append(batch.Entries, Entry{Key: key, Revision: old.revision, Gone: true})
 		}
 	}
-	if r.isForgotten(after) {
+	if r.areDeletionsUnknown(after) {
 		batch.Revision = after
 		return batch, newerOnly
 	}
--- a/pkg/directory/restore_test.go
+++ b/pkg/directory/restore_test.go
@@ -26,11 +26,11 @@
 func TestEachNodeFollowsARestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := cluster(t, 5)
+		nodes, stop := startCluster(t, 5)
 		writeAll(nodes, "first", false)
 		time.Sleep(2 * time.Second)
-		nodes[3].source.set(func() { nodes[3].source.fail = errors.New("refused") })
-		nodes[4].source.set(func() { nodes[4].source.deaf = true })
+		nodes[3].source.update(func() { nodes[3].source.failure = errors.New("refused") })
+		nodes[4].source.update(func() { nodes[4].source.watchesSilent = true })
 		for number := range 20 {
 			writeAll(nodes, fmt.Sprint("lost/", number), false)
 		}
@@ -40,17 +40,17 @@
 		written := writeAll(nodes, "new", false)
 		time.Sleep(defaultWriteBackSpan - time.Second)
 		for number, each := range nodes {
-			g.Expect(each.seen.has("new")).To(Equal(written), fmt.Sprint(number))
-			g.Expect(each.seen.has("lost/0")).To(Equal(again))
-			g.Expect(each.seen.has("lost/1")).NotTo(BeZero(), "it may be written again")
+			g.Expect(each.seen.revisionOf("new")).To(Equal(written), fmt.Sprint(number))
+			g.Expect(each.seen.revisionOf("lost/0")).To(Equal(again))
+			g.Expect(each.seen.revisionOf("lost/1")).NotTo(BeZero(), "it may be written again")
 		}
 		time.Sleep(4 * time.Second)
 		for number, each := range nodes {
-			g.Expect(each.seen.has("lost/0")).To(Equal(again))
-			g.Expect(each.seen.has("lost/1")).To(BeZero(), fmt.Sprint(number))
-			g.Expect(each.seen.has("first")).To(Equal(uint64(1)))
-			g.Expect(each.seen.eras).To(HaveLen(1))
-			g.Expect(each.seen.eras[0].To.Era).To(Equal(uint64(1)))
+			g.Expect(each.seen.revisionOf("lost/0")).To(Equal(again))
+			g.Expect(each.seen.revisionOf("lost/1")).To(BeZero(), fmt.Sprint(number))
+			g.Expect(each.seen.revisionOf("first")).To(Equal(uint64(1)))
+			g.Expect(each.seen.eraChanges).To(HaveLen(1))
+			g.Expect(each.seen.eraChanges[0].To.Era).To(Equal(uint64(1)))
 			g.Expect(each.RetainedKeys()).To(BeEmpty())
 		}
 		stop()
@@ -61,7 +61,7 @@
 func TestSeveralRestoresInARow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := cluster(t, 3)
+		nodes, stop := startCluster(t, 3)
 		writeAll(nodes, "stays", false)
 		writeAll(nodes, "ends", false)
 		time.Sleep(time.Second)
@@ -71,14 +71,14 @@
 			restoreAll(nodes, 2)
 			time.Sleep(time.Second)
 			for _, each := range nodes {
-				g.Expect(each.seen.has("ends")).To(BeZero(), "it was removed before")
+				g.Expect(each.seen.revisionOf("ends")).To(BeZero(), "it was removed before")
 			}
 		}
 		writeAll(nodes, "ends", true)
 		time.Sleep(2 * defaultWriteBackSpan)
 		for _, each := range nodes {
-			g.Expect(each.seen.has("ends")).To(BeZero())
-			g.Expect(each.seen.has("stays")).To(Equal(uint64(1)))
+			g.Expect(each.seen.revisionOf("ends")).To(BeZero())
+			g.Expect(each.seen.revisionOf("stays")).To(Equal(uint64(1)))
 			g.Expect(each.Position().Era).To(Equal(uint64(4)))
 		}
 		stop()
@@ -90,22 +90,22 @@
 func TestARestoreIsNoticedInAnyOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := cluster(t, 1)
+		nodes, stop := startCluster(t, 1)
 		source := nodes[0].source
 		for number := range 5 {
 			writeAll(nodes, fmt.Sprint(number), false)
 		}
 		time.Sleep(time.Second)
-		source.set(func() { source.fail = errors.New("refused") })
+		source.update(func() { source.failure = errors.New("refused") })
 		time.Sleep(time.Second)
 		source.restore(2)
 		early := source.write("early", false)
 		for range 9 {
 			source.write("late", false)
 		}
-		source.set(func() { source.fail = nil })
+		source.update(func() { source.failure = nil })
 		time.Sleep(2 * time.Second)
-		g.Expect(nodes[0].seen.has("early")).To(Equal(early))
+		g.Expect(nodes[0].seen.revisionOf("early")).To(Equal(early))
 		stop()
 	})
 }
@@ -115,7 +115,7 @@
 func TestLateAnswersOfAnEarlierEraProveNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		source := newHistory()
+		source := newFakeStore()
 		source.era = 1
 		tested := NewFollower(source, &observer{state: make(map[string]uint64)})
 		for range 5 {
@@ -126,7 +126,7 @@
 			_, err := tested.step(t.Context())
 			g.Expect(err).NotTo(HaveOccurred())
 		}
-		knownAt := tested.ConfirmedAt()
+		confirmedAt := tested.ConfirmedAt()
 		time.Sleep(time.Second)
 		watched := make(chan error)
 		go func() {
@@ -134,19 +134,19 @@
 			watched <- err
 		}()
 		synctest.Wait()
-		tested.take(Batch{Era: 2, Revision: 3}, wholeState)
+		tested.applyBatch(Batch{Era: 2, Revision: 3}, wholeState)
 		source.write("key", false)
 		g.Expect(<-watched).To(MatchError(ErrStoreBehind))
-		g.Expect(tested.ConfirmedAt()).To(Equal(knownAt))
+		g.Expect(tested.ConfirmedAt()).To(Equal(confirmedAt))
 		g.Expect(tested.Position()).To(Equal(Position{Era: 2, Revision: 3}))
 
-		asking := &Peers{follower: tested, readers: newReaders(Node{}, nil)}
+		peers := &Peers{follower: tested, readers: newReaders(Node{}, nil)}
 		age := uint32(0)
-		heardAt, isNews := asking.hear(&directorypb.ChangesRequest{Era: 1, After: 5}, &directorypb.ChangesReply{Era: 1, Revision: 5, KnownAgeMs: &age},
+		reportedAt, isBehind := peers.applyReply(&directorypb.ChangesRequest{Era: 1, After: 5}, &directorypb.ChangesReply{Era: 1, Revision: 5, KnownAgeMs: &age},
 			Position{Era: 1, Revision: 5}, time.Now())
-		g.Expect(heardAt.IsZero()).To(BeTrue())
-		g.Expect(isNews).To(BeFalse())
-		g.Expect(tested.ConfirmedAt()).To(Equal(knownAt))
+		g.Expect(reportedAt.IsZero()).To(BeTrue())
+		g.Expect(isBehind).To(BeFalse())
+		g.Expect(tested.ConfirmedAt()).To(Equal(confirmedAt))
 	})
 }
 
@@ -154,7 +154,7 @@
 // era with them. A node's entry of that era shows that one is not.
 func TestACopyFromBeforeARestoreIsNotTaken(t *testing.T) {
 	g := NewWithT(t)
-	tested := NewFollower(newHistory(), &observer{state: make(map[string]uint64)})
+	tested := NewFollower(newFakeStore(), &observer{state: make(map[string]uint64)})
 	of := func(era uint64, nodes ...uint64) Batch {
 		batch := Batch{Era: era}
 		for _, writtenIn := range nodes {
@@ -179,7 +179,7 @@
 		g := NewWithT(t)
 		network := peer.NewNetwork(1)
 		start := func(name string, known ...Node) (*Follower, *Peers) {
-			follower := NewFollower(newHistory(), &observer{state: make(map[string]uint64)})
+			follower := NewFollower(newFakeStore(), &observer{state: make(map[string]uint64)})
 			peers := NewPeers(PeersOptions{
 				Follower: follower, Transport: network.Transport(peer.Address(name)), Local: Node{Name: name, PeerAddress: name},
 				Nodes: func() []Node { return known },
@@ -188,14 +188,14 @@
 		}
 		listed := Batch{Era: 2, Revision: 3, Entries: []Entry{{Key: "nodes/running", Revision: 1, Node: &Node{Name: "running", Era: 1}}}}
 		running, _ := start("running")
-		running.take(Batch{Era: 1, Revision: 9}, wholeState)
-		running.regained()
+		running.applyBatch(Batch{Era: 1, Revision: 9}, wholeState)
+		running.noteStoreRegained()
 		other, _ := start("other")
-		other.beginAwaitingPeers(listed)
-		other.take(listed, wholeState)
+		other.startAwaitingPeers(listed)
+		other.applyBatch(listed, wholeState)
 		started, asking := start("started")
-		started.beginAwaitingPeers(listed)
-		started.take(listed, wholeState)
+		started.startAwaitingPeers(listed)
+		started.applyBatch(listed, wholeState)
 		g.Expect(started.AwaitsPeers()).To(BeTrue())
 		g.Expect(started.IsFresh()).To(BeFalse())
 		_, err := asking.compare(context.Background(), "other")
@@ -209,24 +209,24 @@
 		g.Expect(other.AwaitsPeers()).To(BeFalse())
 		settled, _ := start("settled")
 		listed.Entries[0].Node.Era = 2
-		settled.beginAwaitingPeers(listed)
+		settled.startAwaitingPeers(listed)
 		g.Expect(settled.AwaitsPeers()).To(BeFalse(), "a node has written its entry in this era")
 		network.Close()
 	})
 }
 
-// TestWhatIsProvenAfterARestore: what the store tells proves nothing until it has settled, and by then nothing that was
+// TestNothingIsProvenUntilARestoredStoreSettles: what the store tells proves nothing until it has settled, and by then nothing that was
 // known before is still proven.
-func TestWhatIsProvenAfterARestore(t *testing.T) {
+func TestNothingIsProvenUntilARestoredStoreSettles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		tested := NewFollower(nil, &observer{state: make(map[string]uint64)})
 		tested.SetWriteBackSpan(3 * time.Second)
-		tested.regained()
-		tested.take(Batch{Era: 1, Revision: 9}, wholeState)
+		tested.noteStoreRegained()
+		tested.applyBatch(Batch{Era: 1, Revision: 9}, wholeState)
 		tested.confirm(time.Now())
 		time.Sleep(time.Second)
-		tested.take(Batch{Era: 2, Revision: 4}, wholeState)
+		tested.applyBatch(Batch{Era: 2, Revision: 4}, wholeState)
 		for range 2 {
 			tested.confirm(time.Now())
 			g.Expect(tested.IsFresh()).To(BeFalse())
--- a/pkg/directory/earlier.go
+++ b/pkg/directory/retained.go
@@ -19,38 +19,38 @@
 	// defaultWriteBackSpan is how long the operator and the servers may take to write again what
 	// the store has lost; see SetWriteBackSpan.
 	defaultWriteBackSpan = 2800 * time.Millisecond
-	// nodesWriteBackSpan is how long the nodes may take: their writes are spread, since the store
+	// nodeWriteBackSpan is how long the nodes may take: their writes are spread, since the store
 	// limits its callers. It is that of their leases, after which a lost node's entry goes.
-	nodesWriteBackSpan = 90 * time.Second
+	nodeWriteBackSpan = 90 * time.Second
 	// unlimitedRetention is for what never goes back to an older state.
 	unlimitedRetention = time.Duration(math.MaxInt64)
 )
 
-// earlierState is the state of a key from before the store came back from an older copy.
-type earlierState struct {
+// retainedState is the state of a key from before the store came back from an older copy.
+type retainedState struct {
 	entry Entry
 	// written is the revision of the key's last write, also if the key is gone.
-	written uint64
+	lastWrite uint64
 }
 
 // retention returns for how long the state stays in force unless its key is written again, where
 // the operator and the servers write again within a span. A configuration is replaced by a later
 // version only.
-func (s earlierState) retention(writeBackSpan time.Duration) time.Duration {
+func (s retainedState) retention(writeBackSpan time.Duration) time.Duration {
 	switch {
 	case s.entry.Configuration != nil:
 		return unlimitedRetention
-	case s.entry.isOwn() || s.entry.Node != nil:
-		return nodesWriteBackSpan
+	case s.entry.isWrittenBackByNodes() || s.entry.Node != nil:
+		return nodeWriteBackSpan
 	}
 	return writeBackSpan
 }
 
-// isOwn reports whether nodes write the key back themselves: nobody else does.
-func (e Entry) isOwn() bool { return e.Template != nil || e.Note != nil }
+// isWrittenBackByNodes reports whether nodes write the key back themselves: nobody else does.
+func (e Entry) isWrittenBackByNodes() bool { return e.Template != nil || e.Note != nil }
 
 // isConfirmedBy reports whether the store holds the same state again.
-func (s earlierState) isConfirmedBy(entry Entry) bool {
+func (s retainedState) isConfirmedBy(entry Entry) bool {
 	if s.entry.Gone || entry.Gone {
 		return s.entry.Gone && entry.Gone
 	}
@@ -58,33 +58,33 @@
 	return s.entry.Problem == nil && entry.Problem == nil && bytes.Equal(s.entry.Value, entry.Value)
 }
 
-// isReplacedBy reports whether a state that the restored store holds is a later one. A state of the
+// isSupersededBy reports whether a state that the restored store holds is a later one. A state of the
 // copy was never written later than what is known of its key; one beyond the first revision that was
 // seen of the era was written after the restore. What is neither may be both.
-func (s earlierState) isReplacedBy(entry Entry, baseline uint64) bool {
+func (s retainedState) isSupersededBy(entry Entry, baseline uint64) bool {
 	switch {
 	case s.entry.Configuration != nil && entry.Configuration != nil:
 		return entry.Configuration.Version >= s.entry.Configuration.Version
-	case s.entry.Template != nil && entry.Template != nil && s.holdsRevisionOf(entry):
+	case s.entry.Template != nil && entry.Template != nil && s.historyContains(entry):
 		return false
 	case s.entry.Template != nil && entry.Template != nil:
 		return true
 	case s.entry.Node != nil && entry.Node != nil && entry.Node.Era > s.entry.Node.Era:
 		return true
-	case !s.entry.Gone && entry.Revision == s.written:
+	case !s.entry.Gone && entry.Revision == s.lastWrite:
 		return true
 	}
-	return entry.Revision > s.written || entry.Revision > baseline
+	return entry.Revision > s.lastWrite || entry.Revision > baseline
 }
 
 // isRewrittenAs reports whether a state has the revision of this one and was evidently written after the
 // restore. The entry of a server proves nothing: it counts heartbeats that the store gives no revision.
-func (s earlierState) isRewrittenAs(entry Entry) bool {
-	return !s.entry.Gone && entry.Revision == s.written && s.entry.ServerID == "" && !s.isConfirmedBy(entry)
+func (s retainedState) isRewrittenAs(entry Entry) bool {
+	return !s.entry.Gone && entry.Revision == s.lastWrite && s.entry.ServerID == "" && !s.isConfirmedBy(entry)
 }
 
-// holdsRevisionOf reports whether the published template of an entry is part of this one's history.
-func (s earlierState) holdsRevisionOf(entry Entry) bool {
+// historyContains reports whether the published template of an entry is part of this one's history.
+func (s retainedState) historyContains(entry Entry) bool {
 	document, err := stored.Decode(s.entry.Template.Template.Key(), s.entry.Value)
 	if err != nil {
 		// It was decoded when it was read, so that this means a history which cannot be read: the
@@ -96,31 +96,31 @@
 }
 
 // isLaterThan reports whether the state is a later one than another of the same key.
-func (s earlierState) isLaterThan(other earlierState) bool {
+func (s retainedState) isLaterThan(other retainedState) bool {
 	if s.entry.Configuration != nil && other.entry.Configuration != nil {
 		return s.entry.Configuration.Version > other.entry.Configuration.Version
 	}
-	if order := cmp.Or(cmp.Compare(s.entry.Era, other.entry.Era), cmp.Compare(s.written, other.written)); order != 0 {
+	if order := cmp.Or(cmp.Compare(s.entry.Era, other.entry.Era), cmp.Compare(s.lastWrite, other.lastWrite)); order != 0 {
 		return order > 0
 	}
 	return s.entry.Gone && !other.entry.Gone
 }
 
-// earlierStates are the states from before an era that stay in force, and with them which keys were gone.
+// retainedStates are the states from before an era that stay in force, and with them which keys were gone.
 // They are guarded by the mutex of their replica.
-type earlierStates struct {
-	states map[string]earlierState
+type retainedStates struct {
+	states map[string]retainedState
 	// since is when the era began, as this node or another one saw it; zero for long ago.
-	since time.Time
+	eraStart time.Time
 	// baseline is the first revision that was seen of the era.
 	baseline uint64
 }
 
 // digestOf returns a number that is the same for the same states; zero for none.
-func digestOf(states map[string]earlierState) uint64 {
+func digestOf(states map[string]retainedState) uint64 {
 	var digest uint64
 	for key, state := range states {
-		text := key + " " + strconv.FormatUint(state.entry.Era, 10) + " " + strconv.FormatUint(state.written, 10)
+		text := key + " " + strconv.FormatUint(state.entry.Era, 10) + " " + strconv.FormatUint(state.lastWrite, 10)
 		if state.entry.Gone {
 			text += " gone"
 		}
@@ -129,142 +129,142 @@
 	return digest
 }
 
-// beginEra forgets what the store held in the era before and keeps what is in force, except what
+// startEra forgets what the store held in the era before and keeps what is in force, except what
 // the first batch of the era confirms. The order is held.
-func (r *replica) beginEra(batch Batch, now time.Time) {
+func (r *replica) startEra(batch Batch, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	inForce := r.inForce()
-	baseline := r.lastOfCopy(batch)
-	r.succession = r.successionTo(batch)
+	kept := r.statesInForce()
+	baseline := r.lastCopyRevision(batch)
+	r.eraDiff = r.diffTo(batch)
 	for _, entry := range batch.Entries {
-		if known, exists := inForce[entry.Key]; exists && known.isConfirmedBy(entry) {
-			delete(inForce, entry.Key)
+		if known, exists := kept[entry.Key]; exists && known.isConfirmedBy(entry) {
+			delete(kept, entry.Key)
 		}
 	}
-	isChange := r.at > 0
+	isChange := r.completeUpTo > 0
 	r.entries, r.tombstones = make(map[string]Entry, len(batch.Entries)), make(map[string]tombstone)
-	r.gaps, r.forgottenUpTo, r.at, r.era = nil, 0, 0, batch.Era
-	r.earlier = earlierStates{states: inForce, baseline: baseline}
+	r.gaps, r.deletionsUnknownUpTo, r.completeUpTo, r.era = nil, 0, 0, batch.Era
+	r.retained = retainedStates{states: kept, baseline: baseline}
 	if isChange {
-		r.earlier.since = now
+		r.retained.eraStart = now
 	}
 }
 
-// lastOfCopy returns a revision that is not before the last one of the copy which the store came back from,
+// lastCopyRevision returns a revision that is not before the last one of the copy which the store came back from,
 // by the first batch of the new era and what was known of the one before: revisions that belonged to
 // something else then were given out again, and so were all that follow. The mutex is held.
-func (r *replica) lastOfCopy(batch Batch) uint64 {
+func (r *replica) lastCopyRevision(batch Batch) uint64 {
 	// Not those at which keys went: where that was found by a reading of everything, it was earlier.
-	keyAt := make(map[uint64]string, len(r.entries))
+	keyByRevision := make(map[uint64]string, len(r.entries))
 	for key, entry := range r.entries {
-		keyAt[entry.Revision] = key
+		keyByRevision[entry.Revision] = key
 	}
 	last := batch.Revision
 	for _, entry := range batch.Entries {
-		if entry.Revision > last || entry.Revision > r.at {
+		if entry.Revision > last || entry.Revision > r.completeUpTo {
 			continue
 		}
-		owner, isOwned := keyAt[entry.Revision]
-		if isOwned && owner != entry.Key || r.wasWrittenSince(entry) {
+		knownKey, isKnown := keyByRevision[entry.Revision]
+		if isKnown && knownKey != entry.Key || r.wasWrittenAfterRestore(entry) {
 			last = entry.Revision - 1
 		}
 	}
 	return last
 }
 
-// wasWrittenSince reports whether an entry was evidently written after the store came back from an older
+// wasWrittenAfterRestore reports whether an entry was evidently written after the store came back from an older
 // copy, by what was known of its key in the era before. The mutex is held.
-func (r *replica) wasWrittenSince(entry Entry) bool {
+func (r *replica) wasWrittenAfterRestore(entry Entry) bool {
 	if known, isHeld := r.entries[entry.Key]; isHeld {
-		state := earlierState{entry: known, written: known.Revision}
+		state := retainedState{entry: known, lastWrite: known.Revision}
 		return entry.Revision > known.Revision || state.isRewrittenAs(entry)
 	}
 	// One that is gone was there, at revisions that may not have been seen; so may others have been, where
 	// changes were passed over.
 	_, isGone := r.tombstones[entry.Key]
-	return !isGone && !r.isForgotten(entry.Revision)
+	return !isGone && !r.areDeletionsUnknown(entry.Revision)
 }
 
-// inForce returns the state of each key that the listener was told last. The mutex is held.
-func (r *replica) inForce() map[string]earlierState {
-	states := make(map[string]earlierState, len(r.entries)+len(r.tombstones))
-	for key, old := range r.tombstones {
-		states[key] = earlierState{entry: old.end, written: old.written}
+// states returns the state of each key that the listener was told last. The mutex is held.
+func (r *replica) statesInForce() map[string]retainedState {
+	states := make(map[string]retainedState, len(r.entries)+len(r.tombstones))
+	for key, deleted := range r.tombstones {
+		states[key] = retainedState{entry: deleted.notified, lastWrite: deleted.lastWrite}
 	}
 	// Also those that were written again since they went.
 	for key, entry := range r.entries {
-		states[key] = earlierState{entry: entry, written: entry.Revision}
+		states[key] = retainedState{entry: entry, lastWrite: entry.Revision}
 	}
-	maps.Copy(states, r.earlier.states)
+	maps.Copy(states, r.retained.states)
 	return states
 }
 
-// isInForce reports whether the listener is to be told of a state that the store holds now. If so, the
+// shouldNotify reports whether the listener is to be told of a state that the store holds now. If so, the
 // earlier state of its key has come to its end.
-func (r *replica) isInForce(entry Entry) bool {
+func (r *replica) shouldNotify(entry Entry) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known, exists := r.earlier.states[entry.Key]
+	known, exists := r.retained.states[entry.Key]
 	if !exists {
 		return true
 	}
 	isConfirmed := known.isConfirmedBy(entry)
-	if isConfirmed || known.isReplacedBy(entry, r.earlier.baseline) {
-		delete(r.earlier.states, entry.Key)
+	if isConfirmed || known.isSupersededBy(entry, r.retained.baseline) {
+		delete(r.retained.states, entry.Key)
 		return !isConfirmed
 	}
 	return false
 }
 
-// learnEarlier takes states from before the era that another node knows, which saw the era begin at a
+// applyRetained takes states from before the era that another node knows, which saw the era begin at a
 // moment; zero if it does not know. It returns how many were news.
-func (r *replica) learnEarlier(states []earlierState, since time.Time, writeBackSpan time.Duration, now time.Time) int {
-	r.order.Lock()
-	defer r.order.Unlock()
-	r.noteEraBegan(since)
-	news := 0
+func (r *replica) learnRetained(states []retainedState, eraStart time.Time, writeBackSpan time.Duration, now time.Time) int {
+	r.notifying.Lock()
+	defer r.notifying.Unlock()
+	r.noteEraStart(eraStart)
+	changes := 0
 	for _, state := range states {
-		if r.keepEarlier(state, writeBackSpan, now) {
+		if r.retain(state, writeBackSpan, now) {
 			r.listener.Changed(state.entry)
-			news++
+			changes++
 		}
 	}
-	return news
+	return changes
 }
 
-// noteEraBegan takes when another node saw the era begin; zero if it does not know. The first one that saw
+// noteEraStart takes when another node saw the era begin; zero if it does not know. The first one that saw
 // it decides, so that all nodes take the store to have settled at about the same time.
-func (r *replica) noteEraBegan(since time.Time) {
+func (r *replica) noteEraStart(startedAt time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.earlier.since.IsZero() || !since.IsZero() && since.Before(r.earlier.since) {
-		r.earlier.since = since
+	if r.retained.eraStart.IsZero() || !startedAt.IsZero() && startedAt.Before(r.retained.eraStart) {
+		r.retained.eraStart = startedAt
 	}
 }
 
-// eraBegan returns when the era began, as this node or another one saw it; zero for long ago.
-func (r *replica) eraBegan() time.Time {
+// startedAt returns when the era began, as this node or another one saw it; zero for long ago.
+func (r *replica) eraStartedAt() time.Time {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.earlier.since
+	return r.retained.eraStart
 }
 
-// keepEarlier keeps a state that another node knows, if it goes before what this one does, and
+// retain keeps a state that another node knows, if it goes before what this one does, and
 // reports whether it did.
-func (r *replica) keepEarlier(state earlierState, writeBackSpan time.Duration, now time.Time) bool {
+func (r *replica) retain(state retainedState, writeBackSpan time.Duration, now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	key := state.entry.Key
 	span := state.retention(writeBackSpan)
-	if state.entry.Era >= r.era || span != unlimitedRetention && !now.Before(r.earlier.since.Add(span)) {
+	if state.entry.Era >= r.era || span != unlimitedRetention && !now.Before(r.retained.eraStart.Add(span)) {
 		return false
 	}
-	if known, exists := r.earlier.states[key]; exists {
+	if known, exists := r.retained.states[key]; exists {
 		if !state.isLaterThan(known) {
 			return false
 		}
-		r.earlier.states[key] = state
+		r.retained.states[key] = state
 		return true
 	}
 	current, exists := r.entries[key]
@@ -272,105 +272,105 @@
 	switch {
 	case isGone, !exists && state.entry.Gone:
 		return false
-	case exists && (state.isConfirmedBy(current) || state.isReplacedBy(current, r.earlier.baseline)):
+	case exists && (state.isConfirmedBy(current) || state.isSupersededBy(current, r.retained.baseline)):
 		return false
 	}
-	r.earlier.states[key] = state
+	r.retained.states[key] = state
 	return true
 }
 
-// expireEarlier ends the earlier states that were not written again by a moment at which the store was
+// expireRetained ends the earlier states that were not written again by a moment at which the store was
 // known: what it holds is in force from then on.
-func (r *replica) expireEarlier(knownAt time.Time, writeBackSpan time.Duration) {
-	r.order.Lock()
-	defer r.order.Unlock()
-	for _, entry := range r.takeExpired(knownAt, writeBackSpan) {
+func (r *replica) expireRetained(confirmedAt time.Time, writeBackSpan time.Duration) {
+	r.notifying.Lock()
+	defer r.notifying.Unlock()
+	for _, entry := range r.takeExpired(confirmedAt, writeBackSpan) {
 		r.listener.Changed(entry)
 	}
 }
 
 // takeExpired returns what the store holds in the place of the earlier states that have expired.
-func (r *replica) takeExpired(knownAt time.Time, writeBackSpan time.Duration) []Entry {
+func (r *replica) takeExpired(confirmedAt time.Time, writeBackSpan time.Duration) []Entry {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var due []Entry
-	if len(r.earlier.states) == 0 {
+	var changed []Entry
+	if len(r.retained.states) == 0 {
 		return nil
 	}
-	for _, key := range slices.Sorted(maps.Keys(r.earlier.states)) {
-		state := r.earlier.states[key]
+	for _, key := range slices.Sorted(maps.Keys(r.retained.states)) {
+		state := r.retained.states[key]
 		current, exists := r.entries[key]
 		span := state.retention(writeBackSpan)
 		if r.isGoneInBoth(key) {
 			// An even older copy may hold the key.
 			span = tombstoneLifetime
 		}
-		if span == unlimitedRetention || knownAt.Before(r.earlier.since.Add(span)) {
+		if span == unlimitedRetention || confirmedAt.Before(r.retained.eraStart.Add(span)) {
 			continue
 		}
-		delete(r.earlier.states, key)
+		delete(r.retained.states, key)
 		switch {
 		case exists:
-			due = append(due, current)
+			changed = append(changed, current)
 		case !state.entry.Gone:
-			end := state.entry.end(r.at)
-			end.Era = r.era
-			due = append(due, end)
+			gone := state.entry.gone(r.completeUpTo)
+			gone.Era = r.era
+			changed = append(changed, gone)
 		}
 	}
-	return due
+	return changed
 }
 
 // isGoneInBoth reports whether the earlier state of a key is the same as what the store holds: none. The
 // mutex is held.
 func (r *replica) isGoneInBoth(key string) bool {
 	_, exists := r.entries[key]
-	return !exists && r.earlier.states[key].entry.Gone
+	return !exists && r.retained.states[key].entry.Gone
 }
 
 // overruling returns the earlier states that go before what the store holds. The mutex is held.
-func (r *replica) overruling() map[string]earlierState {
-	states := maps.Clone(r.earlier.states)
-	maps.DeleteFunc(states, func(key string, _ earlierState) bool { return r.isGoneInBoth(key) })
+func (r *replica) overridingStates() map[string]retainedState {
+	states := maps.Clone(r.retained.states)
+	maps.DeleteFunc(states, func(key string, _ retainedState) bool { return r.isGoneInBoth(key) })
 	return states
 }
 
-// earlierKeys returns the keys whose earlier state goes before what the store holds, in their order.
-func (r *replica) earlierKeys() []string {
+// retainedKeys returns the keys whose earlier state goes before what the store holds, in their order.
+func (r *replica) retainedKeys() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return slices.Sorted(maps.Keys(r.overruling()))
+	return slices.Sorted(maps.Keys(r.overridingStates()))
 }
 
-// earlierDigest returns a number that is the same for replicas with the same earlier states.
-func (r *replica) earlierDigest() uint64 {
+// retainedDigest returns a number that is the same for replicas with the same earlier states.
+func (r *replica) retainedDigest() uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return digestOf(r.overruling())
+	return digestOf(r.overridingStates())
 }
 
 // statesForEra returns what goes before the store's state of an era that another node knows. Where that
 // node's era is later than its own, everything may.
-func (r *replica) statesForEra(era uint64) []earlierState {
+func (r *replica) statesForEra(era uint64) []retainedState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if era > r.era {
-		states := r.inForce()
+		states := r.statesInForce()
 		// Servers write their entries again within seconds, to the store that the node reads.
-		maps.DeleteFunc(states, func(_ string, state earlierState) bool { return state.entry.ServerID != "" })
+		maps.DeleteFunc(states, func(_ string, state retainedState) bool { return state.entry.ServerID != "" })
 		return slices.Collect(maps.Values(states))
 	}
-	return slices.Collect(maps.Values(r.overruling()))
+	return slices.Collect(maps.Values(r.overridingStates()))
 }
 
-// lostOwn returns the states that nodes write back, in the order of their keys.
-func (r *replica) lostOwn() []LostEntry {
+// lostEntries returns the states that nodes write back, in the order of their keys.
+func (r *replica) lostEntries() []LostEntry {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var lost []LostEntry
-	overruling := r.overruling()
-	for _, key := range slices.Sorted(maps.Keys(overruling)) {
-		if state := overruling[key]; state.entry.isOwn() {
+	overriding := r.overridingStates()
+	for _, key := range slices.Sorted(maps.Keys(overriding)) {
+		if state := overriding[key]; state.entry.isWrittenBackByNodes() {
 			lost = append(lost, LostEntry{Entry: state.entry, StoreRevision: r.entries[key].Revision})
 		}
 	}
--- a/pkg/directory/server_start_test.go
+++ b/pkg/directory/server_start_test.go
@@ -9,19 +9,19 @@
 	"github.com/bramblemast/bramblemast/pkg/fleet"
 )
 
-// startsOf keeps the starts that a listener was told of.
-type startsOf struct {
-	told []fleet.Start
+// startRecorder keeps the starts that a listener was told of.
+type startRecorder struct {
+	starts []fleet.Start
 }
 
-func (s *startsOf) Changed(entry Entry) {
+func (s *startRecorder) Changed(entry Entry) {
 	if entry.Server != nil {
-		s.told = append(s.told, entry.Server.Start)
+		s.starts = append(s.starts, entry.Server.Start)
 	}
 }
-func (*startsOf) Loaded(uint64)                  {}
-func (*startsOf) Dependency(string, bool, error) {}
-func (*startsOf) EraChanged(EraChange)           {}
+func (*startRecorder) Loaded(uint64)                  {}
+func (*startRecorder) Dependency(string, bool, error) {}
+func (*startRecorder) EraChanged(EraChange)           {}
 
 // TestAnEntryOfAnEarlierStartComesLate, from a node or a copy of the store that is behind, or from a
 // store that went back: it is passed over. The order of the store decides, not that of the starts.
@@ -31,18 +31,18 @@
 	entry := func(revision uint64, start fleet.Start) Entry {
 		return Entry{Key: "servers/i", Revision: revision, ServerID: "i", Server: &fleet.Server{ID: "i", Start: start}}
 	}
-	heard := &startsOf{}
-	tested := newReplica(heard)
+	listener := &startRecorder{}
+	tested := newReplica(listener)
 	tested.apply(Batch{Revision: 10, Entries: []Entry{entry(8, 100)}}, wholeState, now)
 	tested.apply(Batch{Revision: 12, Entries: []Entry{entry(12, 50)}}, allChanges, now)
 	for _, covered := range []coverage{wholeState, allChanges, newerOnly} {
 		tested.apply(Batch{Revision: 10, Entries: []Entry{entry(8, 100)}}, covered, now)
 		tested.apply(Batch{Revision: 20, Entries: []Entry{entry(8, 100), entry(11, 70), entry(12, 50)}}, covered, now)
 	}
-	g.Expect(heard.told).To(Equal([]fleet.Start{100, 50}), "the later start tells an earlier time, since its clock was set back")
+	g.Expect(listener.starts).To(Equal([]fleet.Start{100, 50}), "the later start tells an earlier time, since its clock was set back")
 
-	tested.apply(Batch{Revision: 22, Entries: []Entry{entry(21, 0).end(21), entry(22, 200)}}, allChanges, now)
-	tested.apply(Batch{Revision: 22, Entries: []Entry{entry(21, 0).end(21)}}, allChanges, now)
-	g.Expect(heard.told).To(Equal([]fleet.Start{100, 50, 200}), "a key that was deleted is written again")
+	tested.apply(Batch{Revision: 22, Entries: []Entry{entry(21, 0).gone(21), entry(22, 200)}}, allChanges, now)
+	tested.apply(Batch{Revision: 22, Entries: []Entry{entry(21, 0).gone(21)}}, allChanges, now)
+	g.Expect(listener.starts).To(Equal([]fleet.Start{100, 50, 200}), "a key that was deleted is written again")
 	g.Expect(tested.entries["servers/i"].Server.Start).To(Equal(fleet.Start(200)))
 }
--- a/pkg/directory/start_test.go
+++ b/pkg/directory/start_test.go
@@ -19,14 +19,14 @@
 func TestAStartDoesNotLeanOnPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := cluster(t, 2)
-		nodes[1].source.set(func() { nodes[1].source.slow = 1900 * time.Millisecond })
+		nodes, stop := startCluster(t, 2)
+		nodes[1].source.update(func() { nodes[1].source.loadDelay = 1900 * time.Millisecond })
 		nodes[0].source.write("only at the other", false)
 		nodes[0].source.write("too", false)
 		time.Sleep(1800 * time.Millisecond)
-		g.Expect(nodes[1].seen.has("too")).To(BeZero())
+		g.Expect(nodes[1].seen.revisionOf("too")).To(BeZero())
 		time.Sleep(2 * time.Second)
-		g.Expect(nodes[1].seen.has("too")).NotTo(BeZero())
+		g.Expect(nodes[1].seen.revisionOf("too")).NotTo(BeZero())
 		stop()
 	})
 }
@@ -35,21 +35,21 @@
 // killed at once: one seed got 39 questions for everything, the others one)
 func TestNodesThatStartTogetherAskDifferentSeeds(t *testing.T) {
 	g := NewWithT(t)
-	asked := make(map[peer.Address]int)
+	requests := make(map[peer.Address]int)
 	network := peer.NewNetwork(1)
 	defer network.Close()
 	for index := range 90 {
 		peers := NewPeers(PeersOptions{
-			Follower:  NewFollower(newHistory(), &observer{state: make(map[string]uint64)}),
+			Follower:  NewFollower(newFakeStore(), &observer{state: make(map[string]uint64)}),
 			Transport: network.Transport(peer.Address(fmt.Sprint("node-", index))),
 			Nodes:     func() []Node { return nil }, Seeds: []string{"a", "b", "c"},
 		})
-		address, found := peers.choose("")
+		address, found := peers.choosePeer("")
 		g.Expect(found).To(BeTrue())
-		asked[address]++
+		requests[address]++
 	}
 	for _, seed := range []peer.Address{"a", "b", "c"} {
-		g.Expect(asked[seed]).To(BeNumerically(">", 10))
+		g.Expect(requests[seed]).To(BeNumerically(">", 10))
 	}
 }
 
@@ -59,38 +59,38 @@
 func TestANodeThatKnowsNothingAsksOften(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := cluster(t, 1)
+		nodes, stop := startCluster(t, 1)
 		source := nodes[0].source
-		source.set(func() { source.fail = errors.New("refused") })
+		source.update(func() { source.failure = errors.New("refused") })
 		writeAll(nodes, "key", false)
 		for _, away := range []time.Duration{1550 * time.Millisecond, 800 * time.Millisecond} {
 			time.Sleep(away)
 			loads, _ := source.calls()
 			g.Expect(loads).To(BeNumerically("<=", 12), "but not without pauses")
 		}
-		source.set(func() { source.fail = nil })
-		time.Sleep(greatestFirstRetry + time.Millisecond)
-		g.Expect(nodes[0].seen.has("key")).NotTo(BeZero())
+		source.update(func() { source.failure = nil })
+		time.Sleep(maxInitialRetry + time.Millisecond)
+		g.Expect(nodes[0].seen.revisionOf("key")).NotTo(BeZero())
 		stop()
 	})
 }
 
-// TestTheStartIsToldOnce, after what was found, whether the store or a peer has
+// TestTheInitialLoadIsReportedOnce, after what was found, whether the store or a peer has
 // told it.
-func TestTheStartIsToldOnce(t *testing.T) {
+func TestTheInitialLoadIsReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := cluster(t, 2)
-		nodes[1].source.set(func() { nodes[1].source.fail = errors.New("refused") })
+		nodes, stop := startCluster(t, 2)
+		nodes[1].source.update(func() { nodes[1].source.failure = errors.New("refused") })
 		writeAll(nodes, "first", false)
 		writeAll(nodes, "second", false)
 		time.Sleep(3 * time.Second)
 		writeAll(nodes, "third", false)
 		time.Sleep(3 * time.Second)
 		for _, each := range nodes {
-			g.Expect(each.seen.has("third")).To(Equal(uint64(3)))
-			g.Expect(each.seen.restored).To(HaveLen(1))
-			g.Expect(each.seen.restored[0]).To(BeNumerically("<=", 2))
+			g.Expect(each.seen.revisionOf("third")).To(Equal(uint64(3)))
+			g.Expect(each.seen.loadedAt).To(HaveLen(1))
+			g.Expect(each.seen.loadedAt[0]).To(BeNumerically("<=", 2))
 		}
 		stop()
 	})
@@ -101,7 +101,7 @@
 // is newer. (sweep at 300 machines: 611 kB/s at the busiest node)
 func TestAnEarlierStateIsNotToldEverything(t *testing.T) {
 	g := NewWithT(t)
-	source, now := newHistory(), time.Unix(0, 0)
+	source, now := newFakeStore(), time.Unix(0, 0)
 	for index := range 100 {
 		source.write(fmt.Sprint(index), false)
 	}
@@ -113,11 +113,11 @@
 	batch, _ = source.Load(context.Background(), true)
 	read.apply(batch, wholeState, now)
 
-	told, covered := read.since(behind.revision())
+	changes, covered := read.since(behind.revision())
 	g.Expect(covered).To(Equal(newerOnly))
-	g.Expect(told.Entries).To(HaveLen(1))
-	g.Expect(told.Revision).To(Equal(behind.revision()), "it completes nothing")
-	g.Expect(behind.apply(told, covered, now)).To(Equal(1))
+	g.Expect(changes.Entries).To(HaveLen(1))
+	g.Expect(changes.Revision).To(Equal(behind.revision()), "it completes nothing")
+	g.Expect(behind.apply(changes, covered, now)).To(Equal(1))
 	g.Expect(behind.entries).To(And(HaveKey("new"), HaveKey("0")))
 	everything, covered := read.since(0)
 	g.Expect(covered).To(Equal(wholeState))
@@ -129,19 +129,19 @@
 func TestANodeWithoutTheStoreAsksForEverything(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := cluster(t, 2)
+		nodes, stop := startCluster(t, 2)
 		writeAll(nodes, "gone", false)
 		time.Sleep(2 * time.Second)
-		nodes[1].source.set(func() { nodes[1].source.fail = errors.New("refused") })
+		nodes[1].source.update(func() { nodes[1].source.failure = errors.New("refused") })
 		source := nodes[0].source
-		source.set(func() { source.deaf = true })
+		source.update(func() { source.watchesSilent = true })
 		source.write("gone", true)
 		revision := source.write("new", false)
-		source.set(func() { source.deaf, source.forgotten = false, revision })
+		source.update(func() { source.watchesSilent, source.compactedUpTo = false, revision })
 		time.Sleep(15 * time.Second)
-		g.Expect(nodes[0].seen.has("gone")).To(BeZero())
-		g.Expect(nodes[1].seen.has("new")).To(Equal(revision))
-		g.Expect(nodes[1].seen.has("gone")).To(BeZero())
+		g.Expect(nodes[0].seen.revisionOf("gone")).To(BeZero())
+		g.Expect(nodes[1].seen.revisionOf("new")).To(Equal(revision))
+		g.Expect(nodes[1].seen.revisionOf("gone")).To(BeZero())
 		stop()
 	})
 }
@@ -151,21 +151,21 @@
 func TestASilentWatchIsNoticedWhenAKeyHasGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		nodes, stop := cluster(t, 2)
+		nodes, stop := startCluster(t, 2)
 		writeAll(nodes, "stays", false)
 		writeAll(nodes, "gone", false)
 		time.Sleep(2 * time.Second)
 		silent, other := nodes[1].source, nodes[0].source
-		silent.set(func() { silent.deaf = true })
-		other.set(func() { other.deaf = true })
+		silent.update(func() { silent.watchesSilent = true })
+		other.update(func() { other.watchesSilent = true })
 		revision := writeAll(nodes, "gone", true)
-		other.set(func() { other.deaf, other.forgotten = false, revision })
+		other.update(func() { other.watchesSilent, other.compactedUpTo = false, revision })
 		silent.mutex.Lock()
-		silent.deaf = false // Only a new watch hears of it: nothing wakes the old one.
+		silent.watchesSilent = false // Only a new watch hears of it: nothing wakes the old one.
 		silent.mutex.Unlock()
 		time.Sleep(MinStalenessBound + 2*compareInterval)
-		g.Expect(nodes[0].seen.has("gone")).To(BeZero())
-		g.Expect(nodes[1].seen.has("gone")).To(BeZero())
+		g.Expect(nodes[0].seen.revisionOf("gone")).To(BeZero())
+		g.Expect(nodes[1].seen.revisionOf("gone")).To(BeZero())
 		stop()
 	})
 }
