--- a/pkg/loadshed/admitter.go
+++ b/pkg/loadshed/admitter.go
@@ -7,91 +7,91 @@
 	"time"
 )
 
-// shareLife is how long shares that are not told again are kept: three of the repetitions
+// shareTTL is how long shares that are not told again are kept: three of the repetitions
 // while they matter. A node that hears nothing falls back to what it sees itself.
-const shareLife = 1500 * time.Millisecond
+const shareTTL = 1500 * time.Millisecond
 
 // Board holds what this node was told of the room at services.
 type Admitter struct {
 	// limited counts the services that are short of room, so that nothing is locked without
 	// overload.
-	limited atomic.Int64
+	limitedCount atomic.Int64
 
 	mutex sync.RWMutex
 	// told is guarded by mutex.
-	told map[Key]told
+	entries map[Key]shareEntry
 }
 
 // told are the shares of one service.
-type told struct {
+type shareEntry struct {
 	shares Shares
 	// measuredAt is when they were judged.
 	measuredAt time.Time
-	// isPartial says that this node has measured them by its own requests alone.
-	isPartial bool
+	// isLocal says that this node has measured them by its own requests alone.
+	isLocal bool
 }
 
 // NewAdmitter returns an empty board.
-func NewAdmitter() *Admitter { return &Admitter{told: make(map[Key]told)} }
+func NewAdmitter() *Admitter { return &Admitter{entries: make(map[Key]shareEntry)} }
 
 // AdmitsAll reports whether every service is known to have room for all requests.
-func (b *Admitter) AdmitsAll() bool { return b.limited.Load() == 0 }
+func (a *Admitter) AdmitsAll() bool { return a.limitedCount.Load() == 0 }
 
 // Limited returns how many services are short of room.
-func (b *Admitter) LimitedServices() int { return int(b.limited.Load()) }
+func (a *Admitter) LimitedServices() int { return int(a.limitedCount.Load()) }
 
 // Take notes the shares of a service as its owner judged them at a moment; older ones than
 // those known are passed over.
-func (b *Admitter) Update(key Key, shares Shares, measuredAt time.Time) {
-	b.take(key, told{shares: shares, measuredAt: measuredAt})
+func (a *Admitter) Update(key Key, shares Shares, measuredAt time.Time) {
+	a.store(key, shareEntry{shares: shares, measuredAt: measuredAt})
 }
 
 // UpdateLocal notes shares that this node has judged by its own requests alone. Recent ones of
 // an owner, who sees all, count before them.
-func (b *Admitter) UpdateLocal(key Key, shares Shares, measuredAt time.Time) {
-	b.take(key, told{shares: shares, measuredAt: measuredAt, isPartial: true})
+func (a *Admitter) UpdateLocal(key Key, shares Shares, measuredAt time.Time) {
+	a.store(key, shareEntry{shares: shares, measuredAt: measuredAt, isLocal: true})
 }
 
 // take notes shares, unless what is known of the service is newer or, for partial ones, a recent
 // word of an owner. Full shares are noted too while any service is short of room, so that older
 // ones that come later are passed over.
-func (b *Admitter) take(key Key, taken told) {
-	shares, measuredAt := taken.shares, taken.measuredAt
-	if shares.IsFull() && b.AdmitsAll() {
+func (a *Admitter) store(key Key, entry shareEntry) {
+	shares, measuredAt := entry.shares, entry.measuredAt
+	if shares.IsFull() && a.AdmitsAll() {
 		return
 	}
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	known, isKnown := b.told[key]
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	known, isKnown := a.entries[key]
 	if isKnown && measuredAt.Before(known.measuredAt) {
 		return
 	}
-	if isKnown && taken.isPartial && !known.isPartial && measuredAt.Sub(known.measuredAt) <= shareLife {
+	if isKnown && entry.isLocal && !known.isLocal && measuredAt.Sub(known.measuredAt) <= shareTTL {
 		return
 	}
-	b.told[key] = taken
-	b.countLimited()
+	a.entries[key] = entry
+	a.updateLimitedCount()
 }
 
-// countLimited counts the services that are short of room. The mutex is held.
-func (b *Admitter) countLimited() {
+// updateLimitedCount counts the services that are short of room. The mutex is held.
+func (a *Admitter) updateLimitedCount() {
 	count := int64(0)
-	for _, known := range b.told {
+	for _, known := range a.entries {
 		if !known.shares.IsFull() {
 			count++
 		}
 	}
-	b.limited.Store(count)
+	a.limitedCount.Store(count)
 }
 
 // ShareOf returns the part of the requests of a class that a service has room for.
-func (b *Admitter) ShareOf(key Key, class Class, now time.Time) float64 {
-	if b.AdmitsAll() {
+func (a *Admitter) ShareOf(key Key, class Class, now time.Time) float64 {
+	if a.AdmitsAll() {
 		return 1
 	}
-	b.mutex.RLock()
-	defer b.mutex.RUnlock()
-	share, _ := b.shareOf(key, class, now)
+	a.mutex.RLock()
+	defer a.mutex.RUnlock()
+	share, _ := a.shareOf(key, class, now)
 	return share
 }
 
@@ -115,72 +115,72 @@
 // Admit decides about a request that needs some of the services, and is bound to the regions with
 // a key. The requests with the greatest lots are let in, so that all services and nodes let in
 // the same ones.
-func (b *Admitter) Admit(
-	services []string, regions string, required int, class Class, lot uint64, now time.Time,
+func (a *Admitter) Admit(
+	services []string, regions string, required int, class Class, sample uint64, now time.Time,
 ) Decision {
-	if b.AdmitsAll() {
+	if a.AdmitsAll() {
 		return Decision{IsAdmitted: true, Class: class, Share: 1}
 	}
-	b.mutex.RLock()
-	defer b.mutex.RUnlock()
-	var room [maxSpareable + 1]scarce
-	spareable := min(max(0, len(services)-max(1, required)), maxSpareable)
-	least := room[:0]
+	a.mutex.RLock()
+	defer a.mutex.RUnlock()
+	var buffer [maxSkippable + 1]limitedService
+	skippable := min(max(0, len(services)-max(1, required)), maxSkippable)
+	scarcest := buffer[:0]
 	for index, service := range services {
-		share, age := b.shareOf(Key{Service: service, Regions: regions}, class, now)
+		share, age := a.shareOf(Key{Service: service, Regions: regions}, class, now)
 		if share < 1 {
-			least = insert(least, scarce{index: index, share: share, age: age}, spareable+1)
+			scarcest = insertScarcest(scarcest, limitedService{index: index, share: share, age: age}, skippable+1)
 		}
 	}
-	decision := decide(services, least, spareable, lot)
+	decision := decide(services, scarcest, skippable, sample)
 	decision.Class = class
 	return decision
 }
 
-// maxSpareable bounds the services that a request leaves to others, so that the scarcest fit in
+// maxSkippable bounds the services that a request leaves to others, so that the scarcest fit in
 // an array of Admit.
-const maxSpareable = 63
+const maxSkippable = 63
 
 // scarce is a service of which only a part of the requests is let in.
-type scarce struct {
+type limitedService struct {
 	index int
 	share float64
 	age   time.Duration
 }
 
 // insert keeps the scarcest services, the scarcest first, at most so many.
-func insert(least []scarce, added scarce, most int) []scarce {
-	position := len(least)
-	for position > 0 && least[position-1].share > added.share {
+func insertScarcest(scarcest []limitedService, added limitedService, limit int) []limitedService {
+	position := len(scarcest)
+	for position > 0 && scarcest[position-1].share > added.share {
 		position--
 	}
-	if position >= most {
-		return least
+	if position >= limit {
+		return scarcest
 	}
-	if len(least) < most {
-		least = append(least, scarce{})
+	if len(scarcest) < limit {
+		scarcest = append(scarcest, limitedService{})
 	}
-	copy(least[position+1:], least[position:])
-	least[position] = added
-	return least
+	copy(scarcest[position+1:], scarcest[position:])
+	scarcest[position] = added
+	return scarcest
 }
 
 // decide lets a request in if enough services have room for it. Those that have none for it
 // are left to others.
-func decide(services []string, least []scarce, spareable int, lot uint64) Decision {
-	position := 1 - float64(lot)/math.MaxUint64
+func decide(services []string, scarcest []limitedService, skippable int, sample uint64) Decision {
+	quantile := 1 - float64(sample)/math.MaxUint64
 	decision := Decision{IsAdmitted: true, Share: 1}
-	if len(least) > spareable {
-		deciding := least[spareable]
-		decision.Share, decision.LimitingService, decision.ShareAge = deciding.share, services[deciding.index], deciding.age
-		decision.IsAdmitted = position <= deciding.share
+	if len(scarcest) > skippable {
+		limiting := scarcest[skippable]
+		decision.Share, decision.LimitingService, decision.ShareAge = limiting.share, services[limiting.index], limiting.age
+		decision.IsAdmitted = quantile <= limiting.share
 	}
 	if !decision.IsAdmitted {
-		decision.Shortfall = (position - decision.Share) / (1 - decision.Share)
+		decision.Shortfall = (quantile - decision.Share) / (1 - decision.Share)
 		return decision
 	}
-	for _, each := range least {
-		if position > each.share && len(decision.Skipped) < spareable {
+	for _, each := range scarcest {
+		if quantile > each.share && len(decision.Skipped) < skippable {
 			decision.Skipped = append(decision.Skipped, each.index)
 		}
 	}
@@ -189,26 +189,26 @@
 
 // shareOf returns the share of a class at a service, 1 if nothing recent is known. The mutex
 // is held.
-func (b *Admitter) shareOf(key Key, class Class, now time.Time) (float64, time.Duration) {
-	known, isKnown := b.told[key]
+func (a *Admitter) shareOf(key Key, class Class, now time.Time) (float64, time.Duration) {
+	known, isKnown := a.entries[key]
 	if !isKnown {
 		return 1, 0
 	}
 	age := now.Sub(known.measuredAt)
-	if age > shareLife {
+	if age > shareTTL {
 		return 1, 0
 	}
 	return known.shares.Of(class), age
 }
 
 // Sweep forgets shares that are old. It is called every second or so.
-func (b *Admitter) Sweep(now time.Time) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	for key, known := range b.told {
-		if now.Sub(known.measuredAt) > shareLife {
-			delete(b.told, key)
+func (a *Admitter) Sweep(now time.Time) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	for key, known := range a.entries {
+		if now.Sub(known.measuredAt) > shareTTL {
+			delete(a.entries, key)
 		}
 	}
-	b.countLimited()
+	a.updateLimitedCount()
 }
--- a/pkg/loadshed/divide.go
+++ b/pkg/loadshed/divide.go
@@ -7,15 +7,15 @@
 
 // Constants of the division.
 const (
-	// leastPart of the rate at which all requests are served is what each kind and each
+	// guaranteedPart of the rate at which all requests are served is what each kind and each
 	// tenant keeps, however urgent the others are: a caller that is served under a quarter
 	// as often as the others takes the service for down.
-	leastPart = 0.25
+	guaranteedPart = 0.25
 	// maxHeavyTenants bounds the tenants that are told apart for each rank, so that what is
 	// told does not grow with the number of callers. The others share what is left.
 	maxHeavyTenants = 8
-	// levelSteps halve the uncertainty of the fair level; 30 leave less than a billionth.
-	levelSteps = 30
+	// levelIterations halve the uncertainty of the fair level; 30 leave less than a billionth.
+	levelIterations = 30
 )
 
 // Demand is the work a second that the requests of a class ask for.
@@ -26,61 +26,61 @@
 
 // Divide divides the work a second that servers can do among what is asked of them. More
 // urgent ranks come first, within a rank tenants get equal rates as far as they ask for them,
-// and nobody gets less than leastPart of the common share. demands is sorted by it.
+// and nobody gets less than guaranteedPart of the common share. demands is sorted by it.
 func Divide(capacity float64, demands []Demand) Shares {
 	total := sum(demands)
 	if total <= 0 || capacity >= total {
 		return Shares{}
 	}
-	common := capacity / total
+	commonShare := capacity / total
 	slices.SortFunc(demands, func(a, b Demand) int {
 		return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Rate, b.Rate), cmp.Compare(a.Tenant, b.Tenant))
 	})
-	left := capacity * (1 - leastPart)
+	remaining := capacity * (1 - guaranteedPart)
 	var shares Shares
-	for begin := 0; begin < len(demands); {
-		end := begin
-		for end < len(demands) && demands[end].Priority == demands[begin].Priority {
+	for start := 0; start < len(demands); {
+		end := start
+		for end < len(demands) && demands[end].Priority == demands[start].Priority {
 			end++
 		}
-		rank := demands[begin:end]
-		asked := sum(rank)
-		kept := leastPart * common * asked
-		granted := min(left, asked-kept)
-		left -= granted
-		shares.add(rank, kept+granted, leastPart*common)
-		begin = end
+		rank := demands[start:end]
+		requested := sum(rank)
+		guaranteed := guaranteedPart * commonShare * requested
+		granted := min(remaining, requested-guaranteed)
+		remaining -= granted
+		shares.addRank(rank, guaranteed+granted, guaranteedPart*commonShare)
+		start = end
 	}
 	return shares
 }
 
 // add divides the capacity of one rank among its tenants, which are sorted by their rates.
-func (s *Shares) add(rank []Demand, capacity, least float64) {
-	level := fairLevel(rank, capacity, least)
+func (s *Shares) addRank(rank []Demand, capacity, minShare float64) {
+	level := fairLevel(rank, capacity, minShare)
 	heavy := len(rank)
 	for heavy > 0 && len(rank)-heavy < maxHeavyTenants && rank[heavy-1].Rate > level && rank[heavy-1].Tenant != "" {
 		heavy--
-		share := max(least, level/rank[heavy].Rate)
+		share := max(minShare, level/rank[heavy].Rate)
 		s.Tenants = append(s.Tenants, TenantShare{Class: rank[heavy].Class, Share: share})
 		capacity -= share * rank[heavy].Rate
 	}
 	share := 1.0
 	if rest := sum(rank[:heavy]); rest > 0 {
-		share = min(1, max(least, capacity/rest))
+		share = min(1, max(minShare, capacity/rest))
 	}
 	s.Ranks = append(s.Ranks, RankShare{Priority: rank[0].Priority, Share: share})
 }
 
 // fairLevel returns the rate that each tenant gets at most, so that all together get the
 // capacity.
-func fairLevel(rank []Demand, capacity, least float64) float64 {
+func fairLevel(rank []Demand, capacity, minShare float64) float64 {
 	low, high := 0.0, rank[len(rank)-1].Rate
-	for range levelSteps {
-		level, given := (low+high)/2, 0.0
+	for range levelIterations {
+		level, allocated := (low+high)/2, 0.0
 		for _, each := range rank {
-			given += max(least*each.Rate, min(level, each.Rate))
+			allocated += max(minShare*each.Rate, min(level, each.Rate))
 		}
-		if given > capacity {
+		if allocated > capacity {
 			high = level
 		} else {
 			low = level
--- a/pkg/loadshed/export_test.go
+++ b/pkg/loadshed/export_test.go
@@ -1,4 +1,4 @@
 package loadshed
 
 // Slots returns how many counts are held.
-func (l *Sampler) Slots() int { return len(l.seen) }
+func (s *Sampler) Slots() int { return len(s.counts) }
--- a/pkg/loadshed/loadshed.go
+++ b/pkg/loadshed/loadshed.go
@@ -74,23 +74,23 @@
 
 // differsFrom reports whether a share of any class has changed by more than a part of it.
 func (s Shares) differsFrom(other Shares, part float64) bool {
-	return s.isBeyond(other, part) || other.isBeyond(s, part)
+	return s.hasChangedIn(other, part) || other.hasChangedIn(s, part)
 }
 
-// isBeyond reports whether a share that is listed here has changed in other.
-func (s Shares) isBeyond(other Shares, part float64) bool {
+// hasChangedIn reports whether a share that is listed here has changed in other.
+func (s Shares) hasChangedIn(other Shares, part float64) bool {
 	for _, rank := range s.Ranks {
-		if isBeyond(rank.Share, other.Of(Class{Priority: rank.Priority}), part) {
+		if differs(rank.Share, other.Of(Class{Priority: rank.Priority}), part) {
 			return true
 		}
 	}
 	for _, heavy := range s.Tenants {
-		if isBeyond(heavy.Share, other.Of(heavy.Class), part) {
+		if differs(heavy.Share, other.Of(heavy.Class), part) {
 			return true
 		}
 	}
 	return false
 }
 
-// isBeyond reports whether two shares differ by more than a part of the greater one.
-func isBeyond(one, other, part float64) bool { return math.Abs(one-other) > part*max(one, other) }
+// hasChangedIn reports whether two shares differ by more than a part of the greater one.
+func differs(one, other, part float64) bool { return math.Abs(one-other) > part*max(one, other) }
--- a/pkg/loadshed/meter.go
+++ b/pkg/loadshed/meter.go
@@ -7,64 +7,64 @@
 
 // Constants of the measurement.
 const (
-	// tickSpan is how often shares are judged anew: a few round trips between nodes, and a
+	// evaluationInterval is how often shares are judged anew: a few round trips between nodes, and a
 	// tenth of the second within which returned room is to be used.
-	tickSpan = 100 * time.Millisecond
-	// rateSpan is the time over which rates are averaged: it has tens of requests also of a
+	evaluationInterval = 100 * time.Millisecond
+	// rateWindow is the time over which rates are averaged: it has tens of requests also of a
 	// service with few servers, and is short against an overload.
-	rateSpan = 500 * time.Millisecond
-	// admittedSpan is the time over which what is let in is averaged: long enough for some
+	rateWindow = 500 * time.Millisecond
+	// admittedWindow is the time over which what is let in is averaged: long enough for some
 	// requests at a time, and short against the growth of the shares.
-	admittedSpan = 200 * time.Millisecond
-	// forgottenRate is the work a second, in seconds of a server, below which a class is
+	admittedWindow = 200 * time.Millisecond
+	// minClassRate is the work a second, in seconds of a server, below which a class is
 	// forgotten.
-	forgottenRate = 0.001
+	minClassRate = 0.001
 	// maxClasses bounds the classes that are measured apart.
 	maxClasses = 512
 )
 
 // Constants that find a shortage of room.
 const (
-	// tolerableWait is the part of the time to a request's target that it may wait for a
+	// tolerableWaitPart is the part of the time to a request's target that it may wait for a
 	// server: the rest is for the server's work and for a second try.
-	tolerableWait = 0.25
-	// noticeableWait is the part of it from which on the shares do not grow: the servers are full.
-	noticeableWait = 0.05
-	// leastWaiting is how many requests make a queue: at low rates as many wait while one of a
+	tolerableWaitPart = 0.25
+	// noticeableWaitPart is the part of it from which on the shares do not grow: the servers are full.
+	noticeableWaitPart = 0.05
+	// minQueueLength is how many requests make a queue: at low rates as many wait while one of a
 	// service's servers stands still or is found to be lost.
-	leastWaiting = 4
-	// leastOutgrown is how many judgements in a row have to find too long a queue that grows
-	// although servers work, and leastBehind how many too long a queue whatever servers do:
+	minQueueLength = 4
+	// minGrowingCount is how many judgements in a row have to find too long a queue that grows
+	// although servers work, and minOverlongCount how many too long a queue whatever servers do:
 	// one that stands still for some tenths of a second refuses nobody.
-	leastOutgrown = 2
-	leastBehind   = 5
+	minGrowingCount  = 2
+	minOverlongCount = 5
 )
 
 // Constants of how the capacity is found out while there is a shortage.
 const (
-	// behindPart of what the servers do is let in while the queue is too long, so that it is
+	// drainPart of what the servers do is let in while the queue is too long, so that it is
 	// served.
-	behindPart = 0.8
-	// greatestFall is the part of the estimated capacity that one judgement leaves at least:
+	drainPart = 0.8
+	// minRetainedPart is the part of the estimated capacity that one judgement leaves at least:
 	// answers that a lost server still owes come from the others a little later.
-	greatestFall = 0.9
+	minRetainedPart = 0.9
 	// usedPart of the estimated capacity is let in before it grows: otherwise other services
 	// hold the requests back, and nothing is found out.
 	usedPart = 0.6
-	// probeGrowth is by how much it grows with each of the first probeTicks judgements without
+	// probeGrowth is by how much it grows with each of the first probeEvaluations judgements without
 	// a queue. After that room has most likely come back: growthStep is added to the growth
-	// each time, up to greatestGrowth, which is fivefold in nine judgements.
-	probeGrowth    = 0.03
-	probeTicks     = 3
-	growthStep     = 0.15
-	greatestGrowth = 0.5
+	// each time, up to maxGrowth, which is fivefold in nine judgements.
+	probeGrowth      = 0.03
+	probeEvaluations = 3
+	growthStep       = 0.15
+	maxGrowth        = 0.5
 	// starvedPart of what is asked is let in before the capacity grows slowly: servers that
 	// take less than that without a queue have mostly come back from an outage.
 	starvedPart = 0.25
-	// leastShare is let in at least, so that returned room is noticed, and leastCounted is the
+	// minAdmittedShare is let in at least, so that returned room is noticed, and minCountedShare is the
 	// least share by which a request of a less urgent kind is counted.
-	leastShare   = 0.05
-	leastCounted = leastShare * leastPart
+	minAdmittedShare = 0.05
+	minCountedShare  = minAdmittedShare * guaranteedPart
 )
 
 // Backlog is the requests that wait for a server of a service and could still be answered in
@@ -79,33 +79,33 @@
 type Meter struct {
 	// classes are the rates at which work is asked for, as it would be without shares.
 	classes map[Class]*rate
-	// offered and served are the requests and the work since the last judgement; workOffered
+	// offered and served are the requests and the work since the last judgement; admittedWork
 	// is the work of those that were let in.
-	offered             int
-	workOffered, served float64
-	// servedLast is the work done before the last judgement, and queued the work in the queue then.
-	servedLast, queued float64
+	admitted                 int
+	admittedWork, servedWork float64
+	// lastServedWork is the work done before the last judgement, and queued the work in the queue then.
+	lastServedWork, queuedWork float64
 	// servedRate and admittedRate are averages a second.
 	servedRate, admittedRate float64
 	// meanWork is the work of a request, averaged.
-	meanWork float64
-	judgedAt time.Time
+	meanWork    float64
+	evaluatedAt time.Time
 	// behind counts judgements in a row that found too long a queue, outgrown those of them
-	// that found it growing although servers work. withoutQueue counts those since the last
+	// that found it growing although servers work. noQueueCount counts those since the last
 	// queue that found the estimated capacity in use.
-	behind, outgrown, withoutQueue int
+	overlongCount, growingCount, noQueueCount int
 	// isLimited says that only a part is let in; capacity is what the servers are taken to
 	// bear then, and asked what is asked of them, in work a second.
-	isLimited       bool
-	capacity, asked float64
-	shares          Shares
-	demands         []Demand
-	// judgements counts those since the service is asked for without a break of shareLife.
-	judgements int
-	// wasForOthers says that this node has asked on behalf of others since the last judgement,
-	// and forOthersAt is the last judgement that found so.
-	wasForOthers bool
-	forOthersAt  time.Time
+	isLimited             bool
+	capacity, totalDemand float64
+	shares                Shares
+	demands               []Demand
+	// judgements counts those since the service is asked for without a break of shareTTL.
+	evaluations int
+	// wasForPeers says that this node has asked on behalf of others since the last judgement,
+	// and forPeersAt is the last judgement that found so.
+	wasForPeers bool
+	forPeersAt  time.Time
 }
 
 // rate is work a second, and the work since it was averaged last.
@@ -113,7 +113,7 @@
 
 // NewMeter returns a meter that lets everything in.
 func NewMeter(now time.Time) *Meter {
-	return &Meter{classes: make(map[Class]*rate), judgedAt: now}
+	return &Meter{classes: make(map[Class]*rate), evaluatedAt: now}
 }
 
 // Offered is a request that was let in.
@@ -129,9 +129,9 @@
 }
 
 // Offer notes a request that was let in.
-func (m *Meter) RecordAdmitted(offered AdmittedRequest) {
-	class, work, share := offered.Class, offered.Work, offered.Share
-	m.wasForOthers = m.wasForOthers || offered.ForPeers
+func (m *Meter) RecordAdmitted(request AdmittedRequest) {
+	class, work, share := request.Class, request.Work, request.Share
+	m.wasForPeers = m.wasForPeers || request.ForPeers
 	if m.classes[class] == nil && len(m.classes) >= maxClasses {
 		class.Tenant = ""
 	}
@@ -140,137 +140,139 @@
 		found = &rate{}
 		m.classes[class] = found
 	}
-	found.pending += work.Seconds() / max(leastCounted, min(share, 1))
-	m.offered++
-	m.workOffered += work.Seconds()
+	found.pending += work.Seconds() / max(minCountedShare, min(share, 1))
+	m.admitted++
+	m.admittedWork += work.Seconds()
 }
 
 // Serve notes that a server has answered a request that took so much work.
-func (m *Meter) RecordServed(work time.Duration) { m.served += work.Seconds() }
+func (m *Meter) RecordServed(work time.Duration) { m.servedWork += work.Seconds() }
 
-// isForOthers reports whether this node has asked on behalf of others lately, so that it sees more
+// isForPeers reports whether this node has asked on behalf of others lately, so that it sees more
 // than its own requests.
-func (m *Meter) isForOthers() bool {
-	return !m.forOthersAt.IsZero() && m.judgedAt.Sub(m.forOthersAt) <= shareLife
+func (m *Meter) isForPeers() bool {
+	return !m.forPeersAt.IsZero() && m.evaluatedAt.Sub(m.forPeersAt) <= shareTTL
 }
 
 // NeedsEvaluation reports whether the shares are to be judged anew.
-func (m *Meter) NeedsEvaluation(now time.Time) bool { return now.Sub(m.judgedAt) >= tickSpan }
+func (m *Meter) NeedsEvaluation(now time.Time) bool {
+	return now.Sub(m.evaluatedAt) >= evaluationInterval
+}
 
 // Shares returns what is let in by the last judgement, and when that was.
-func (m *Meter) Shares() (Shares, time.Time) { return m.shares, m.judgedAt }
+func (m *Meter) Shares() (Shares, time.Time) { return m.shares, m.evaluatedAt }
 
 // Judge takes the queue of a moment and judges the shares anew.
 func (m *Meter) Evaluate(backlog Backlog, now time.Time) {
-	elapsed := now.Sub(m.judgedAt).Seconds()
+	elapsed := now.Sub(m.evaluatedAt).Seconds()
 	if elapsed <= 0 {
 		return
 	}
 	m.average(elapsed)
-	if now.Sub(m.judgedAt) > shareLife {
-		m.judgements = 0
+	if now.Sub(m.evaluatedAt) > shareTTL {
+		m.evaluations = 0
 	}
-	m.judgedAt = now
-	m.judgements++
-	if m.wasForOthers {
-		m.forOthersAt, m.wasForOthers = now, false
+	m.evaluatedAt = now
+	m.evaluations++
+	if m.wasForPeers {
+		m.forPeersAt, m.wasForPeers = now, false
 	}
-	queued := float64(backlog.Waiting) * m.meanWork
-	isWorking, isGrowing := m.servedLast > 0, queued > m.queued
-	m.queued = queued
+	queuedWork := float64(backlog.Waiting) * m.meanWork
+	isWorking, isGrowing := m.lastServedWork > 0, queuedWork > m.queuedWork
+	m.queuedWork = queuedWork
 	switch {
-	case backlog.Waiting >= leastWaiting && m.waitsFor(queued, tolerableWait*backlog.Target.Seconds()):
-		m.behind, m.withoutQueue = m.behind+1, 0
+	case backlog.Waiting >= minQueueLength && m.waitExceeds(queuedWork, tolerableWaitPart*backlog.Target.Seconds()):
+		m.overlongCount, m.noQueueCount = m.overlongCount+1, 0
 		if isWorking && isGrowing {
-			m.outgrown++
+			m.growingCount++
 		}
-	case m.waitsFor(queued, noticeableWait*backlog.Target.Seconds()):
-		m.behind, m.outgrown, m.withoutQueue = 0, 0, 0
-	case m.isUsed():
-		m.behind, m.outgrown, m.withoutQueue = 0, 0, m.withoutQueue+1
+	case m.waitExceeds(queuedWork, noticeableWaitPart*backlog.Target.Seconds()):
+		m.overlongCount, m.growingCount, m.noQueueCount = 0, 0, 0
+	case m.isCapacityUsed():
+		m.overlongCount, m.growingCount, m.noQueueCount = 0, 0, m.noQueueCount+1
 	default:
-		m.behind, m.outgrown = 0, 0
+		m.overlongCount, m.growingCount = 0, 0
 	}
-	m.limit(m.estimate(elapsed))
+	m.updateShares(m.estimate(elapsed))
 }
 
 // hasMeasured reports whether the meter can tell if there is room: it has found a shortage, or
 // would have by now.
-func (m *Meter) hasMeasured() bool { return m.isLimited || m.judgements >= leastBehind }
+func (m *Meter) hasMeasured() bool { return m.isLimited || m.evaluations >= minOverlongCount }
 
 // average takes what was noted since the last judgement into the rates.
 func (m *Meter) average(elapsed float64) {
-	gain := 1 - math.Exp(-elapsed/rateSpan.Seconds())
+	gain := 1 - math.Exp(-elapsed/rateWindow.Seconds())
 	for class, each := range m.classes {
 		each.value += gain * (each.pending/elapsed - each.value)
 		each.pending = 0
-		if each.value < forgottenRate {
+		if each.value < minClassRate {
 			delete(m.classes, class)
 		}
 	}
-	m.servedRate += gain * (m.served/elapsed - m.servedRate)
-	m.admittedRate += (1 - math.Exp(-elapsed/admittedSpan.Seconds())) * (m.workOffered/elapsed - m.admittedRate)
-	if m.offered > 0 {
-		m.meanWork += gain * (m.workOffered/float64(m.offered) - m.meanWork)
+	m.servedRate += gain * (m.servedWork/elapsed - m.servedRate)
+	m.admittedRate += (1 - math.Exp(-elapsed/admittedWindow.Seconds())) * (m.admittedWork/elapsed - m.admittedRate)
+	if m.admitted > 0 {
+		m.meanWork += gain * (m.admittedWork/float64(m.admitted) - m.meanWork)
 	}
-	m.servedLast = m.served
-	m.offered, m.workOffered, m.served = 0, 0, 0
+	m.lastServedWork = m.servedWork
+	m.admitted, m.admittedWork, m.servedWork = 0, 0, 0
 }
 
-// waitsFor reports whether the last of the queue waits for longer than some seconds.
-func (m *Meter) waitsFor(queued, seconds float64) bool {
-	return queued > 0 && queued > m.servedRate*seconds
+// waitExceeds reports whether the last of the queue waits for longer than some seconds.
+func (m *Meter) waitExceeds(queuedWork, seconds float64) bool {
+	return queuedWork > 0 && queuedWork > m.servedRate*seconds
 }
 
-// isUsed reports whether the estimated capacity is in use or is nearly what is asked for.
-func (m *Meter) isUsed() bool {
-	return m.admittedRate >= usedPart*m.capacity || m.capacity >= usedPart*m.asked
+// isCapacityUsed reports whether the estimated capacity is in use or is nearly what is asked for.
+func (m *Meter) isCapacityUsed() bool {
+	return m.admittedRate >= usedPart*m.capacity || m.capacity >= usedPart*m.totalDemand
 }
 
 // growth returns by how much more is let in after a judgement without a queue.
 func (m *Meter) growth() float64 {
-	if m.withoutQueue > 1 && m.isStarved() {
-		return greatestGrowth
+	if m.noQueueCount > 1 && m.isStarved() {
+		return maxGrowth
 	}
-	return min(greatestGrowth, max(probeGrowth, growthStep*float64(m.withoutQueue-probeTicks)))
+	return min(maxGrowth, max(probeGrowth, growthStep*float64(m.noQueueCount-probeEvaluations)))
 }
 
 // isStarved reports whether so little is let in that servers have mostly come back from an outage
 // if there is no queue.
-func (m *Meter) isStarved() bool { return m.capacity < starvedPart*m.asked }
+func (m *Meter) isStarved() bool { return m.capacity < starvedPart*m.totalDemand }
 
-// leastCapacity is what servers without a queue can do at least: what they do. One that is
+// minCapacity is what servers without a queue can do at least: what they do. One that is
 // starved grows faster by itself.
-func (m *Meter) leastCapacity() float64 {
+func (m *Meter) minCapacity() float64 {
 	if m.isStarved() {
-		return leastShare * m.asked
+		return minAdmittedShare * m.totalDemand
 	}
-	return max(m.servedRate, leastShare*m.asked)
+	return max(m.servedRate, minAdmittedShare*m.totalDemand)
 }
 
 // estimate estimates the capacity from the queue, and returns the work a second that is to be
 // let in by it.
 func (m *Meter) estimate(elapsed float64) float64 {
 	switch {
-	case m.outgrown >= leastOutgrown || m.behind >= leastBehind || m.isLimited && m.behind > 0:
+	case m.growingCount >= minGrowingCount || m.overlongCount >= minOverlongCount || m.isLimited && m.overlongCount > 0:
 		if m.isLimited {
-			m.capacity = max(m.servedRate, greatestFall*m.capacity)
+			m.capacity = max(m.servedRate, minRetainedPart*m.capacity)
 		} else {
 			// The average is behind a load that has just begun.
-			m.isLimited, m.capacity = true, max(m.servedRate, m.servedLast/elapsed)
+			m.isLimited, m.capacity = true, max(m.servedRate, m.lastServedWork/elapsed)
 		}
-		return behindPart * m.capacity
-	case m.isLimited && m.queued > 0 && m.withoutQueue == 0:
+		return drainPart * m.capacity
+	case m.isLimited && m.queuedWork > 0 && m.noQueueCount == 0:
 		// With a queue the servers are busy, so what they do is all that they can do.
-		m.capacity = min(m.capacity, max(m.servedRate, greatestFall*m.capacity))
-	case m.isLimited && m.withoutQueue > 0 && m.isUsed():
-		m.capacity = max(m.capacity, m.leastCapacity()) * (1 + m.growth()*elapsed/tickSpan.Seconds())
+		m.capacity = min(m.capacity, max(m.servedRate, minRetainedPart*m.capacity))
+	case m.isLimited && m.noQueueCount > 0 && m.isCapacityUsed():
+		m.capacity = max(m.capacity, m.minCapacity()) * (1 + m.growth()*elapsed/evaluationInterval.Seconds())
 	}
 	return m.capacity
 }
 
 // limit sets the shares by the work a second that is to be let in, while there is a shortage.
-func (m *Meter) limit(allowed float64) {
+func (m *Meter) updateShares(allowedRate float64) {
 	if !m.isLimited {
 		return
 	}
@@ -278,8 +280,8 @@
 	for class, each := range m.classes {
 		m.demands = append(m.demands, Demand{Class: class, Rate: each.value})
 	}
-	m.asked = sum(m.demands)
-	m.shares = Divide(max(allowed, leastShare*m.asked), m.demands)
+	m.totalDemand = sum(m.demands)
+	m.shares = Divide(max(allowedRate, minAdmittedShare*m.totalDemand), m.demands)
 	if m.shares.IsFull() {
 		m.isLimited = false
 	}
--- a/pkg/loadshed/meters.go
+++ b/pkg/loadshed/meters.go
@@ -7,13 +7,13 @@
 
 // Constants of what is told.
 const (
-	// toldChange is the part by which a share has to change to be told before its time: less
+	// significantChange is the part by which a share has to change to be told before its time: less
 	// than that is within what a service can bear for a moment.
-	toldChange = 0.2
-	// leastPause is the least time between two messages to all nodes, so that they do not
-	// grow with the load; repeatSpan is how often shares are told again while they matter.
-	leastPause = 200 * time.Millisecond
-	repeatSpan = 500 * time.Millisecond
+	significantChange = 0.2
+	// minPublishInterval is the least time between two messages to all nodes, so that they do not
+	// grow with the load; republishInterval is how often shares are told again while they matter.
+	minPublishInterval = 200 * time.Millisecond
+	republishInterval  = 500 * time.Millisecond
 )
 
 // Queues tells which requests wait for servers; *fleet.Fleet implements it.
@@ -32,56 +32,56 @@
 // Meters are the meters of the services whose servers this node asks, for itself or on behalf
 // of others. The requests that come drive them: without requests nothing changes.
 type Meters struct {
-	queues Queues
-	board  *Admitter
+	queues   Queues
+	admitter *Admitter
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
 	// tell takes what all nodes are to be told; nil where there are none.
-	tell   func([]Measurement)
-	meters map[Key]*Meter
-	// lastTold are the shares that all nodes were told last and toldAt is when.
-	lastTold map[Key]Shares
-	toldAt   time.Time
+	publish func([]Measurement)
+	meters  map[Key]*Meter
+	// lastPublished are the shares that all nodes were told last and publishedAt is when.
+	lastPublished map[Key]Shares
+	publishedAt   time.Time
 }
 
 // NewMeters returns meters that note what they find on this node's own board too.
-func NewMeters(queues Queues, board *Admitter) *Meters {
-	return &Meters{queues: queues, board: board, meters: make(map[Key]*Meter), lastTold: make(map[Key]Shares)}
+func NewMeters(queues Queues, admitter *Admitter) *Meters {
+	return &Meters{queues: queues, admitter: admitter, meters: make(map[Key]*Meter), lastPublished: make(map[Key]Shares)}
 }
 
 // Tell sets what takes what all nodes are to be told. It does not block.
-func (m *Meters) SetPublisher(tell func([]Measurement)) {
+func (m *Meters) SetPublisher(publish func([]Measurement)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.tell = tell
+	m.publish = publish
 }
 
 // Offer notes a request that was let in.
-func (m *Meters) RecordAdmitted(key Key, offered AdmittedRequest, now time.Time) {
+func (m *Meters) RecordAdmitted(key Key, request AdmittedRequest, now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	found := m.meters[key]
-	if found == nil {
-		found = NewMeter(now)
-		m.meters[key] = found
+	meter := m.meters[key]
+	if meter == nil {
+		meter = NewMeter(now)
+		m.meters[key] = meter
 	}
-	found.RecordAdmitted(offered)
-	if !found.NeedsEvaluation(now) {
+	meter.RecordAdmitted(request)
+	if !meter.NeedsEvaluation(now) {
 		return
 	}
-	found.Evaluate(m.queues.Backlog(key, now), now)
-	if !found.hasMeasured() {
+	meter.Evaluate(m.queues.Backlog(key, now), now)
+	if !meter.hasMeasured() {
 		return
 	}
-	shares, _ := found.Shares()
-	if !found.isForOthers() {
-		m.board.UpdateLocal(key, shares, now)
+	shares, _ := meter.Shares()
+	if !meter.isForPeers() {
+		m.admitter.UpdateLocal(key, shares, now)
 		return
 	}
-	m.board.Update(key, shares, now)
-	if m.tell != nil {
-		m.tellIfChanged(now)
+	m.admitter.Update(key, shares, now)
+	if m.publish != nil {
+		m.publishIfChanged(now)
 	}
 }
 
@@ -89,8 +89,8 @@
 func (m *Meters) RecordServed(key Key, work time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if found := m.meters[key]; found != nil {
-		found.RecordServed(work)
+	if meter := m.meters[key]; meter != nil {
+		meter.RecordServed(work)
 	}
 }
 
@@ -99,11 +99,11 @@
 func (m *Meters) CurrentShares(key Key, now time.Time) (Shares, time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	found := m.meters[key]
-	if found == nil || now.Sub(found.judgedAt) > shareLife {
+	meter := m.meters[key]
+	if meter == nil || now.Sub(meter.evaluatedAt) > shareTTL {
 		return Shares{}, now
 	}
-	return found.Shares()
+	return meter.Shares()
 }
 
 // Measured returns the shares of a service, and whether this node has measured them lately. One that
@@ -111,53 +111,53 @@
 func (m *Meters) Measurement(key Key, now time.Time) (Measurement, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.measured(key, now)
+	return m.measurement(key, now)
 }
 
 // measured is Measured. The mutex is held.
-func (m *Meters) measured(key Key, now time.Time) (Measurement, bool) {
-	found := m.meters[key]
-	if found == nil || now.Sub(found.judgedAt) > shareLife || !found.hasMeasured() {
+func (m *Meters) measurement(key Key, now time.Time) (Measurement, bool) {
+	meter := m.meters[key]
+	if meter == nil || now.Sub(meter.evaluatedAt) > shareTTL || !meter.hasMeasured() {
 		return Measurement{}, false
 	}
-	shares, at := found.Shares()
+	shares, at := meter.Shares()
 	return Measurement{Key: key, Shares: shares, MeasuredAt: at}, true
 }
 
-// tellIfChanged tells all nodes the shares if they have changed or matter still. The mutex is
+// publishIfChanged tells all nodes the shares if they have changed or matter still. The mutex is
 // held.
-func (m *Meters) tellIfChanged(now time.Time) {
-	pause := now.Sub(m.toldAt)
-	if pause < leastPause {
+func (m *Meters) publishIfChanged(now time.Time) {
+	sinceLast := now.Sub(m.publishedAt)
+	if sinceLast < minPublishInterval {
 		return
 	}
-	isChanged, matters := false, false
+	isChanged, isLimited := false, false
 	for key, each := range m.meters {
-		measured, ok := m.measured(key, now)
+		measured, ok := m.measurement(key, now)
 		if !ok {
 			// What was told last is too old to be known.
-			delete(m.lastTold, key)
+			delete(m.lastPublished, key)
 		}
-		if !ok || !each.isForOthers() {
+		if !ok || !each.isForPeers() {
 			continue
 		}
-		isChanged = isChanged || measured.Shares.differsFrom(m.lastTold[key], toldChange)
-		matters = matters || !measured.Shares.IsFull()
+		isChanged = isChanged || measured.Shares.differsFrom(m.lastPublished[key], significantChange)
+		isLimited = isLimited || !measured.Shares.IsFull()
 	}
-	if !isChanged && (!matters || pause < repeatSpan) {
+	if !isChanged && (!isLimited || sinceLast < republishInterval) {
 		return
 	}
 	var message []Measurement
 	for key, each := range m.meters {
-		measured, ok := m.measured(key, now)
-		if !ok || !each.isForOthers() || measured.Shares.IsFull() && m.lastTold[key].IsFull() {
+		measured, ok := m.measurement(key, now)
+		if !ok || !each.isForPeers() || measured.Shares.IsFull() && m.lastPublished[key].IsFull() {
 			continue
 		}
 		message = append(message, measured)
-		m.lastTold[key] = measured.Shares
+		m.lastPublished[key] = measured.Shares
 	}
-	m.toldAt = now
-	m.tell(message)
+	m.publishedAt = now
+	m.publish(message)
 }
 
 // Sweep forgets services that are not asked for any more. It is called every second or so.
@@ -165,9 +165,9 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for key, each := range m.meters {
-		if now.Sub(each.judgedAt) > 2*shareLife {
+		if now.Sub(each.evaluatedAt) > 2*shareTTL {
 			delete(m.meters, key)
-			delete(m.lastTold, key)
+			delete(m.lastPublished, key)
 		}
 	}
 }
--- a/pkg/rhythm/rhythm_test.go
+++ b/pkg/rhythm/rhythm_test.go
@@ -79,7 +79,7 @@
 // ask lets one request come.
 func (m *model) ask() {
 	answered, meets := m.answerAt()
-	isSilent := len(m.pending) > 0 && m.now.Sub(m.oldest()) > 2*usual && m.now.Sub(m.tested.answeredAt) > 2*usual
+	isSilent := len(m.pending) > 0 && m.now.Sub(m.oldest()) > 2*usual && m.now.Sub(m.tested.lastAnswerAt) > 2*usual
 	if m.tested.ExpectedWait(m.now, usual, m.shared) > 0 {
 		if meets {
 			m.spared++
@@ -343,7 +343,7 @@
 			tested.RecordSent(now, shared)
 			tested.RecordAnswer(now.Add(-time.Duration(random.Int64N(int64(3*time.Second)))), now, usual, shared)
 			if wait := tested.ExpectedWait(now, usual, shared); wait > 0 {
-				g.Expect(wait).To(BeNumerically("<=", greatestLength+usual))
+				g.Expect(wait).To(BeNumerically("<=", maxPauseLength+usual))
 				g.Expect(tested.ExpectedWait(now.Add(wait), usual, shared)).To(BeZero())
 			}
 		}
