--- a/pkg/loadshed/divide_test.go
+++ b/pkg/loadshed/divide_test.go
@@ -14,8 +14,8 @@
 	return loadshed.Demand{Class: loadshed.Class{Priority: priority, Tenant: tenant}, Rate: rate}
 }
 
-// TestRoomForAllRefusesNobody.
-func TestRoomForAllRefusesNobody(t *testing.T) {
+// TestEnoughCapacityRefusesNobody.
+func TestEnoughCapacityRefusesNobody(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(loadshed.Divide(10, []loadshed.Demand{demand(1, "", 6), demand(2, "", 4)}).IsFull()).To(BeTrue())
 	g.Expect(loadshed.Divide(0, nil).IsFull()).To(BeTrue())
@@ -40,9 +40,9 @@
 	g.Expect(shares.Of(loadshed.Class{Priority: 1})).To(BeNumerically("~", 0.5, 1e-9))
 }
 
-// TestAHeavyTenantBesideManySmallOnes: the small ones get all that they ask for, the heavy one
+// TestAHeavyTenantAmongManySmallOnes: the small ones get all that they ask for, the heavy one
 // what is left.
-func TestAHeavyTenantBesideManySmallOnes(t *testing.T) {
+func TestAHeavyTenantAmongManySmallOnes(t *testing.T) {
 	g := NewWithT(t)
 	demands := []loadshed.Demand{demand(1, "heavy", 60)}
 	for number := range 40 {
@@ -54,8 +54,8 @@
 	g.Expect(shares.Tenants).To(HaveLen(1))
 }
 
-// TestWhatIsToldDoesNotGrowWithTheTenants.
-func TestWhatIsToldDoesNotGrowWithTheTenants(t *testing.T) {
+// TestSharesAreBoundedForManyTenants.
+func TestSharesAreBoundedForManyTenants(t *testing.T) {
 	g := NewWithT(t)
 	var demands []loadshed.Demand
 	for number := range 500 {
@@ -64,10 +64,10 @@
 	g.Expect(len(loadshed.Divide(100, demands).Tenants)).To(BeNumerically("<=", 8))
 }
 
-// TestSharesKeepTheirPromises for any demands: nobody gets less than a quarter of the common
+// TestSharesStayWithinTheirBounds for any demands: nobody gets less than a quarter of the common
 // share, a less urgent tenant never more than a more urgent one, and all together no more than
 // there is.
-func TestSharesKeepTheirPromises(t *testing.T) {
+func TestSharesStayWithinTheirBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 30).Draw(t, "count")
 		var demands []loadshed.Demand
@@ -80,24 +80,24 @@
 		}
 		capacity := total * rapid.Float64Range(0.01, 0.99).Draw(t, "part")
 		shares := loadshed.Divide(capacity, demands)
-		given := 0.0
+		allocated := 0.0
 		ranks := map[int][2]float64{}
 		for _, each := range demands {
 			share := shares.Of(each.Class)
 			if share < 0.25*capacity/total-1e-9 || share > 1+1e-9 {
 				t.Fatalf("%+v gets %v of %v", each, share, capacity/total)
 			}
-			given += share * each.Rate
+			allocated += share * each.Rate
 			rank := ranks[each.Priority]
 			ranks[each.Priority] = [2]float64{rank[0] + share*each.Rate, rank[1] + each.Rate}
 		}
-		if given > capacity*1.001 {
-			t.Fatalf("%v given of %v", given, capacity)
+		if allocated > capacity*1.001 {
+			t.Fatalf("%v given of %v", allocated, capacity)
 		}
 		last := 2.0
 		for priority := range 4 {
-			rank, isAsked := ranks[priority]
-			if !isAsked {
+			rank, isPresent := ranks[priority]
+			if !isPresent {
 				continue
 			}
 			if share := rank[0] / rank[1]; share > last+1e-6 {
--- a/pkg/loadshed/meter_test.go
+++ b/pkg/loadshed/meter_test.go
@@ -19,16 +19,16 @@
 	now      time.Time
 	capacity float64
 	// waiting are the moments at which the requests in the queue came.
-	waiting []time.Time
+	arrivals []time.Time
 	// done is the work that the servers have ready for the next request.
-	done float64
+	availableWork float64
 	// shares are what the nodes know; they learn of a change a little later.
-	shares   loadshed.Shares
-	isStill  bool
-	refused  int
-	served   int
-	inTime   int
-	observed []float64
+	shares         loadshed.Shares
+	isStopped      bool
+	refused        int
+	served         int
+	inTime         int
+	observedShares []float64
 }
 
 const (
@@ -49,9 +49,9 @@
 		if q.random.Float64() < rate*queueStep.Seconds() {
 			q.offer()
 		}
-		q.work()
+		q.serve()
 		if q.meter.NeedsEvaluation(q.now) {
-			q.judge()
+			q.evaluate()
 		}
 	}
 }
@@ -63,53 +63,53 @@
 		return
 	}
 	q.meter.RecordAdmitted(loadshed.AdmittedRequest{Class: urgent, Work: queueWork, Share: share})
-	q.waiting = append(q.waiting, q.now)
+	q.arrivals = append(q.arrivals, q.now)
 }
 
-func (q *queue) work() {
-	if q.isStill {
+func (q *queue) serve() {
+	if q.isStopped {
 		return
 	}
-	q.done += q.capacity * queueStep.Seconds()
-	for q.done >= queueWork.Seconds() && len(q.waiting) > 0 {
-		q.done -= queueWork.Seconds()
-		next := q.next()
-		if q.now.Sub(q.waiting[next]) < queueTarget {
+	q.availableWork += q.capacity * queueStep.Seconds()
+	for q.availableWork >= queueWork.Seconds() && len(q.arrivals) > 0 {
+		q.availableWork -= queueWork.Seconds()
+		next := q.nextIndex()
+		if q.now.Sub(q.arrivals[next]) < queueTarget {
 			q.inTime++
 		}
-		q.waiting = slices.Delete(q.waiting, next, next+1)
+		q.arrivals = slices.Delete(q.arrivals, next, next+1)
 		q.served++
 		q.meter.RecordServed(queueWork)
 	}
-	q.done = min(q.done, 3*queueWork.Seconds())
+	q.availableWork = min(q.availableWork, 3*queueWork.Seconds())
 }
 
 // next returns the first request that is in time, and the first of all if none is.
-func (q *queue) next() int {
-	for index, came := range q.waiting {
-		if q.now.Sub(came) < queueTarget {
+func (q *queue) nextIndex() int {
+	for index, arrivedAt := range q.arrivals {
+		if q.now.Sub(arrivedAt) < queueTarget {
 			return index
 		}
 	}
 	return 0
 }
 
-func (q *queue) judge() {
+func (q *queue) evaluate() {
 	inTime := 0
-	for _, came := range q.waiting {
-		if q.now.Sub(came) < queueTarget {
+	for _, arrivedAt := range q.arrivals {
+		if q.now.Sub(arrivedAt) < queueTarget {
 			inTime++
 		}
 	}
 	q.meter.Evaluate(loadshed.Backlog{Waiting: inTime, Target: queueTarget}, q.now)
 	shares, _ := q.meter.Shares()
-	q.observed = append(q.observed, shares.Of(urgent))
+	q.observedShares = append(q.observedShares, shares.Of(urgent))
 	q.shares = shares
 }
 
-// TestAFlashCrowdIsHeldToWhatServersCanDo: at three times the capacity nearly all that is let
+// TestAFlashCrowdIsLimitedToTheCapacity: at three times the capacity nearly all that is let
 // in is served in time, servers stay busy, and the rest is refused.
-func TestAFlashCrowdIsHeldToWhatServersCanDo(t *testing.T) {
+func TestAFlashCrowdIsLimitedToTheCapacity(t *testing.T) {
 	g := NewWithT(t)
 	tested := newQueue(2)
 	tested.run(50, 5*time.Second)
@@ -121,8 +121,8 @@
 	g.Expect(tested.refused).To(BeNumerically(">=", 800))
 }
 
-// TestRoomThatCameBackIsUsedWithinASecond.
-func TestRoomThatCameBackIsUsedWithinASecond(t *testing.T) {
+// TestRestoredCapacityIsUsedWithinASecond.
+func TestRestoredCapacityIsUsedWithinASecond(t *testing.T) {
 	g := NewWithT(t)
 	tested := newQueue(0.5)
 	tested.run(75, 5*time.Second)
@@ -143,14 +143,14 @@
 	g.Expect(tested.refused).To(BeZero())
 }
 
-// TestNeverNothing: also servers that answer nothing any more are tried.
-func TestNeverNothing(t *testing.T) {
+// TestAMinimumIsAlwaysAdmitted: also servers that answer nothing any more are tried.
+func TestAMinimumIsAlwaysAdmitted(t *testing.T) {
 	g := NewWithT(t)
 	tested := newQueue(2)
 	tested.run(80, 3*time.Second)
-	tested.isStill = true
+	tested.isStopped = true
 	tested.run(80, 10*time.Second)
-	for _, share := range tested.observed {
+	for _, share := range tested.observedShares {
 		g.Expect(share).To(BeNumerically(">=", 0.04))
 	}
 }
@@ -163,27 +163,27 @@
 	}
 }
 
-// TestServersThatWereAllGone are in use again within a second.
-func TestServersThatWereAllGone(t *testing.T) {
+// TestServersThatReturnFromAnOutageAreUsedWithinASecond are in use again within a second.
+func TestServersThatReturnFromAnOutageAreUsedWithinASecond(t *testing.T) {
 	g := NewWithT(t)
 	tested := newQueue(3)
 	tested.run(75, 2*time.Second)
-	tested.isStill = true
+	tested.isStopped = true
 	tested.run(75, 5*time.Second)
-	tested.isStill = false
+	tested.isStopped = false
 	tested.run(75, time.Second)
 	tested.run(75, 5*time.Second)
 	g.Expect(tested.refused).To(BeZero())
 }
 
-// noQueues has nothing that waits.
-type noQueues struct{}
+// emptyQueues has nothing that waits.
+type emptyQueues struct{}
 
-func (noQueues) Backlog(loadshed.Key, time.Time) loadshed.Backlog { return loadshed.Backlog{} }
+func (emptyQueues) Backlog(loadshed.Key, time.Time) loadshed.Backlog { return loadshed.Backlog{} }
 
 // BenchmarkMetersOffer counts the judgements too, one in ten requests at a hundred a second.
 func BenchmarkMetersOffer(b *testing.B) {
-	meters, now := loadshed.NewMeters(noQueues{}, loadshed.NewAdmitter()), time.Unix(100, 0)
+	meters, now := loadshed.NewMeters(emptyQueues{}, loadshed.NewAdmitter()), time.Unix(100, 0)
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(10 * time.Millisecond)
@@ -192,21 +192,21 @@
 }
 
 // crowd has more waiting than can be served.
-type crowd struct{}
+type longQueues struct{}
 
-func (crowd) Backlog(loadshed.Key, time.Time) loadshed.Backlog {
+func (longQueues) Backlog(loadshed.Key, time.Time) loadshed.Backlog {
 	return loadshed.Backlog{Waiting: 50, Target: 200 * time.Millisecond}
 }
 
 // TestWhatANodeMeasuresOfItselfIsNotTold once it has not asked on behalf of others for a while.
 func TestWhatANodeMeasuresOfItselfIsNotTold(t *testing.T) {
 	g := NewWithT(t)
-	meters, now, told := loadshed.NewMeters(crowd{}, loadshed.NewAdmitter()), time.Unix(100, 0), time.Time{}
-	meters.SetPublisher(func([]loadshed.Measurement) { told = now })
-	began := now
+	meters, now, publishedAt := loadshed.NewMeters(longQueues{}, loadshed.NewAdmitter()), time.Unix(100, 0), time.Time{}
+	meters.SetPublisher(func([]loadshed.Measurement) { publishedAt = now })
+	startedAt := now
 	for range 1000 {
-		meters.RecordAdmitted(loadshed.Key{Service: "a"}, loadshed.AdmittedRequest{Class: urgent, Work: queueWork, Share: 1, ForPeers: now.Sub(began) < time.Second}, now)
+		meters.RecordAdmitted(loadshed.Key{Service: "a"}, loadshed.AdmittedRequest{Class: urgent, Work: queueWork, Share: 1, ForPeers: now.Sub(startedAt) < time.Second}, now)
 		now = now.Add(10 * time.Millisecond)
 	}
-	g.Expect(told).To(BeTemporally("~", began.Add(2500*time.Millisecond), 300*time.Millisecond))
+	g.Expect(publishedAt).To(BeTemporally("~", startedAt.Add(2500*time.Millisecond), 300*time.Millisecond))
 }
--- a/pkg/loadshed/model_test.go
+++ b/pkg/loadshed/model_test.go
@@ -16,8 +16,8 @@
 	modelRate     = 134.0
 	modelStep     = 2 * time.Millisecond
 	modelSpan     = 5 * time.Second
-	// modelNews is how long a node's knowledge is behind what an owner tells.
-	modelNews = 50 * time.Millisecond
+	// modelDelay is how long a node's knowledge is behind what an owner tells.
+	modelDelay = 50 * time.Millisecond
 )
 
 // kind is a kind of request of the model.
@@ -38,52 +38,52 @@
 }
 
 // asked is one request under way.
-type asked struct {
+type modelRequest struct {
 	kind
-	tenant string
-	lot    uint64
-	node   int
-	came   time.Time
-	got    int
+	tenant    string
+	sample    uint64
+	node      int
+	arrivedAt time.Time
+	answered  int
 	// shares are what its node took each shard to have room for.
 	shares [modelShards]float64
 	ended  bool
 }
 
-func (a *asked) class() loadshed.Class {
-	return loadshed.Class{Priority: a.priority, Tenant: a.tenant}
+func (r *modelRequest) class() loadshed.Class {
+	return loadshed.Class{Priority: r.priority, Tenant: r.tenant}
 }
 
 // way decides which requests are let in.
-type way interface {
+type scheme interface {
 	// admit returns the shards that are asked; nil refuses.
-	admit(request *asked, now time.Time) []int
+	admit(request *modelRequest, now time.Time) []int
 	// offered, served and ended tell of the parts and the ends of requests.
-	offered(shard int, request *asked, now time.Time)
-	served(shard int, request *asked)
-	ended(request *asked, inTime bool, now time.Time)
+	admitted(shard int, request *modelRequest, now time.Time)
+	served(shard int, request *modelRequest)
+	ended(request *modelRequest, inTime bool, now time.Time)
 	// judge takes the queues, each 100 ms.
-	judge(model *model, now time.Time)
+	evaluate(model *model, now time.Time)
 }
 
 // model is the shards' queues, and what has become of the requests of a time.
 type model struct {
-	random   *rand.Rand
-	now      time.Time
-	way      way
-	kinds    []kind
-	capacity [modelShards]float64
-	done     [modelShards]float64
-	queues   [modelShards][]*asked
-	live     []*asked
-	counts   map[string]*tally
+	random        *rand.Rand
+	now           time.Time
+	scheme        scheme
+	kinds         []kind
+	capacity      [modelShards]float64
+	availableWork [modelShards]float64
+	queues        [modelShards][]*modelRequest
+	live          []*modelRequest
+	counts        map[string]*tally
 }
 
 // tally counts requests of a kind or a tenant.
-type tally struct{ asked, inTime, late, refused, failed int }
+type tally struct{ offered, inTime, late, refused, failed int }
 
-func newModel(tested way) *model {
-	created := &model{random: rand.New(rand.NewPCG(1, 2)), now: time.Unix(100, 0), way: tested, kinds: modelKinds}
+func newModel(tested scheme) *model {
+	created := &model{random: rand.New(rand.NewPCG(1, 2)), now: time.Unix(100, 0), scheme: tested, kinds: modelKinds}
 	for shard := range created.capacity {
 		created.capacity[shard] = modelCapacity
 	}
@@ -102,15 +102,15 @@
 		for shard := range m.queues {
 			m.serve(shard)
 		}
-		m.giveUp()
+		m.endRequests()
 		if m.now.UnixMilli()%100 == 0 {
-			m.way.judge(m, m.now)
+			m.scheme.evaluate(m, m.now)
 		}
 	}
 }
 
 // count applies a change to the tallies of a request.
-func (m *model) count(request *asked, change func(*tally)) {
+func (m *model) count(request *modelRequest, change func(*tally)) {
 	for _, name := range []string{"all", request.name, request.tenant} {
 		if m.counts[name] == nil {
 			m.counts[name] = &tally{}
@@ -120,7 +120,7 @@
 }
 
 func (m *model) offer(tenant string) {
-	request := &asked{tenant: tenant, lot: m.random.Uint64(), node: m.random.IntN(modelNodes), came: m.now}
+	request := &modelRequest{tenant: tenant, sample: m.random.Uint64(), node: m.random.IntN(modelNodes), arrivedAt: m.now}
 	request.kind = m.kinds[len(m.kinds)-1]
 	for position, drawn := 0, m.random.Float64(); position < len(m.kinds); position++ {
 		if drawn -= m.kinds[position].part; drawn < 0 {
@@ -128,65 +128,65 @@
 			break
 		}
 	}
-	m.count(request, func(t *tally) { t.asked++ })
-	shards := m.way.admit(request, m.now)
+	m.count(request, func(t *tally) { t.offered++ })
+	shards := m.scheme.admit(request, m.now)
 	if shards == nil {
 		m.count(request, func(t *tally) { t.refused++ })
 		return
 	}
 	m.live = append(m.live, request)
 	for _, shard := range shards {
-		m.way.offered(shard, request, m.now)
+		m.scheme.admitted(shard, request, m.now)
 		m.queues[shard] = append(m.queues[shard], request)
 	}
 }
 
 // serve lets a shard work for one step: on those in time first, by urgency and lot.
 func (m *model) serve(shard int) {
-	m.done[shard] += m.capacity[shard] * modelStep.Seconds()
+	m.availableWork[shard] += m.capacity[shard] * modelStep.Seconds()
 	for len(m.queues[shard]) > 0 {
 		best := 0
 		for index, other := range m.queues[shard] {
-			if m.goesBefore(other, m.queues[shard][best]) {
+			if m.precedes(other, m.queues[shard][best]) {
 				best = index
 			}
 		}
 		next := m.queues[shard][best]
-		if next.ended || next.got >= next.needed {
+		if next.ended || next.answered >= next.needed {
 			m.queues[shard] = append(m.queues[shard][:best], m.queues[shard][best+1:]...)
 			continue
 		}
-		if m.done[shard] < next.work.Seconds() {
+		if m.availableWork[shard] < next.work.Seconds() {
 			return
 		}
-		m.done[shard] -= next.work.Seconds()
+		m.availableWork[shard] -= next.work.Seconds()
 		m.queues[shard] = append(m.queues[shard][:best], m.queues[shard][best+1:]...)
-		m.way.served(shard, next)
-		next.got++
+		m.scheme.served(shard, next)
+		next.answered++
 	}
-	m.done[shard] = min(m.done[shard], 0.05)
+	m.availableWork[shard] = min(m.availableWork[shard], 0.05)
 }
 
-func (m *model) goesBefore(one, other *asked) bool {
-	isInTime, isOtherInTime := m.now.Sub(one.came) < one.target, m.now.Sub(other.came) < other.target
+func (m *model) precedes(one, other *modelRequest) bool {
+	isInTime, isOtherInTime := m.now.Sub(one.arrivedAt) < one.target, m.now.Sub(other.arrivedAt) < other.target
 	if isInTime != isOtherInTime {
 		return isInTime
 	}
-	return loadshed.WaitOrder(one.lot, one.priority) > loadshed.WaitOrder(other.lot, other.priority)
+	return loadshed.WaitOrder(one.sample, one.priority) > loadshed.WaitOrder(other.sample, other.priority)
 }
 
-// giveUp ends the requests that are answered or at their deadline.
-func (m *model) giveUp() {
+// endRequests ends the requests that are answered or at their deadline.
+func (m *model) endRequests() {
 	kept := m.live[:0]
 	for _, request := range m.live {
-		age := m.now.Sub(request.came)
-		isServed := request.got >= request.needed
+		age := m.now.Sub(request.arrivedAt)
+		isServed := request.answered >= request.needed
 		if !isServed && age < request.deadline {
 			kept = append(kept, request)
 			continue
 		}
 		request.ended = true
-		m.way.ended(request, isServed && age <= request.target, m.now)
+		m.scheme.ended(request, isServed && age <= request.target, m.now)
 		m.count(request, func(t *tally) {
 			switch {
 			case isServed && age <= request.target:
--- a/pkg/loadshed/sampler_test.go
+++ b/pkg/loadshed/sampler_test.go
@@ -13,27 +13,27 @@
 // again lets clients send a request each interval for the span of a lot, each its own, and once
 // more under a new id half a second later. It returns how many second tries there were, and how
 // many had the lot of the first one.
-func again(lots *loadshed.Sampler, interval time.Duration) (tries, same int) {
+func sampleRetries(sampler *loadshed.Sampler, interval time.Duration) (retries, same int) {
 	const span, pause = 10 * time.Second, 500 * time.Millisecond
 	random := rand.New(rand.NewPCG(3, 3))
 	type first struct {
-		asked, lot uint64
-		at         time.Duration
+		content, sample uint64
+		at              time.Duration
 	}
 	var waiting []first
 	begin := time.Unix(1000, 0)
 	for at := time.Duration(0); at < span; at += interval {
 		for len(waiting) > 0 && waiting[0].at+pause <= at {
-			tries++
-			if lots.Sample(waiting[0].asked, random.Uint64(), begin.Add(at)) == waiting[0].lot {
+			retries++
+			if sampler.Sample(waiting[0].content, random.Uint64(), begin.Add(at)) == waiting[0].sample {
 				same++
 			}
 			waiting = waiting[1:]
 		}
-		asked := random.Uint64()
-		waiting = append(waiting, first{asked, lots.Sample(asked, random.Uint64(), begin.Add(at)), at})
+		content := random.Uint64()
+		waiting = append(waiting, first{content, sampler.Sample(content, random.Uint64(), begin.Add(at)), at})
 	}
-	return tries, same
+	return retries, same
 }
 
 // TestNobodyGainsByANewID, at a node of few requests and at one of many: a second try draws as the
@@ -43,9 +43,9 @@
 		"2 a second": 500 * time.Millisecond, "50 a second": 20 * time.Millisecond, "400 a second": 2500 * time.Microsecond,
 	} {
 		t.Run(name, func(t *testing.T) {
-			tries, same := again(&loadshed.Sampler{}, interval)
-			t.Log(same, "of", tries)
-			NewWithT(t).Expect(float64(same)).To(BeNumerically(">=", 0.9*float64(tries)))
+			retries, same := sampleRetries(&loadshed.Sampler{}, interval)
+			t.Log(same, "of", retries)
+			NewWithT(t).Expect(float64(same)).To(BeNumerically(">=", 0.9*float64(retries)))
 		})
 	}
 }
@@ -54,32 +54,32 @@
 // the load has gone. Requests that ask the same need one.
 func TestLotsHoldNoMoreThanTheyNeed(t *testing.T) {
 	g := NewWithT(t)
-	lots := &loadshed.Sampler{}
-	again(lots, 500*time.Millisecond)
-	g.Expect(lots.Slots()).To(Equal(1024), "two requests a second")
+	sampler := &loadshed.Sampler{}
+	sampleRetries(sampler, 500*time.Millisecond)
+	g.Expect(sampler.Slots()).To(Equal(1024), "two requests a second")
 	for number := range 100_000 {
-		lots.Sample(7, uint64(number), time.Unix(1010, 0))
+		sampler.Sample(7, uint64(number), time.Unix(1010, 0))
 	}
-	g.Expect(lots.Slots()).To(Equal(1024), "all ask the same")
+	g.Expect(sampler.Slots()).To(Equal(1024), "all ask the same")
 	random := rand.New(rand.NewPCG(4, 4))
 	for number := range 100_000 {
-		lots.Sample(random.Uint64(), uint64(number), time.Unix(1020, 0))
+		sampler.Sample(random.Uint64(), uint64(number), time.Unix(1020, 0))
 	}
-	g.Expect(lots.Slots()).To(Equal(65536), "10,000 requests a second")
-	lots.Sample(7, 1, time.Unix(1030, 0))
-	lots.Sample(7, 1, time.Unix(1040, 0))
-	g.Expect(lots.Slots()).To(Equal(1024))
+	g.Expect(sampler.Slots()).To(Equal(65536), "10,000 requests a second")
+	sampler.Sample(7, 1, time.Unix(1030, 0))
+	sampler.Sample(7, 1, time.Unix(1040, 0))
+	g.Expect(sampler.Slots()).To(Equal(1024))
 }
 
 // TestManyThatAskTheSameDrawForThemselves, also while the counts grow.
 func TestManyThatAskTheSameDrawForThemselves(t *testing.T) {
 	g := NewWithT(t)
-	lots, random, alike := &loadshed.Sampler{}, rand.New(rand.NewPCG(5, 5)), make(map[uint64]int)
+	sampler, random, countBySample := &loadshed.Sampler{}, rand.New(rand.NewPCG(5, 5)), make(map[uint64]int)
 	for range 100_000 {
-		lots.Sample(random.Uint64(), random.Uint64(), time.Unix(1000, 0))
-		alike[lots.Sample(7, random.Uint64(), time.Unix(1000, 0))]++
+		sampler.Sample(random.Uint64(), random.Uint64(), time.Unix(1000, 0))
+		countBySample[sampler.Sample(7, random.Uint64(), time.Unix(1000, 0))]++
 	}
-	for _, count := range alike {
+	for _, count := range countBySample {
 		g.Expect(count).To(BeNumerically("<=", 6), "two for each of three sizes")
 	}
 }
--- a/pkg/loadshed/loads_test.go
+++ b/pkg/loadshed/scenarios_test.go
@@ -10,48 +10,48 @@
 )
 
 // load is a load of the model: it sets the shards' capacity and gives the rate.
-type load struct {
+type scenario struct {
 	name string
 	rate float64
 	// scarce are the shards that have only a part of their servers.
-	scarce   int
-	part     float64
-	tenantOf func(*rand.Rand) string
-	kinds    []kind
+	limitedShards int
+	remainingPart float64
+	tenantOf      func(*rand.Rand) string
+	kinds         []kind
 	// failed is the part of the requests that may fail at their deadline: of three times what
 	// servers can do, those that came in the 300 ms until all nodes knew of the overload, and
 	// those that wait behind work which costs seconds.
-	failed float64
+	maxFailedPart float64
 }
 
 // log prints what a way got out of a load: work in time as a part of what could be done, and
 // the parts of each kind that were answered in time.
-func (l load) log(t *testing.T, name string, counts map[string]*tally) {
+func (s scenario) log(t *testing.T, name string, counts map[string]*tally) {
 	t.Helper()
 	all := counts["all"]
-	line := fmt.Sprintf("%-10s useful %.2f, failed %.3f, refused %.3f", name, work(counts, l.kinds)/l.useful(),
-		float64(all.failed)/float64(all.asked), float64(all.refused)/float64(all.asked))
-	for _, each := range l.kinds {
-		line += fmt.Sprintf(", %s %.2f", each.name, float64(counts[each.name].inTime)/float64(counts[each.name].asked))
+	line := fmt.Sprintf("%-10s useful %.2f, failed %.3f, refused %.3f", name, workInTime(counts, s.kinds)/s.achievableWork(),
+		float64(all.failed)/float64(all.offered), float64(all.refused)/float64(all.offered))
+	for _, each := range s.kinds {
+		line += fmt.Sprintf(", %s %.2f", each.name, float64(counts[each.name].inTime)/float64(counts[each.name].offered))
 	}
 	t.Log(line)
 }
 
 // useful is the work that the scarcest shards that requests need can do, or are asked for.
-func (l load) useful() float64 {
-	asked := 0.0
-	for _, each := range l.kinds {
-		asked += l.rate * each.part * each.work.Seconds()
+func (s scenario) achievableWork() float64 {
+	demand := 0.0
+	for _, each := range s.kinds {
+		demand += s.rate * each.part * each.work.Seconds()
 	}
 	capacity := modelCapacity
-	if l.scarce > 1 {
-		capacity *= l.part
+	if s.limitedShards > 1 {
+		capacity *= s.remainingPart
 	}
-	return modelSpan.Seconds() * min(asked, capacity)
+	return modelSpan.Seconds() * min(demand, capacity)
 }
 
 // work is the work of the requests that were answered in time.
-func work(counts map[string]*tally, kinds []kind) float64 {
+func workInTime(counts map[string]*tally, kinds []kind) float64 {
 	done := 0.0
 	for _, each := range kinds {
 		done += float64(counts[each.name].inTime) * each.work.Seconds()
@@ -61,73 +61,73 @@
 
 func noTenant(*rand.Rand) string { return "" }
 
-// heavyBesideSmall draws one tenant for two thirds of the requests, and twenty for the rest.
-func heavyBesideSmall(random *rand.Rand) string {
+// heavyAndSmallTenants draws one tenant for two thirds of the requests, and twenty for the rest.
+func heavyAndSmallTenants(random *rand.Rand) string {
 	if random.Float64() < 2.0/3 {
 		return "heavy"
 	}
 	return fmt.Sprint("small", random.IntN(20))
 }
 
-var costly = []kind{modelKinds[0], {"costly", 2, 0.25, 11, 280 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}}
+var kindsWithCostlyOne = []kind{modelKinds[0], {"costly", 2, 0.25, 11, 280 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}}
 
-var loads = []load{
+var scenarios = []scenario{
 	{"flash crowd", 3 * modelRate, 0, 1, noTenant, modelKinds, 0.04},
 	{"one shard short", modelRate, 1, 0.1, noTenant, modelKinds, 0.04},
 	{"a third of the servers gone", modelRate, 4, 1.0 / 3, noTenant, modelKinds, 0.04},
-	{"a heavy tenant beside many small ones", 2.5 * modelRate, 0, 1, heavyBesideSmall, modelKinds, 0.04},
-	{"a kind that costs ten times as much", modelRate, 0, 1, noTenant, costly, 0.07},
+	{"a heavy tenant beside many small ones", 2.5 * modelRate, 0, 1, heavyAndSmallTenants, modelKinds, 0.04},
+	{"a kind that costs ten times as much", modelRate, 0, 1, noTenant, kindsWithCostlyOne, 0.07},
 }
 
 // play runs a load after a second of calm, and returns what became of the requests of modelSpan
 // from its beginning.
-func (l load) play(tested way) *model {
+func (s scenario) run(tested scheme) *model {
 	model := newModel(tested)
-	model.kinds = l.kinds
-	model.run(modelRate/3, 2*time.Second, l.tenantOf)
-	for shard := range l.scarce {
-		model.capacity[shard] *= l.part
+	model.kinds = s.kinds
+	model.run(modelRate/3, 2*time.Second, s.tenantOf)
+	for shard := range s.limitedShards {
+		model.capacity[shard] *= s.remainingPart
 	}
-	model.run(l.rate, modelSpan, l.tenantOf)
+	model.run(s.rate, modelSpan, s.tenantOf)
 	return model
 }
 
-// TestWaysToLetRequestsIn prints what each way gets out of each load, and holds the one that
+// TestAdmissionSchemes prints what each way gets out of each load, and holds the one that
 // is built to its promises.
-func TestWaysToLetRequestsIn(t *testing.T) {
-	for _, offered := range loads {
-		t.Run(offered.name, func(t *testing.T) {
+func TestAdmissionSchemes(t *testing.T) {
+	for _, tested := range scenarios {
+		t.Run(tested.name, func(t *testing.T) {
 			g := NewWithT(t)
-			for name, tested := range map[string]way{
-				"everything": everything{}, "learned": newLearned(), "credits": &credits{}, "priced": &priced{},
+			for name, scheme := range map[string]scheme{
+				"everything": admitAll{}, "learned": newLearned(), "credits": &credits{}, "priced": &priced{},
 			} {
-				offered.log(t, name, offered.play(tested).counts)
+				tested.log(t, name, tested.run(scheme).counts)
 			}
-			counts := offered.play(newTold(time.Unix(100, 0))).counts
-			offered.log(t, "told", counts)
+			counts := tested.run(newMeasuredShares(time.Unix(100, 0))).counts
+			tested.log(t, "told", counts)
 			all := counts["all"]
-			g.Expect(float64(all.failed)).To(BeNumerically("<=", offered.failed*float64(all.asked)), "failed at the deadline")
-			g.Expect(work(counts, offered.kinds)).To(BeNumerically(">=", 0.8*offered.useful()), "work done in time")
+			g.Expect(float64(all.failed)).To(BeNumerically("<=", tested.maxFailedPart*float64(all.offered)), "failed at the deadline")
+			g.Expect(workInTime(counts, tested.kinds)).To(BeNumerically(">=", 0.8*tested.achievableWork()), "work done in time")
 		})
 	}
 }
 
-// TestTheMoreUrgentKindIsNeverBehind while both want the same servers, and the less urgent one
+// TestTheMoreUrgentKindIsServedMoreOften while both want the same servers, and the less urgent one
 // keeps a quarter of the common rate.
-func TestTheMoreUrgentKindIsNeverBehind(t *testing.T) {
-	for _, offered := range loads {
-		if offered.scarce > 0 {
+func TestTheMoreUrgentKindIsServedMoreOften(t *testing.T) {
+	for _, tested := range scenarios {
+		if tested.limitedShards > 0 {
 			// The kinds want different shards there.
 			continue
 		}
-		t.Run(offered.name, func(t *testing.T) {
+		t.Run(tested.name, func(t *testing.T) {
 			g := NewWithT(t)
-			counts := offered.play(newTold(time.Unix(100, 0))).counts
+			counts := tested.run(newMeasuredShares(time.Unix(100, 0))).counts
 			rate := func(name string) float64 {
 				each := counts[name]
-				return float64(each.inTime+each.late) / float64(each.asked)
+				return float64(each.inTime+each.late) / float64(each.offered)
 			}
-			more, less := offered.kinds[0].name, offered.kinds[1].name
+			more, less := tested.kinds[0].name, tested.kinds[1].name
 			t.Logf("%s %.2f, %s %.2f", more, rate(more), less, rate(less))
 			g.Expect(rate(more)).To(BeNumerically(">=", rate(less)))
 			g.Expect(rate(less)).To(BeNumerically(">=", 0.2*rate("all")))
@@ -135,29 +135,29 @@
 	}
 }
 
-// TestSmallTenantsAreServedBesideAHeavyOne as if it were not there, but for the urgency of
+// TestSmallTenantsAreServedDespiteAHeavyOne as if it were not there, but for the urgency of
 // their requests.
-func TestSmallTenantsAreServedBesideAHeavyOne(t *testing.T) {
+func TestSmallTenantsAreServedDespiteAHeavyOne(t *testing.T) {
 	g := NewWithT(t)
-	counts := loads[3].play(newTold(time.Unix(100, 0))).counts
+	counts := scenarios[3].run(newMeasuredShares(time.Unix(100, 0))).counts
 	var small tally
 	for name, each := range counts {
 		if name != "heavy" && name != "all" && name != "search" && name != "check" {
-			small.asked += each.asked
+			small.offered += each.offered
 			small.inTime += each.inTime
 		}
 	}
 	heavy := counts["heavy"]
-	smallRate, heavyRate := float64(small.inTime)/float64(small.asked), float64(heavy.inTime)/float64(heavy.asked)
+	smallRate, heavyRate := float64(small.inTime)/float64(small.offered), float64(heavy.inTime)/float64(heavy.offered)
 	t.Logf("small %.2f, heavy %.2f", smallRate, heavyRate)
 	g.Expect(smallRate).To(BeNumerically(">=", 1.5*heavyRate))
 }
 
-// TestServersOfAShardThatStandStillForAMomentRefuseNobody: pauses of some tenths of a second
+// TestShortPausesOfAServerRefuseNobody: pauses of some tenths of a second
 // of the only server of a shard end before the requests' target.
-func TestServersOfAShardThatStandStillForAMomentRefuseNobody(t *testing.T) {
+func TestShortPausesOfAServerRefuseNobody(t *testing.T) {
 	g := NewWithT(t)
-	model := newModel(newTold(time.Unix(100, 0)))
+	model := newModel(newMeasuredShares(time.Unix(100, 0)))
 	model.capacity[0] = 2
 	for range 10 {
 		model.run(modelRate/3, 1700*time.Millisecond, noTenant)
@@ -169,11 +169,11 @@
 	}
 }
 
-// TestRoomThatCameBackLetsEverybodyIn after an overload of many shards, which are found to have
+// TestRestoredCapacityAdmitsAllRequests after an overload of many shards, which are found to have
 // room one after the other: within twelve judgements.
-func TestRoomThatCameBackLetsEverybodyIn(t *testing.T) {
+func TestRestoredCapacityAdmitsAllRequests(t *testing.T) {
 	g := NewWithT(t)
-	model := newModel(newTold(time.Unix(100, 0)))
+	model := newModel(newMeasuredShares(time.Unix(100, 0)))
 	for shard := range 4 {
 		model.capacity[shard] = 0.5
 	}
