--- a/pkg/loadshed/scenarios_test.go
+++ b/pkg/loadshed/scenarios_test.go
@@ -81,7 +81,7 @@
 
 // play runs a load after a second of calm, and returns what became of the requests of modelSpan
 // from its beginning.
-func (s scenario) run(tested scheme) *model {
+func (s scenario) simulate(tested scheme) *model {
 	model := newModel(tested)
 	model.kinds = s.kinds
 	model.run(modelRate/3, 2*time.Second, s.tenantOf)
@@ -98,12 +98,12 @@
 	for _, tested := range scenarios {
 		t.Run(tested.name, func(t *testing.T) {
 			g := NewWithT(t)
-			for name, scheme := range map[string]scheme{
+			for name, candidate := range map[string]scheme{
 				"everything": admitAll{}, "learned": newLearned(), "credits": &credits{}, "priced": &priced{},
 			} {
-				tested.log(t, name, tested.run(scheme).counts)
+				tested.log(t, name, tested.simulate(candidate).counts)
 			}
-			counts := tested.run(newMeasuredShares(time.Unix(100, 0))).counts
+			counts := tested.simulate(newMeasuredShares(time.Unix(100, 0))).counts
 			tested.log(t, "told", counts)
 			all := counts["all"]
 			g.Expect(float64(all.failed)).To(BeNumerically("<=", tested.maxFailedPart*float64(all.offered)), "failed at the deadline")
@@ -122,7 +122,7 @@
 		}
 		t.Run(tested.name, func(t *testing.T) {
 			g := NewWithT(t)
-			counts := tested.run(newMeasuredShares(time.Unix(100, 0))).counts
+			counts := tested.simulate(newMeasuredShares(time.Unix(100, 0))).counts
 			rate := func(name string) float64 {
 				each := counts[name]
 				return float64(each.inTime+each.late) / float64(each.offered)
@@ -139,7 +139,7 @@
 // their requests.
 func TestSmallTenantsAreServedDespiteAHeavyOne(t *testing.T) {
 	g := NewWithT(t)
-	counts := scenarios[3].run(newMeasuredShares(time.Unix(100, 0))).counts
+	counts := scenarios[3].simulate(newMeasuredShares(time.Unix(100, 0))).counts
 	var small tally
 	for name, each := range counts {
 		if name != "heavy" && name != "all" && name != "search" && name != "check" {
