--- a/pkg/quota/failure_test.go
+++ b/pkg/quota/failure_test.go
@@ -15,11 +15,11 @@
 type failure struct {
 	name string
 	// strike brings it about and returns what ends it.
-	strike func(d *deployment) func()
+	inject func(d *deployment) func()
 }
 
 // silence cuts some nodes off from the others without a word.
-func silence(from, to int) func(d *deployment) func() {
+func partition(from, to int) func(d *deployment) func() {
 	return func(d *deployment) func() {
 		rest := append(d.addresses(0, from), d.addresses(to, len(d.nodes))...)
 		d.network.Cut(d.addresses(from, to), rest)
@@ -28,7 +28,7 @@
 }
 
 // alone cuts some nodes off from all others and from each other.
-func alone(from, to int) func(d *deployment) func() {
+func isolateEach(from, to int) func(d *deployment) func() {
 	return func(d *deployment) func() {
 		for _, node := range d.addresses(from, to) {
 			d.network.Cut([]peer.Address{node}, d.addresses(0, len(d.nodes)))
@@ -50,20 +50,20 @@
 
 func failures(tenant string) []failure {
 	return []failure{
-		{"a zone is cut off", silence(0, 11)},
-		{"a third of the nodes, each alone", alone(0, 22)},
-		{"a third of the nodes, together", silence(30, 52)},
+		{"a zone is cut off", partition(0, 11)},
+		{"a third of the nodes, each alone", isolateEach(0, 22)},
+		{"a third of the nodes, together", partition(30, 52)},
 		{"a third of the nodes, alone and gone from the list", func(d *deployment) func() {
-			end := alone(0, 22)(d)
+			end := isolateEach(0, 22)(d)
 			for _, node := range d.nodes[22:] {
 				node.limiter.SetNodes(d.list()[22:])
 			}
 			return func() { end(); d.setNodes() }
 		}},
-		{"half from half", silence(0, 33)},
+		{"half from half", partition(0, 33)},
 		{"the coordinator is cut off", func(d *deployment) func() {
 			index := d.coordinatorOf(tenant)
-			return silence(index, index+1)(d)
+			return partition(index, index+1)(d)
 		}},
 		{"the coordinator stands still", func(d *deployment) func() {
 			address := peer.Address(d.nodes[d.coordinatorOf(tenant)].name)
@@ -96,33 +96,33 @@
 // failure, from its moment or from a second into it.
 func TestTheSumHoldsWhateverFails(t *testing.T) {
 	for tenant, limit := range tenants() {
-		for _, failing := range failures(tenant) {
-			for _, ahead := range []time.Duration{3 * time.Second, 0, -time.Second} {
-				t.Run(tenant+", "+failing.name+", "+ahead.String()+" ahead", func(t *testing.T) {
+		for _, injected := range failures(tenant) {
+			for _, lead := range []time.Duration{3 * time.Second, 0, -time.Second} {
+				t.Run(tenant+", "+injected.name+", "+lead.String()+" ahead", func(t *testing.T) {
 					t.Parallel()
-					most := 0
+					highest := 0
 					simulate(t, 67, tenants(), func(d *deployment) {
 						usual := limit.PerSecond / 1.6
 						d.run(6*time.Second, d.skewed(tenant, usual))
 						hot := d.skewed(tenant, 12*usual)
-						if ahead > 0 {
-							d.run(ahead, hot)
+						if lead > 0 {
+							d.run(lead, hot)
 						}
-						end := failing.strike(d)
-						if ahead < 0 {
-							d.run(-ahead, d.skewed(tenant, usual))
+						end := injected.inject(d)
+						if lead < 0 {
+							d.run(-lead, d.skewed(tenant, usual))
 						}
-						begun := d.moment()
+						begun := d.elapsed()
 						d.run(12*time.Second, hot)
 						end()
-						during := d.between(tenant, begun+2*time.Second, begun+12*time.Second)
+						during := d.admittedBetween(tenant, begun+2*time.Second, begun+12*time.Second)
 						d.run(6*time.Second, hot)
-						most = d.mostInWindow(tenant)
+						highest = d.maxInWindow(tenant)
 						t.Logf("at most %d in 5 s, allowed %.0f; %.2f of the limit during the failure, %.2f in the 5 s after",
-							most, limitOf(limit), float64(during)/(10*limit.PerSecond),
-							float64(d.between(tenant, begun+13*time.Second, begun+18*time.Second))/(5*limit.PerSecond))
+							highest, allowedInWindow(limit), float64(during)/(10*limit.PerSecond),
+							float64(d.admittedBetween(tenant, begun+13*time.Second, begun+18*time.Second))/(5*limit.PerSecond))
 					})
-					NewWithT(t).Expect(float64(most)).To(BeNumerically("<=", limitOf(limit)))
+					NewWithT(t).Expect(float64(highest)).To(BeNumerically("<=", allowedInWindow(limit)))
 				})
 			}
 		}
@@ -134,62 +134,62 @@
 // saved up what it may. The more nodes, the less may each add.
 func TestTheSumHoldsWhileAllNodesAreAlone(t *testing.T) {
 	for tenant := range tenants() {
-		for _, ahead := range []time.Duration{3 * time.Second, 0, -time.Second, -20 * time.Second} {
-			t.Run(fmt.Sprintf("%s, 67 nodes, %s ahead", tenant, ahead), func(t *testing.T) {
+		for _, lead := range []time.Duration{3 * time.Second, 0, -time.Second, -20 * time.Second} {
+			t.Run(fmt.Sprintf("%s, 67 nodes, %s ahead", tenant, lead), func(t *testing.T) {
 				t.Parallel()
-				holdsWhileAllAreAlone(t, 67, ahead, tenant)
+				expectBoundWhileAllAreIsolated(t, 67, lead, tenant)
 			})
 		}
 	}
-	for _, ahead := range []time.Duration{0, -time.Second} {
-		t.Run(fmt.Sprintf("all, 300 nodes, %s ahead", ahead), func(t *testing.T) {
+	for _, lead := range []time.Duration{0, -time.Second} {
+		t.Run(fmt.Sprintf("all, 300 nodes, %s ahead", lead), func(t *testing.T) {
 			t.Parallel()
-			holdsWhileAllAreAlone(t, 300, ahead, "large", "medium", "small")
+			expectBoundWhileAllAreIsolated(t, 300, lead, "large", "medium", "small")
 		})
 	}
 }
 
-func holdsWhileAllAreAlone(t *testing.T, count int, ahead time.Duration, asking ...string) {
-	most := make(map[string]int)
+func expectBoundWhileAllAreIsolated(t *testing.T, count int, lead time.Duration, overloaded ...string) {
+	highest := make(map[string]int)
 	simulate(t, count, tenants(), func(d *deployment) {
 		var usual, hot []load
-		for _, tenant := range asking {
+		for _, tenant := range overloaded {
 			perSecond := d.limits[tenant].PerSecond / 1.6
 			usual, hot = append(usual, d.skewed(tenant, perSecond)), append(hot, d.skewed(tenant, 12*perSecond))
 		}
 		d.run(6*time.Second, usual...)
-		if ahead > 0 {
-			d.run(ahead, hot...)
+		if lead > 0 {
+			d.run(lead, hot...)
 		}
-		alone(0, count)(d)
-		if ahead < 0 {
-			d.run(-ahead, usual...)
+		isolateEach(0, count)(d)
+		if lead < 0 {
+			d.run(-lead, usual...)
 		}
-		begun := d.moment()
+		begun := d.elapsed()
 		d.run(12*time.Second, hot...)
-		for _, tenant := range asking {
-			most[tenant] = d.mostInWindow(tenant)
-			t.Logf("%s: at most %d in 5 s, allowed %.0f; %.2f of the limit", tenant, most[tenant], limitOf(d.limits[tenant]),
-				float64(d.between(tenant, begun+2*time.Second, begun+12*time.Second))/(10*d.limits[tenant].PerSecond))
+		for _, tenant := range overloaded {
+			highest[tenant] = d.maxInWindow(tenant)
+			t.Logf("%s: at most %d in 5 s, allowed %.0f; %.2f of the limit", tenant, highest[tenant], allowedInWindow(d.limits[tenant]),
+				float64(d.admittedBetween(tenant, begun+2*time.Second, begun+12*time.Second))/(10*d.limits[tenant].PerSecond))
 		}
 	})
-	for _, tenant := range asking {
-		NewWithT(t).Expect(float64(most[tenant])).To(BeNumerically("<=", limitOf(tenants()[tenant])), tenant)
+	for _, tenant := range overloaded {
+		NewWithT(t).Expect(float64(highest[tenant])).To(BeNumerically("<=", allowedInWindow(tenants()[tenant])), tenant)
 	}
 }
 
 // TestTenantsWithinTheirLimitsLoseLittleInACut, many of them small, whether a zone is cut off
 // or a third of the nodes, each alone.
 func TestTenantsWithinTheirLimitsLoseLittleInACut(t *testing.T) {
-	for _, failing := range []struct {
+	for _, injected := range []struct {
 		failure
 		// lost is the greatest share of all requests that is refused.
-		lost float64
+		maxRefusedShare float64
 	}{
-		{failure{"a zone is cut off", silence(0, 11)}, 0.02},
-		{failure{"a third of the nodes, each alone", alone(0, 22)}, 0.06},
+		{failure{"a zone is cut off", partition(0, 11)}, 0.02},
+		{failure{"a third of the nodes, each alone", isolateEach(0, 22)}, 0.06},
 	} {
-		t.Run(failing.name, func(t *testing.T) {
+		t.Run(injected.name, func(t *testing.T) {
 			limits := tenants()
 			for number := range 71 {
 				limits[fmt.Sprint("small-", number)] = route.RateLimit{PerSecond: 5, Burst: 5}
@@ -202,7 +202,7 @@
 				}
 				d.run(8*time.Second, loads...)
 				calm := len(d.waits)
-				end := failing.strike(d)
+				end := injected.inject(d)
 				d.run(12*time.Second, loads...)
 				end()
 				d.run(5*time.Second, loads...)
@@ -213,7 +213,7 @@
 				asked += refused
 				t.Logf("refused %d of %d, %d before the cut", refused, asked, calm)
 			})
-			NewWithT(t).Expect(float64(refused)).To(BeNumerically("<=", failing.lost*float64(asked)))
+			NewWithT(t).Expect(float64(refused)).To(BeNumerically("<=", injected.maxRefusedShare*float64(asked)))
 		})
 	}
 }
@@ -221,33 +221,33 @@
 // TestALoweredLimitTakesHoldWithinAWindow, far below what is sent.
 func TestALoweredLimitTakesHoldWithinAWindow(t *testing.T) {
 	lowered := route.RateLimit{PerSecond: 4, Burst: 4}
-	most, got := 0, 0
+	highest, admitted := 0, 0
 	simulate(t, 67, tenants(), func(d *deployment) {
 		hot := d.even("large", 300)
 		d.run(5*time.Second, hot)
 		d.mutex.Lock()
 		d.limits["large"] = lowered
 		d.mutex.Unlock()
-		begun := d.moment()
+		begun := d.elapsed()
 		d.run(15*time.Second, hot)
 		for at := begun + bounds.Window; at < begun+10*time.Second; at += 100 * time.Millisecond {
-			most = max(most, d.between("large", at, at+bounds.Window))
+			highest = max(highest, d.admittedBetween("large", at, at+bounds.Window))
 		}
-		got = d.between("large", begun+5*time.Second, begun+15*time.Second)
+		admitted = d.admittedBetween("large", begun+5*time.Second, begun+15*time.Second)
 	})
 	g := NewWithT(t)
-	g.Expect(float64(most)).To(BeNumerically("<=", limitOf(lowered)))
-	g.Expect(got).To(BeNumerically(">=", 36))
+	g.Expect(float64(highest)).To(BeNumerically("<=", allowedInWindow(lowered)))
+	g.Expect(admitted).To(BeNumerically(">=", 36))
 }
 
-// TestCallersWaitForNobody: a coordinator that is silent costs a request no time.
-func TestCallersWaitForNobody(t *testing.T) {
+// TestASilentCoordinatorDelaysNoRequest: a coordinator that is silent costs a request no time.
+func TestASilentCoordinatorDelaysNoRequest(t *testing.T) {
 	var took time.Duration
 	simulate(t, 12, tenants(), func(d *deployment) {
 		d.network.Cut(d.addresses(0, 1), d.addresses(1, 12))
 		before := time.Now()
 		for range 50 {
-			d.ask(0, "large", time.Now().String())
+			d.request(0, "large", time.Now().String())
 		}
 		took = time.Since(before)
 	})
@@ -266,8 +266,8 @@
 	g.Expect(refused["large"]).NotTo(BeZero())
 }
 
-// TestPlannedStopsOfAllNodesInTurn refuse nothing below the limit.
-func TestPlannedStopsOfAllNodesInTurn(t *testing.T) {
+// TestRollingRestartOfAllNodes refuse nothing below the limit.
+func TestRollingRestartOfAllNodes(t *testing.T) {
 	asked, refused := 0, 0
 	simulate(t, 20, tenants(), func(d *deployment) {
 		usual := d.even("large", 30)
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -19,27 +19,27 @@
 	// has taken a verdict: several times the way to a far region and back.
 	callTimeout = 200 * time.Millisecond
 	// tick is the time between two checks which verdicts, probes and sweeps are due.
-	tick = 100 * time.Millisecond
-	// repeatInterval is how often a share below 1 is told again.
-	repeatInterval = 300 * time.Millisecond
-	// silentInterval is how often nodes that took no verdict are told one.
-	silentInterval = time.Second
-	// sweepInterval is how often unused meters and accounts are looked for, and idleSpan the
+	tickInterval = 100 * time.Millisecond
+	// verdictInterval is how often a share below 1 is told again.
+	verdictInterval = 300 * time.Millisecond
+	// silentNodeInterval is how often nodes that took no verdict are told one.
+	silentNodeInterval = time.Second
+	// sweepInterval is how often unused meters and accounts are looked for, and idleTimeout the
 	// time without use after which they are forgotten.
 	sweepInterval = 5 * time.Second
-	idleSpan      = time.Minute
+	idleTimeout   = time.Minute
 	// standstill is the time between two ticks beyond which others may have stood in for this
 	// node as coordinator, so that it has missed what they granted.
-	standstill = time.Second
+	maxTickGap = time.Second
 )
 
 // Events takes what an operator wants to know. Its methods do not block.
 type Events interface {
 	// TenantsAtLimit tells that a tenant that this node coordinates has come to its limit.
-	AtLimit(tenant string, verdict Verdict, figures AccountStats)
+	AtLimit(tenant string, verdict Verdict, stats AccountStats)
 	// BelowLimit tells that it is within its limit again, after a span; also if it has lost the
 	// limit that the figures name.
-	BelowLimit(tenant string, figures AccountStats, span time.Duration)
+	BelowLimit(tenant string, stats AccountStats, span time.Duration)
 	// CoordinatorLost and CoordinatorRegained tell of nodes that this one reports to.
 	CoordinatorLost(name string, cause error)
 	CoordinatorRegained(name string)
@@ -93,19 +93,19 @@
 	// have kept the accounts.
 	coordinatorsSince time.Time
 	links             map[string]*link
-	meters            map[string]*metered
-	accounts          map[string]*coordinated
+	meters            map[string]*meterFor
+	accounts          map[string]*tenantAccount
 	// silent holds the nodes that did not take the last verdicts.
 	silent map[string]bool
 	// gone holds until when nodes that have left the list count as silent.
-	gone map[string]time.Time
+	departed map[string]time.Time
 	// spreading and probing say that verdicts are on their way to nodes in touch and to
 	// silent ones.
-	spreading bool
-	probing   bool
-	// heardAt is when another node last reported, and isHeard says that it was a moment ago.
-	heardAt time.Time
-	isHeard bool
+	isBroadcasting  bool
+	isProbingSilent bool
+	// lastReportAt is when another node last reported, and receivesReports says that it was a moment ago.
+	lastReportAt    time.Time
+	receivesReports bool
 	// isStopped says that Run has ended, so that nothing waits for further calls.
 	isStopped bool
 	// answeredAt is when a coordinator answered last, and isInDoubt says that one has not
@@ -113,51 +113,51 @@
 	answeredAt time.Time
 	isInDoubt  bool
 	// asked counts the times that keepInTouch asked a coordinator; it takes them in turn.
-	asked int
-	// wasInTouch says that a coordinator has answered since the start.
-	wasInTouch bool
-	spreadAt   time.Time
-	probeAt    time.Time
-	sweptAt    time.Time
-	tickAt     time.Time
-	sent       MessagesSent
+	contactAttempts int
+	// hasHadContact says that a coordinator has answered since the start.
+	hasHadContact bool
+	broadcastAt   time.Time
+	silentProbeAt time.Time
+	sweptAt       time.Time
+	tickAt        time.Time
+	messagesSent  MessageCounts
 	// tallies hold what was decided for each tenant since the start.
 	tallies map[string]*tally
 }
 
 // Sent counts the messages of a Limiter.
-type MessagesSent struct {
+type MessageCounts struct {
 	Reports, Verdicts uint64
 }
 
 // metered is a tenant at this node.
-type metered struct {
+type meterFor struct {
 	meter *Meter
 	// ranked are its coordinators, best first.
 	ranked []string
 	usedAt time.Time
 	tally  *tally
-	// standIn is what a coordinator said to which this node does not turn yet.
-	standIn hint
+	// standInVerdict is what a coordinator said to which this node does not turn yet.
+	standInVerdict receivedVerdict
 }
 
 // hint is a verdict of a coordinator that stands in for a better one.
-type hint struct {
+type receivedVerdict struct {
 	from    string
 	verdict Verdict
 	at      time.Time
 }
 
 // coordinated is a tenant whose account this node keeps.
-type coordinated struct {
+type tenantAccount struct {
 	account *Account
 	isFirst bool
 	// told is the share that was last told to all nodes.
-	told float64
-	// limitedAt is when the tenant came to its limit, fullAt when its share was 1 again;
+	sentShare float64
+	// limitedAt is when the tenant came to its limit, withinLimitSince when its share was 1 again;
 	// zero if it is not.
-	limitedAt time.Time
-	fullAt    time.Time
+	limitedAt        time.Time
+	withinLimitSince time.Time
 }
 
 // New returns a Limiter that knows no other node yet.
@@ -168,12 +168,12 @@
 		wake: make(chan struct{}, 1), urgent: make(chan struct{}, 1),
 		addresses:    make(map[string]peer.Address),
 		coordinators: rendezvous.NewSet[string](nil), zoneCoordinators: rendezvous.NewSet[string](nil),
-		links: make(map[string]*link), meters: make(map[string]*metered), accounts: make(map[string]*coordinated),
-		silent: make(map[string]bool), gone: make(map[string]time.Time),
+		links: make(map[string]*link), meters: make(map[string]*meterFor), accounts: make(map[string]*tenantAccount),
+		silent: make(map[string]bool), departed: make(map[string]time.Time),
 		tallies: make(map[string]*tally),
 	}
-	options.Transport.Handle(kindReport, limiter.takeReport)
-	options.Transport.Handle(kindVerdicts, limiter.takeVerdicts)
+	options.Transport.Handle(kindReport, limiter.handleReport)
+	options.Transport.Handle(kindVerdicts, limiter.handleVerdicts)
 	return limiter
 }
 
@@ -181,11 +181,11 @@
 func (l *Limiter) Admit(tenant string, limit route.RateLimit, requestID string, now time.Time) Decision {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	held := l.metered(tenant, limit, now)
-	held.usedAt = now
-	held.meter.SetInDoubt(l.isInDoubt)
-	decision := held.meter.Admit(requestID, now)
-	held.tally.count(decision)
+	entry := l.meterFor(tenant, limit, now)
+	entry.usedAt = now
+	entry.meter.SetInDoubt(l.isInDoubt)
+	decision := entry.meter.Admit(requestID, now)
+	entry.tally.count(decision)
 	l.requestReport()
 	return decision
 }
@@ -194,9 +194,9 @@
 func (l *Limiter) Refund(tenant string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if held := l.meters[tenant]; held != nil {
-		held.meter.Refund(time.Now())
-		held.tally.admitted--
+	if entry := l.meters[tenant]; entry != nil {
+		entry.meter.Refund(time.Now())
+		entry.tally.admitted--
 		l.requestReport()
 	}
 }
@@ -213,8 +213,8 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	count := 0
-	for _, kept := range l.accounts {
-		if !kept.limitedAt.IsZero() {
+	for _, entry := range l.accounts {
+		if !entry.limitedAt.IsZero() {
 			count++
 		}
 	}
@@ -222,18 +222,18 @@
 }
 
 // metered returns a tenant's meter with its limit in force. The caller holds the mutex.
-func (l *Limiter) metered(tenant string, limit route.RateLimit, now time.Time) *metered {
-	held := l.meters[tenant]
-	if held == nil {
-		held = &metered{meter: NewMeter(tenant, limit, l.options.Bounds, l.nodeCount(), l.wasInTouch, now), ranked: l.ranked(tenant)}
-		held.meter.SetProcessStart(l.startedAt)
-		held.meter.SetRoundingOffset(l.place(tenant))
-		held.meter.SetMode(l.standing(held.ranked), now)
-		held.tally = l.tallyOf(tenant)
-		l.meters[tenant] = held
+func (l *Limiter) meterFor(tenant string, limit route.RateLimit, now time.Time) *meterFor {
+	entry := l.meters[tenant]
+	if entry == nil {
+		entry = &meterFor{meter: NewMeter(tenant, limit, l.options.Bounds, l.nodeCount(), l.hasHadContact, now), ranked: l.ranked(tenant)}
+		entry.meter.SetProcessStart(l.startedAt)
+		entry.meter.SetRoundingOffset(l.roundingOffset(tenant))
+		entry.meter.SetMode(l.mode(entry.ranked), now)
+		entry.tally = l.tallyOf(tenant)
+		l.meters[tenant] = entry
 	}
-	held.meter.SetLimit(limit)
-	return held
+	entry.meter.SetLimit(limit)
+	return entry
 }
 
 // requestReport makes Run report after reportDelay.
@@ -255,29 +255,29 @@
 // others do theirs, and the race detector of Go 1.26 does not survive that.
 func (l *Limiter) Run(ctx context.Context) error {
 	defer l.stop()
-	ticks, due := make(chan struct{}, 1), make(chan struct{}, 1)
-	ticker := time.AfterFunc(tick, func() { signal(ticks) })
+	ticks, reportDue := make(chan struct{}, 1), make(chan struct{}, 1)
+	ticker := time.AfterFunc(tickInterval, func() { signal(ticks) })
 	defer ticker.Stop()
-	delay := time.AfterFunc(reportDelay, func() { signal(due) })
+	delay := time.AfterFunc(reportDelay, func() { signal(reportDue) })
 	defer delay.Stop()
-	isWaiting := true
+	isReportPending := true
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-l.wake:
-			if !isWaiting {
-				isWaiting = true
+			if !isReportPending {
+				isReportPending = true
 				delay.Reset(reportDelay)
 			}
-		case <-due:
-			isWaiting = false
+		case <-reportDue:
+			isReportPending = false
 			l.report(ctx, time.Now())
-			l.seekContact(ctx, time.Now())
+			l.seekFirstContact(ctx, time.Now())
 		case <-l.urgent:
-			l.spread(ctx, time.Now())
+			l.broadcast(ctx, time.Now())
 		case <-ticks:
-			ticker.Reset(tick)
+			ticker.Reset(tickInterval)
 			l.onTick(ctx, time.Now())
 		}
 	}
@@ -295,12 +295,12 @@
 // onTick does what is due by time; a span without ticks counts as a suspension of the process.
 func (l *Limiter) onTick(ctx context.Context, now time.Time) {
 	l.mutex.Lock()
-	if !l.tickAt.IsZero() && now.Sub(l.tickAt) > standstill {
-		l.dropBursts()
+	if !l.tickAt.IsZero() && now.Sub(l.tickAt) > maxTickGap {
+		l.dropSavedTokens()
 	}
 	l.tickAt = now
-	l.forgetGone(now)
-	l.noteHeard(now)
+	l.forgetDeparted(now)
+	l.updateReceivesReports(now)
 	if now.Sub(l.sweptAt) >= sweepInterval {
 		l.sweep(now)
 	}
@@ -308,7 +308,7 @@
 	if l.options.KnowsTenants() {
 		l.probeLinks(ctx, now)
 	}
-	l.spread(ctx, now)
+	l.broadcast(ctx, now)
 }
 
 // Resumed makes up for a suspension of the machine: what others told is old, and what they
@@ -317,38 +317,38 @@
 	now := time.Now()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.dropBursts()
-	l.wasInTouch = false
-	for _, held := range l.meters {
-		held.meter.InvalidateVerdicts(now)
+	l.dropSavedTokens()
+	l.hasHadContact = false
+	for _, entry := range l.meters {
+		entry.meter.InvalidateVerdicts(now)
 	}
 	for _, found := range l.links {
-		found.lose(now)
+		found.markFailed(now)
 		found.nextProbe = now
 	}
-	l.setStandings(now)
+	l.updateModes(now)
 	l.requestReport()
 }
 
-// dropBursts takes the saved tokens from all accounts. The caller holds the mutex.
-func (l *Limiter) dropBursts() {
+// dropSavedTokens takes the saved tokens from all accounts. The caller holds the mutex.
+func (l *Limiter) dropSavedTokens() {
 	l.coordinatorsSince = time.Now()
-	for _, kept := range l.accounts {
-		kept.account.DropSavedTokens()
+	for _, entry := range l.accounts {
+		entry.account.DropSavedTokens()
 	}
 }
 
-// sweep forgets meters and accounts that were not used for idleSpan. The caller holds the mutex.
+// sweep forgets meters and accounts that were not used for idleTimeout. The caller holds the mutex.
 func (l *Limiter) sweep(now time.Time) {
 	l.sweptAt = now
-	for tenant, held := range l.meters {
-		if _, isNew := held.meter.Report(l.options.Incarnation, now); !isNew && now.Sub(held.usedAt) > idleSpan {
+	for tenant, entry := range l.meters {
+		if _, isNew := entry.meter.Report(l.options.Incarnation, now); !isNew && now.Sub(entry.usedAt) > idleTimeout {
 			delete(l.meters, tenant)
 		}
 	}
 	l.forgetTallies()
-	for tenant, kept := range l.accounts {
-		if kept.limitedAt.IsZero() && now.Sub(kept.account.usedAt) > idleSpan {
+	for tenant, coordinated := range l.accounts {
+		if coordinated.limitedAt.IsZero() && now.Sub(coordinated.account.lastReportAt) > idleTimeout {
 			delete(l.accounts, tenant)
 		}
 	}
@@ -362,8 +362,8 @@
 }
 
 // Sent returns how many messages were sent so far.
-func (l *Limiter) MessagesSent() MessagesSent {
+func (l *Limiter) MessagesSent() MessageCounts {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.sent
+	return l.messagesSent
 }
--- a/pkg/quota/links.go
+++ b/pkg/quota/links.go
@@ -15,17 +15,17 @@
 // node admits until it knows that it is cut off comes beside the part of limits that it has alone.
 const contactInterval = 450 * time.Millisecond
 
-// lateAnswer is after how long a call is late: more than the way to a far region and back.
-const lateAnswer = 90 * time.Millisecond
+// lateCallAge is after how long a call is late: more than the way to a far region and back.
+const lateCallAge = 90 * time.Millisecond
 
-// heardSpan is for how long a report of another node shows that this one stands in for a
+// reportingSpan is for how long a report of another node shows that this one stands in for a
 // coordinator. Other coordinators ask it several times in it.
-const heardSpan = 1500 * time.Millisecond
+const reportingSpan = 1500 * time.Millisecond
 
 // Waits between the questions whether a silent coordinator answers again.
 const (
-	firstProbeWait    = 500 * time.Millisecond
-	greatestProbeWait = 2 * time.Second
+	firstProbeWait = 500 * time.Millisecond
+	maxProbeWait   = 2 * time.Second
 )
 
 // link is what a node knows of a coordinator.
@@ -34,7 +34,7 @@
 	// answers says that the last call was answered.
 	answers bool
 	// calling says that a call is under way.
-	calling   bool
+	isCalling bool
 	wait      time.Duration
 	nextProbe time.Time
 	// calledAt is when the last call began.
@@ -42,16 +42,16 @@
 	// checkedAt is when it was last asked because another one stands in for it.
 	checkedAt time.Time
 	// lost says that Events was told of its loss and not yet of its return.
-	lost bool
+	isReportedLost bool
 }
 
 // lose notes that the coordinator did not answer.
-func (k *link) lose(now time.Time) {
+func (k *link) markFailed(now time.Time) {
 	if k.isLocal {
 		return
 	}
 	k.answers = false
-	k.wait = min(max(2*k.wait, firstProbeWait), greatestProbeWait)
+	k.wait = min(max(2*k.wait, firstProbeWait), maxProbeWait)
 	k.nextProbe = now.Add(k.wait)
 }
 
@@ -59,7 +59,7 @@
 func (k *link) hasFailed() bool { return k.wait > 0 }
 
 // regain notes that the coordinator answered.
-func (k *link) regain() { k.answers, k.wait = true, 0 }
+func (k *link) markAnswered() { k.answers, k.wait = true, 0 }
 
 // openLinks keeps a link to each coordinator. The caller holds the mutex.
 func (l *Limiter) openLinks(now time.Time) {
@@ -79,7 +79,7 @@
 }
 
 // standing returns how the node stands to some coordinators. The caller holds the mutex.
-func (l *Limiter) standing(ranked []string) Mode {
+func (l *Limiter) mode(ranked []string) Mode {
 	switch l.coordinator(ranked) {
 	case "":
 		return Isolated
@@ -95,31 +95,31 @@
 	for _, name := range ranked {
 		// A node to which no other turns is no stand-in, but alone; and so is a first coordinator that has
 		// not been in touch with any other since its start.
-		isUnheard := name == l.options.Local && !l.isHeard && (name != ranked[0] || !l.wasInTouch && l.coordinators.Len() > 1)
-		if found := l.links[name]; found != nil && found.answers && !isUnheard {
+		hasNoReporters := name == l.options.Local && !l.receivesReports && (name != ranked[0] || !l.hasHadContact && l.coordinators.Len() > 1)
+		if found := l.links[name]; found != nil && found.answers && !hasNoReporters {
 			return name
 		}
 	}
 	return ""
 }
 
-// noteHeard follows whether other nodes report to this one. The caller holds the mutex.
-func (l *Limiter) noteHeard(now time.Time) {
-	isHeard := !l.heardAt.IsZero() && now.Sub(l.heardAt) <= heardSpan
-	if isHeard != l.isHeard {
-		l.isHeard = isHeard
-		l.setStandings(now)
+// updateReceivesReports follows whether other nodes report to this one. The caller holds the mutex.
+func (l *Limiter) updateReceivesReports(now time.Time) {
+	receivesReports := !l.lastReportAt.IsZero() && now.Sub(l.lastReportAt) <= reportingSpan
+	if receivesReports != l.receivesReports {
+		l.receivesReports = receivesReports
+		l.updateModes(now)
 	}
 }
 
-// setStandings tells the meters which coordinators answer. The caller holds the mutex.
-func (l *Limiter) setStandings(now time.Time) {
-	for _, held := range l.meters {
-		standing := l.standing(held.ranked)
-		held.meter.SetMode(standing, now)
-		hinted := held.standIn
-		if standing == WithStandIn && l.coordinator(held.ranked) == hinted.from && now.Sub(hinted.at) < shareAge {
-			held.meter.ApplyVerdict(hinted.verdict, now)
+// updateModes tells the meters which coordinators answer. The caller holds the mutex.
+func (l *Limiter) updateModes(now time.Time) {
+	for _, entry := range l.meters {
+		mode := l.mode(entry.ranked)
+		entry.meter.SetMode(mode, now)
+		received := entry.standInVerdict
+		if mode == WithStandIn && l.coordinator(entry.ranked) == received.from && now.Sub(received.at) < maxShareAge {
+			entry.meter.ApplyVerdict(received.verdict, now)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 // The caller holds the mutex.
 func (l *Limiter) checkCoordinator(ctx context.Context, name string, now time.Time) {
 	found := l.links[name]
-	if found == nil || found.isLocal || found.calling || now.Sub(found.checkedAt) < checkInterval {
+	if found == nil || found.isLocal || found.isCalling || now.Sub(found.checkedAt) < checkInterval {
 		return
 	}
 	found.checkedAt = now
@@ -151,19 +151,19 @@
 		if !isDue && found.answers && !found.isLocal && l.coordinates(l.options.Local) && l.coordinates(name) {
 			isDue = now.Sub(found.calledAt) >= coordinatorInterval
 		}
-		if isDue && !found.calling {
+		if isDue && !found.isCalling {
 			l.call(ctx, name, &quotapb.Report{Start: l.options.Incarnation}, nil)
 		}
 	}
 }
 
-// seekContact asks the coordinators at once, not with the next tick, if none has answered since the start: until
+// seekFirstContact asks the coordinators at once, not with the next tick, if none has answered since the start: until
 // then the node admits next to nothing.
-func (l *Limiter) seekContact(ctx context.Context, now time.Time) {
+func (l *Limiter) seekFirstContact(ctx context.Context, now time.Time) {
 	l.mutex.Lock()
-	wasInTouch := l.wasInTouch
+	hasHadContact := l.hasHadContact
 	l.mutex.Unlock()
-	if !wasInTouch && l.options.KnowsTenants() {
+	if !hasHadContact && l.options.KnowsTenants() {
 		l.probeLinks(ctx, now)
 	}
 }
@@ -176,18 +176,18 @@
 	if !l.isInDoubt && !l.waitsForAnswer(now) && now.Sub(l.answeredAt) < contactInterval {
 		return
 	}
-	asked := make([]string, 0, 1+zoneCoordinatorCount)
+	contacted := make([]string, 0, 1+zoneCoordinatorCount)
 	if names := l.coordinators.Top(coordinatorsKey, l.coordinators.Len()); len(names) > 0 {
 		// Nodes begin with different ones, so that no coordinator is asked by all at once.
-		l.asked++
-		asked = append(asked, names[(l.rank+l.asked)%len(names)])
+		l.contactAttempts++
+		contacted = append(contacted, names[(l.rank+l.contactAttempts)%len(names)])
 	}
 	if l.isInDoubt {
-		asked = append(asked, l.zoneCoordinators.Top(coordinatorsKey, l.zoneCoordinators.Len())...)
+		contacted = append(contacted, l.zoneCoordinators.Top(coordinatorsKey, l.zoneCoordinators.Len())...)
 	}
-	for _, name := range asked {
+	for _, name := range contacted {
 		found := l.links[name]
-		if !found.isLocal && found.answers && !found.calling {
+		if !found.isLocal && found.answers && !found.isCalling {
 			l.call(ctx, name, &quotapb.Report{Start: l.options.Incarnation}, nil)
 		}
 	}
@@ -197,7 +197,7 @@
 // and none has answered since. The caller holds the mutex.
 func (l *Limiter) waitsForAnswer(now time.Time) bool {
 	for _, found := range l.links {
-		if found.calling && now.Sub(found.calledAt) >= lateAnswer && l.answeredAt.Before(found.calledAt) {
+		if found.isCalling && now.Sub(found.calledAt) >= lateCallAge && l.answeredAt.Before(found.calledAt) {
 			return true
 		}
 	}
@@ -230,25 +230,25 @@
 	if found == nil {
 		return
 	}
-	found.calling = false
-	did := found.answers
+	found.isCalling = false
+	wasAnswering := found.answers
 	if err != nil {
-		found.lose(now)
+		found.markFailed(now)
 		l.isInDoubt = l.isInDoubt || !l.answeredAt.After(found.calledAt)
 	} else {
-		found.regain()
-		l.wasInTouch, l.answeredAt, l.isInDoubt = true, now, false
+		found.markAnswered()
+		l.hasHadContact, l.answeredAt, l.isInDoubt = true, now, false
 	}
-	if did != found.answers {
-		l.setStandings(now)
+	if wasAnswering != found.answers {
+		l.updateModes(now)
 		l.requestReport()
 	}
-	if did && err != nil {
-		found.lost = true
+	if wasAnswering && err != nil {
+		found.isReportedLost = true
 		l.options.Events.CoordinatorLost(name, err)
 	}
-	if found.lost && err == nil {
-		found.lost = false
+	if found.isReportedLost && err == nil {
+		found.isReportedLost = false
 		l.options.Events.CoordinatorRegained(name)
 	}
 }
--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -10,32 +10,32 @@
 
 // Constants of a node's decisions.
 const (
-	// recentSpan is the span of the estimate of what a node admitted lately. Clients keep
+	// recentRateSpan is the span of the estimate of what a node admitted lately. Clients keep
 	// their connections, so that it holds for a while when the node is cut off.
-	recentSpan = 5 * time.Second
-	// shareAge is how old a share below 1 may be: coordinators repeat it several times in it.
-	shareAge = 1500 * time.Millisecond
-	// unacknowledgedPart of a tenant's burst and of a second's rate may be admitted by one
+	recentRateSpan = 5 * time.Second
+	// maxShareAge is how old a share below 1 may be: coordinators repeat it several times in it.
+	maxShareAge = 1500 * time.Millisecond
+	// unacknowledgedFraction of a tenant's burst and of a second's rate may be admitted by one
 	// node before its coordinator has acknowledged it, a tenth of a second later as a rule:
 	// so much is lost to the sum when the node is cut off.
-	unacknowledgedPart = 0.2
-	// refusedKept is the number of refused requests that are remembered, so that those that
+	unacknowledgedFraction = 0.2
+	// refusedDrawCount is the number of refused requests that are remembered, so that those that
 	// are repeated at once count once.
-	refusedKept = 32
-	// aloneSpan is the span of its entitlement that a node out of touch may save up while the
+	refusedDrawCount = 32
+	// isolatedSavingSpan is the span of its entitlement that a node out of touch may save up while the
 	// tenant is at its limit, since requests come unevenly.
-	aloneSpan = 1500 * time.Millisecond
-	// greatestAloneWait bounds the wait that is told by a node out of touch, which lasts for
+	isolatedSavingSpan = 1500 * time.Millisecond
+	// maxIsolatedWait bounds the wait that is told by a node out of touch, which lasts for
 	// seconds mostly, while other nodes are in touch.
-	greatestAloneWait = 2 * time.Second
-	// startingWait is the wait that is told by a process that has just started and is out of touch. Callers come
+	maxIsolatedWait = 2 * time.Second
+	// startupWait is the wait that is told by a process that has just started and is out of touch. Callers come
 	// back once or twice: after a loss of all power the coordinators have started by then.
-	startingWait = time.Second
+	startupWait = time.Second
 )
 
-// awaitSpan is for how long a node that was alone waits for a share at most: by then the coordinators have heard of
+// maxShareWait is for how long a node that was alone waits for a share at most: by then the coordinators have heard of
 // all nodes that returned with it.
-const awaitSpan = 2 * time.Second
+const maxShareWait = 2 * time.Second
 
 // Standing is how a node stands to a tenant's coordinators.
 type Mode int
@@ -75,68 +75,68 @@
 	limit  route.RateLimit
 	bounds Bounds
 	// nodes is the number of nodes of the deployment.
-	nodes    int
-	standing Mode
+	nodes int
+	mode  Mode
 
-	asked    uint64
+	requests uint64
 	admitted int64
-	// acknowledgedAsked and acknowledgedAdmitted are what a coordinator has counted.
-	acknowledgedAsked    uint64
+	// acknowledgedRequests and acknowledgedAdmitted are what a coordinator has counted.
+	acknowledgedRequests uint64
 	acknowledgedAdmitted int64
 	// owned is the part of what is not acknowledged that the node admitted by its entitlement.
-	owned int64
-	// askedAlone is the part of what is not acknowledged that was asked while the node was out of
+	admittedByEntitlement int64
+	// isolatedRequests is the part of what is not acknowledged that was asked while the node was out of
 	// touch: it says nothing of what is asked now.
-	askedAlone uint64
+	isolatedRequests uint64
 	// recent is the rate that coordinators acknowledged: what was admitted in the moment of a
 	// failure entitles to nothing.
-	recent movingRate
-	// begunAt is since when the node counts.
-	begunAt time.Time
+	acknowledgedRate movingRate
+	// countingSince is since when the node counts.
+	countingSince time.Time
 
-	// share is the part of the requests to admit as it was told last, at toldAt; 1 if it never was.
-	share  float64
-	toldAt time.Time
+	// share is the part of the requests to admit as it was told last, at verdictAt; 1 if it never was.
+	share     float64
+	verdictAt time.Time
 	// limitedAt is when a share below 1 was told last: the tenant was at its limit.
 	limitedAt time.Time
 	wait      time.Duration
-	spare     float64
+	extraRate float64
 	// isInDoubt says that a coordinator, of this tenant or of another one, has fallen silent and
 	// none has answered since.
 	isInDoubt bool
-	// awaitsShare says that a coordinator answers again since returnedAt and has not told a share that holds: the
+	// awaitsShare says that a coordinator answers again since reconnectedAt and has not told a share that holds: the
 	// tenant may have come to its limit meanwhile, and a stand-in must hear first of all nodes that return at once.
-	awaitsShare bool
-	returnedAt  time.Time
-	// hasSpare says that the first coordinator has told spare.
-	hasSpare bool
+	awaitsShare   bool
+	reconnectedAt time.Time
+	// hasExtraRate says that the first coordinator has told spare.
+	hasExtraRate bool
 	// entitled is the rate while out of touch with the first coordinator.
-	entitled float64
-	// wasInTouch says that the node has been in touch with coordinators since its start, so
+	frozenEntitlement float64
+	// hasHadContact says that the node has been in touch with coordinators since its start, so
 	// that other nodes cannot all have begun with it.
-	wasInTouch bool
-	// unknownUntil is until when the window may hold what an earlier process of the node admitted.
-	unknownUntil time.Time
+	hasHadContact bool
+	// startupUntil is until when the window may hold what an earlier process of the node admitted.
+	startupUntil time.Time
 	// alone is the bucket while there is no coordinator or its word is too old.
-	alone bucket
+	ownBucket tokenBucket
 	// lately are the requests that were admitted in the last window.
-	lately windowCount
+	admittedInWindow windowCount
 	// place is where the node stands among all, 0 to below 1: which part of a request it
 	// needs so that it may admit a whole one.
-	place float64
+	offset float64
 	// refused are the lots of the last refused requests, a ring; it is made at the first.
-	refused     []uint64
-	nextRefused int
+	refusedDraws    []uint64
+	nextRefusedDraw int
 }
 
-// NewMeter returns the view of a node that has heard nothing of a tenant; wasInTouch says that
+// NewMeter returns the view of a node that has heard nothing of a tenant; hasHadContact says that
 // it has heard of others since its start.
-func NewMeter(tenant string, limit route.RateLimit, bounds Bounds, nodes int, wasInTouch bool, now time.Time) *Meter {
+func NewMeter(tenant string, limit route.RateLimit, bounds Bounds, nodes int, hasHadContact bool, now time.Time) *Meter {
 	meter := &Meter{
-		tenant: tenant, limit: limit, bounds: bounds, nodes: nodes, wasInTouch: wasInTouch,
-		recent: movingRate{span: recentSpan}, begunAt: now, share: 1, lately: newWindowCount(bounds.Window, now),
+		tenant: tenant, limit: limit, bounds: bounds, nodes: nodes, hasHadContact: hasHadContact,
+		acknowledgedRate: movingRate{span: recentRateSpan}, countingSince: now, share: 1, admittedInWindow: newWindowCount(bounds.Window, now),
 	}
-	meter.goAlone(now)
+	meter.enterIsolation(now)
 	return meter
 }
 
@@ -149,68 +149,68 @@
 // SetRoundingOffset takes where the node stands among all nodes for this tenant, 0 to below 1. The places
 // of all nodes are spread evenly, so that together they admit no more whole requests than there
 // are parts of one.
-func (m *Meter) SetRoundingOffset(place float64) { m.place = place }
+func (m *Meter) SetRoundingOffset(offset float64) { m.offset = offset }
 
 // SetProcessStart takes when the node's process began. What an earlier one admitted in the window before is
 // not known, and it may have been all that the node may admit in a window: until that has passed
 // the node admits nothing while it is out of touch.
-func (m *Meter) SetProcessStart(startedAt time.Time) { m.unknownUntil = startedAt.Add(m.bounds.Window) }
+func (m *Meter) SetProcessStart(startedAt time.Time) { m.startupUntil = startedAt.Add(m.bounds.Window) }
 
 // SetInDoubt takes whether the node may be cut off and has not found out yet.
 func (m *Meter) SetInDoubt(isInDoubt bool) { m.isInDoubt = isInDoubt }
 
 // SetMode takes which coordinator answers from now on.
-func (m *Meter) SetMode(standing Mode, now time.Time) {
-	if standing == m.standing {
+func (m *Meter) SetMode(mode Mode, now time.Time) {
+	if mode == m.mode {
 		return
 	}
-	if m.standing == WithFirst {
-		m.entitled = m.entitlement(now)
+	if m.mode == WithFirst {
+		m.frozenEntitlement = m.entitlement(now)
 	}
-	if isReturning := m.wasInTouch || !m.toldAt.IsZero(); isReturning && m.standing == Isolated && now.After(m.begunAt) {
-		m.awaitsShare, m.returnedAt = true, now
+	if isReconnecting := m.hasHadContact || !m.verdictAt.IsZero(); isReconnecting && m.mode == Isolated && now.After(m.countingSince) {
+		m.awaitsShare, m.reconnectedAt = true, now
 	}
-	m.standing = standing
-	if standing == Isolated {
-		m.goAlone(now)
+	m.mode = mode
+	if mode == Isolated {
+		m.enterIsolation(now)
 	}
 }
 
-// goAlone begins to decide without a coordinator.
-func (m *Meter) goAlone(now time.Time) {
+// enterIsolation begins to decide without a coordinator.
+func (m *Meter) enterIsolation(now time.Time) {
 	rate := m.entitlement(now)
-	m.alone = bucket{rate: rate, cap: m.savedAlone(rate, now), at: now}
+	m.ownBucket = tokenBucket{rate: rate, cap: m.isolatedCapacity(rate, now), at: now}
 	switch {
-	case m.toldAt.IsZero() && !m.wasInTouch:
+	case m.verdictAt.IsZero() && !m.hasHadContact:
 		// All nodes may have started together, after one burst was spent already.
-		m.alone.level = min(1, (m.limit.Burst+m.bounds.room(m.limit)/2)/float64(max(1, m.nodes)))
+		m.ownBucket.level = min(1, (m.limit.Burst+m.bounds.tolerance(m.limit)/2)/float64(max(1, m.nodes)))
 	case m.isWithinLimit(now):
 		// A node that has counted for a part of a window has that part of what it may save up.
-		age := now.Sub(m.begunAt).Seconds() / m.bounds.Window.Seconds()
-		m.alone.level = min(m.alone.cap, 1+m.alone.cap*age)
+		age := now.Sub(m.countingSince).Seconds() / m.bounds.Window.Seconds()
+		m.ownBucket.level = min(m.ownBucket.cap, 1+m.ownBucket.cap*age)
 	}
 	// What no coordinator has counted counts here.
-	unacknowledged := m.admitted - m.acknowledgedAdmitted - m.owned
-	m.owned += unacknowledged
-	m.askedAlone = m.asked - m.acknowledgedAsked
-	m.alone.level = max(m.alone.level-float64(unacknowledged), -rate*m.bounds.Window.Seconds())
+	unacknowledged := m.admitted - m.acknowledgedAdmitted - m.admittedByEntitlement
+	m.admittedByEntitlement += unacknowledged
+	m.isolatedRequests = m.requests - m.acknowledgedRequests
+	m.ownBucket.level = max(m.ownBucket.level-float64(unacknowledged), -rate*m.bounds.Window.Seconds())
 }
 
 // recentRate returns the rate that was admitted lately. A node that counts for a few seconds only
-// has seen a part of what it would count by then; for less than recentSpan it is not made up for
+// has seen a part of what it would count by then; for less than recentRateSpan it is not made up for
 // fully, since chance weighs too much.
 func (m *Meter) recentRate(now time.Time) float64 {
-	age := max(now.Sub(m.begunAt), recentSpan)
-	return m.recent.read(now) / (1 - math.Exp(-age.Seconds()/recentSpan.Seconds()))
+	age := max(now.Sub(m.countingSince), recentRateSpan)
+	return m.acknowledgedRate.read(now) / (1 - math.Exp(-age.Seconds()/recentRateSpan.Seconds()))
 }
 
-// savedAlone returns how many requests the node may save up at a rate while it is out of touch. Within
+// isolatedCapacity returns how many requests the node may save up at a rate while it is out of touch. Within
 // the limit it is what a window allows: nobody has spent the burst.
-func (m *Meter) savedAlone(rate float64, now time.Time) float64 {
+func (m *Meter) isolatedCapacity(rate float64, now time.Time) float64 {
 	if !m.isWithinLimit(now) {
-		return max(1, rate*aloneSpan.Seconds())
+		return max(1, rate*isolatedSavingSpan.Seconds())
 	}
-	return max(1, m.windowAlone(rate, now))
+	return max(1, m.isolatedWindowAllowance(rate, now))
 }
 
 // isWithinLimit reports whether the tenant has been within its limit for a window: before that
@@ -220,71 +220,71 @@
 	return m.share >= 1 && (m.limitedAt.IsZero() || now.Sub(m.limitedAt) > m.bounds.Window)
 }
 
-// windowAlone returns how many requests the node may admit in a window while it is out of touch. All
+// isolatedWindowAllowance returns how many requests the node may admit in a window while it is out of touch. All
 // nodes together stay within the bound then, also if each of them is alone.
-func (m *Meter) windowAlone(rate float64, now time.Time) float64 {
+func (m *Meter) isolatedWindowAllowance(rate float64, now time.Time) float64 {
 	allowed := rate * m.bounds.Window.Seconds()
 	if m.isWithinLimit(now) {
-		allowed += m.bounds.aloneExtra(m.limit, m.nodes)
+		allowed += m.bounds.isolatedAllowance(m.limit, m.nodes)
 	}
 	return allowed
 }
 
-// mostAlone returns the whole requests of windowAlone, by the node's place.
-func (m *Meter) mostAlone(rate float64, now time.Time) int {
-	return int(m.windowAlone(rate, now) + m.place)
+// maxIsolatedRequests returns the whole requests of isolatedWindowAllowance, by the node's place.
+func (m *Meter) maxIsolatedRequests(rate float64, now time.Time) int {
+	return int(m.isolatedWindowAllowance(rate, now) + m.offset)
 }
 
-// hasRoomAlone reports whether one more request is within windowAlone.
-func (m *Meter) hasRoomAlone(rate float64, now time.Time) bool {
-	return m.lately.read(now)+1 <= float64(m.mostAlone(rate, now))
+// hasIsolatedAllowance reports whether one more request is within isolatedWindowAllowance.
+func (m *Meter) hasIsolatedAllowance(rate float64, now time.Time) bool {
+	return m.admittedInWindow.read(now)+1 <= float64(m.maxIsolatedRequests(rate, now))
 }
 
 // entitlement returns the rate that the node may admit without the first coordinator.
 func (m *Meter) entitlement(now time.Time) float64 {
-	if !m.hasSpare {
+	if !m.hasExtraRate {
 		return m.limit.PerSecond / float64(max(1, m.nodes))
 	}
-	if m.standing != WithFirst {
-		return min(m.entitled, m.limit.PerSecond)
+	if m.mode != WithFirst {
+		return min(m.frozenEntitlement, m.limit.PerSecond)
 	}
-	return min(m.recentRate(now)+m.spare, m.limit.PerSecond)
+	return min(m.recentRate(now)+m.extraRate, m.limit.PerSecond)
 }
 
 // Admit decides about one request.
 func (m *Meter) Admit(requestID string, now time.Time) Decision {
-	drawn := drawLot(m.tenant, requestID, now)
-	decision := Decision{Share: m.share, Mode: m.standing}
-	if !m.toldAt.IsZero() {
-		decision.ShareAge = now.Sub(m.toldAt)
+	drawn := drawFor(m.tenant, requestID, now)
+	decision := Decision{Share: m.share, Mode: m.mode}
+	if !m.verdictAt.IsZero() {
+		decision.ShareAge = now.Sub(m.verdictAt)
 	}
-	isAlone := m.standing == Isolated || m.isAwaitingShare(now) || m.share < 1 && decision.ShareAge > shareAge
+	isByEntitlement := m.mode == Isolated || m.isAwaitingShare(now) || m.share < 1 && decision.ShareAge > maxShareAge
 	switch {
-	case isAlone:
-		decision.IsAdmitted, decision.RetryAfter = m.admitAlone(now)
+	case isByEntitlement:
+		decision.IsAdmitted, decision.RetryAfter = m.admitByEntitlement(now)
 		if !decision.IsAdmitted {
-			decision.Refusal = m.refusalAlone(now)
+			decision.Refusal = m.refusalByEntitlement(now)
 		}
 	case !drawn.isWithin(m.share):
-		decision.Refusal, decision.RetryAfter = BeyondShare, max(drawn.ends, m.wait)
-	case float64(m.admitted-m.acknowledgedAdmitted-m.owned) >= greatestUnacknowledged(m.limit):
+		decision.Refusal, decision.RetryAfter = BeyondShare, max(drawn.expiresIn, m.wait)
+	case float64(m.admitted-m.acknowledgedAdmitted-m.admittedByEntitlement) >= maxUnacknowledged(m.limit):
 		decision.Refusal, decision.RetryAfter = Unacknowledged, max(reportDelay, m.wait)
-	case m.isInDoubt && !m.hasRoomAlone(m.entitlement(now), now):
+	case m.isInDoubt && !m.hasIsolatedAllowance(m.entitlement(now), now):
 		decision.Refusal, decision.RetryAfter = InDoubt, max(reportDelay, m.wait)
 	default:
 		decision.IsAdmitted = true
 	}
 	if decision.IsAdmitted {
 		m.admitted++
-		m.lately.add(1, now)
-		if isAlone {
-			m.owned++
+		m.admittedInWindow.add(1, now)
+		if isByEntitlement {
+			m.admittedByEntitlement++
 		}
 	}
 	if decision.IsAdmitted || m.isNewRefusal(drawn.hash) {
-		m.asked++
-		if isAlone {
-			m.askedAlone++
+		m.requests++
+		if isByEntitlement {
+			m.isolatedRequests++
 		}
 	}
 	return decision
@@ -293,40 +293,40 @@
 // isAwaitingShare reports whether the node has returned a moment ago and has not been told a share that holds. It ends
 // by itself: of a tenant that is asked for seldom nothing is told until its next request.
 func (m *Meter) isAwaitingShare(now time.Time) bool {
-	return m.awaitsShare && now.Sub(m.returnedAt) < awaitSpan
+	return m.awaitsShare && now.Sub(m.reconnectedAt) < maxShareWait
 }
 
-// refusalAlone returns why admitAlone refuses.
-func (m *Meter) refusalAlone(now time.Time) Refusal {
+// refusalByEntitlement returns why admitByEntitlement refuses.
+func (m *Meter) refusalByEntitlement(now time.Time) Refusal {
 	switch {
-	case now.Before(m.unknownUntil):
+	case now.Before(m.startupUntil):
 		return JustStarted
-	case m.standing == Isolated:
+	case m.mode == Isolated:
 		return BeyondEntitlement
 	}
 	return ShareTooOld
 }
 
-// admitAlone takes a token of the node's own bucket, if its window has room.
-func (m *Meter) admitAlone(now time.Time) (bool, time.Duration) {
-	if now.Before(m.unknownUntil) {
-		return false, min(startingWait, m.unknownUntil.Sub(now))
+// admitByEntitlement takes a token of the node's own bucket, if its window has room.
+func (m *Meter) admitByEntitlement(now time.Time) (bool, time.Duration) {
+	if now.Before(m.startupUntil) {
+		return false, min(startupWait, m.startupUntil.Sub(now))
 	}
-	if m.standing != Isolated {
-		m.alone.rate = m.entitlement(now)
-		m.alone.cap = m.savedAlone(m.alone.rate, now)
+	if m.mode != Isolated {
+		m.ownBucket.rate = m.entitlement(now)
+		m.ownBucket.cap = m.isolatedCapacity(m.ownBucket.rate, now)
 	}
-	m.alone.settle(now)
-	if !m.hasRoomAlone(m.alone.rate, now) {
-		return false, min(greatestAloneWait, m.lately.until(m.mostAlone(m.alone.rate, now), now))
+	m.ownBucket.settle(now)
+	if !m.hasIsolatedAllowance(m.ownBucket.rate, now) {
+		return false, min(maxIsolatedWait, m.admittedInWindow.timeUntilBelow(m.maxIsolatedRequests(m.ownBucket.rate, now), now))
 	}
-	if m.alone.level >= 1 {
-		m.alone.level--
+	if m.ownBucket.level >= 1 {
+		m.ownBucket.level--
 		return true, 0
 	}
-	wait := greatestAloneWait
-	if m.alone.rate > 0 {
-		wait = min(wait, time.Duration((1-m.alone.level)/m.alone.rate*float64(time.Second)))
+	wait := maxIsolatedWait
+	if m.ownBucket.rate > 0 {
+		wait = min(wait, time.Duration((1-m.ownBucket.level)/m.ownBucket.rate*float64(time.Second)))
 	}
 	return false, wait
 }
@@ -334,64 +334,64 @@
 // isNewRefusal reports whether a request was not refused a moment ago, and notes it: one that
 // is repeated at once is no further demand, and must not lower the share of others.
 func (m *Meter) isNewRefusal(hash uint64) bool {
-	if slices.Contains(m.refused, hash) {
+	if slices.Contains(m.refusedDraws, hash) {
 		return false
 	}
-	if len(m.refused) < refusedKept {
-		m.refused = append(m.refused, hash)
+	if len(m.refusedDraws) < refusedDrawCount {
+		m.refusedDraws = append(m.refusedDraws, hash)
 		return true
 	}
-	m.refused[m.nextRefused] = hash
-	m.nextRefused = (m.nextRefused + 1) % refusedKept
+	m.refusedDraws[m.nextRefusedDraw] = hash
+	m.nextRefusedDraw = (m.nextRefusedDraw + 1) % refusedDrawCount
 	return true
 }
 
 // Refund takes back a request that was admitted and did not run.
 func (m *Meter) Refund(now time.Time) {
 	m.admitted--
-	m.lately.add(-1, now)
+	m.admittedInWindow.add(-1, now)
 }
 
 // Report returns what is to be told to a coordinator, and whether there is anything new.
-func (m *Meter) Report(start uint64, now time.Time) (Usage, bool) {
-	use := Usage{
-		Incarnation: start, Requests: m.asked, Admitted: m.admitted,
-		NewRequests: m.asked - m.acknowledgedAsked - m.askedAlone, NewAdmitted: m.admitted - m.acknowledgedAdmitted - m.owned,
+func (m *Meter) Report(incarnation uint64, now time.Time) (Usage, bool) {
+	usage := Usage{
+		Incarnation: incarnation, Requests: m.requests, Admitted: m.admitted,
+		NewRequests: m.requests - m.acknowledgedRequests - m.isolatedRequests, NewAdmitted: m.admitted - m.acknowledgedAdmitted - m.admittedByEntitlement,
 		RecentRate: m.recentRate(now), EntitledRate: m.entitlement(now), Share: m.share,
 	}
-	if now.Before(m.unknownUntil) {
+	if now.Before(m.startupUntil) {
 		// Coordinators follow each other while processes start: each counts what is new to it.
-		use.NewAdmitted = m.admitted
+		usage.NewAdmitted = m.admitted
 	}
-	return use, m.asked != m.acknowledgedAsked || m.admitted != m.acknowledgedAdmitted
+	return usage, m.requests != m.acknowledgedRequests || m.admitted != m.acknowledgedAdmitted
 }
 
 // Acknowledge takes the answer to a report.
-func (m *Meter) Acknowledge(use Usage, verdict Verdict, now time.Time) {
-	if use.Requests >= m.acknowledgedAsked {
-		m.recent.add(float64(max(0, use.Admitted-m.acknowledgedAdmitted)), now)
+func (m *Meter) Acknowledge(usage Usage, verdict Verdict, now time.Time) {
+	if usage.Requests >= m.acknowledgedRequests {
+		m.acknowledgedRate.add(float64(max(0, usage.Admitted-m.acknowledgedAdmitted)), now)
 		// Of a process that has just started NewAdmitted may hold what was acknowledged before.
-		m.owned -= min(m.owned, max(0, use.Admitted-m.acknowledgedAdmitted-use.NewAdmitted))
-		m.askedAlone -= min(m.askedAlone, use.Requests-m.acknowledgedAsked-use.NewRequests)
-		m.acknowledgedAsked, m.acknowledgedAdmitted = use.Requests, use.Admitted
+		m.admittedByEntitlement -= min(m.admittedByEntitlement, max(0, usage.Admitted-m.acknowledgedAdmitted-usage.NewAdmitted))
+		m.isolatedRequests -= min(m.isolatedRequests, usage.Requests-m.acknowledgedRequests-usage.NewRequests)
+		m.acknowledgedRequests, m.acknowledgedAdmitted = usage.Requests, usage.Admitted
 		// The node may have gone out of touch since it reported, and counted all of this as its own.
-		m.owned = min(m.owned, max(0, m.admitted-m.acknowledgedAdmitted))
-		m.askedAlone = min(m.askedAlone, m.asked-m.acknowledgedAsked)
+		m.admittedByEntitlement = min(m.admittedByEntitlement, max(0, m.admitted-m.acknowledgedAdmitted))
+		m.isolatedRequests = min(m.isolatedRequests, m.requests-m.acknowledgedRequests)
 	}
 	m.ApplyVerdict(verdict, now)
 }
 
 // Tell takes what the coordinator says.
 func (m *Meter) ApplyVerdict(verdict Verdict, now time.Time) {
-	m.share, m.wait, m.toldAt = verdict.Share, verdict.Wait, now
-	if verdict.IsFirst || now.Sub(m.returnedAt) >= cautiousSpan {
+	m.share, m.wait, m.verdictAt = verdict.Share, verdict.Wait, now
+	if verdict.IsFirst || now.Sub(m.reconnectedAt) >= inheritedShareSpan {
 		m.awaitsShare = false
 	}
 	if verdict.Share < 1 {
 		m.limitedAt = now
 	}
 	if verdict.IsFirst {
-		m.spare, m.hasSpare = verdict.ExtraRate, true
+		m.extraRate, m.hasExtraRate = verdict.ExtraRate, true
 	}
 }
 
@@ -399,5 +399,5 @@
 // node is alone until one answers, and has no saved tokens.
 func (m *Meter) InvalidateVerdicts(now time.Time) {
 	m.SetMode(Isolated, now)
-	m.alone.level = min(m.alone.level, 0)
+	m.ownBucket.level = min(m.ownBucket.level, 0)
 }
--- a/pkg/quota/meter_test.go
+++ b/pkg/quota/meter_test.go
@@ -14,19 +14,19 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// inTouch returns a meter whose first coordinator told a share.
-func inTouch(limit route.RateLimit, share, spare float64) *quota.Meter {
+// meterWithShare returns a meter whose first coordinator told a share.
+func meterWithShare(limit route.RateLimit, share, spare float64) *quota.Meter {
 	meter := quota.NewMeter("caller", limit, bounds, 67, false, start)
 	meter.SetMode(quota.WithFirst, start)
 	meter.ApplyVerdict(quota.Verdict{Share: share, ExtraRate: spare, IsFirst: true, Wait: 20 * time.Millisecond}, start)
 	return meter
 }
 
-// TestARequestThatIsRepeatedAtOnceGetsNoFurther, while one that comes back when it was told to
+// TestARequestRepeatedAtOnceIsRefusedAgain, while one that comes back when it was told to
 // has a new chance.
-func TestARequestThatIsRepeatedAtOnceGetsNoFurther(t *testing.T) {
+func TestARequestRepeatedAtOnceIsRefusedAgain(t *testing.T) {
 	g := NewWithT(t)
-	meter := inTouch(route.RateLimit{PerSecond: 50, Burst: 50}, 0.2, 0)
+	meter := meterWithShare(route.RateLimit{PerSecond: 50, Burst: 50}, 0.2, 0)
 	id, wait := "", time.Duration(0)
 	for number := 0; id == ""; number++ {
 		if decision := meter.Admit(fmt.Sprint(number), start); !decision.IsAdmitted {
@@ -49,11 +49,11 @@
 	g.Expect(chances).To(BeNumerically(">", 0))
 }
 
-// TestAllNodesDrawAlike: asking another node does not help.
-func TestAllNodesDrawAlike(t *testing.T) {
+// TestAllNodesDecideAlikeAboutARequest: asking another node does not help.
+func TestAllNodesDecideAlikeAboutARequest(t *testing.T) {
 	g := NewWithT(t)
 	limit := route.RateLimit{PerSecond: 5000, Burst: 5000}
-	one, other := inTouch(limit, 0.4, 0), inTouch(limit, 0.4, 0)
+	one, other := meterWithShare(limit, 0.4, 0), meterWithShare(limit, 0.4, 0)
 	admitted := 0
 	for number := range 5000 {
 		at := start.Add(time.Duration(number) * 100 * time.Microsecond)
@@ -66,32 +66,32 @@
 	g.Expect(admitted).To(BeNumerically("~", 2000, 120))
 }
 
-// TestANodeCutOffGoesOnWithWhatItHadLately: in five seconds it admits what it admitted before
+// TestAnIsolatedNodeKeepsItsRecentRate: in five seconds it admits what it admitted before
 // and its part of what nobody used.
-func TestANodeCutOffGoesOnWithWhatItHadLately(t *testing.T) {
+func TestAnIsolatedNodeKeepsItsRecentRate(t *testing.T) {
 	g := NewWithT(t)
-	meter := inTouch(route.RateLimit{PerSecond: 63, Burst: 63}, 1, 0.3)
+	meter := meterWithShare(route.RateLimit{PerSecond: 63, Burst: 63}, 1, 0.3)
 	now := start
-	ask := func(span time.Duration, perSecond int) (admitted int) {
+	request := func(span time.Duration, perSecond int) (admitted int) {
 		for end := now.Add(span); now.Before(end); now = now.Add(time.Second / time.Duration(perSecond)) {
 			if meter.Admit(fmt.Sprint(now.UnixNano()), now).IsAdmitted {
 				admitted++
 			}
-			if use, _ := meter.Report(1, now); use.EntitledRate > 0 {
-				meter.Acknowledge(use, quota.Verdict{Share: 1, ExtraRate: 0.3, IsFirst: true}, now)
+			if usage, _ := meter.Report(1, now); usage.EntitledRate > 0 {
+				meter.Acknowledge(usage, quota.Verdict{Share: 1, ExtraRate: 0.3, IsFirst: true}, now)
 			}
 		}
 		return admitted
 	}
-	g.Expect(ask(20*time.Second, 2)).To(Equal(40))
+	g.Expect(request(20*time.Second, 2)).To(Equal(40))
 	meter.SetMode(quota.Isolated, now)
-	alone := 0
+	admittedIsolated := 0
 	for end := now.Add(5 * time.Second); now.Before(end); now = now.Add(50 * time.Millisecond) {
 		if meter.Admit(fmt.Sprint(now.UnixNano()), now).IsAdmitted {
-			alone++
+			admittedIsolated++
 		}
 	}
-	g.Expect(alone).To(BeNumerically("~", 5*2.3+1, 2))
+	g.Expect(admittedIsolated).To(BeNumerically("~", 5*2.3+1, 2))
 }
 
 // TestNodesThatStartTogetherAdmitTogetherNoMoreThanTheLimit: nobody has told them anything.
@@ -107,14 +107,14 @@
 				}
 			}
 		}
-		g.Expect(float64(admitted)).To(BeNumerically("<=", limitOf(limit)))
+		g.Expect(float64(admitted)).To(BeNumerically("<=", allowedInWindow(limit)))
 	}
 }
 
-// TestAShareThatIsTooOldIsNotGoneBy: the coordinator repeats it, so that it has been lost.
-func TestAShareThatIsTooOldIsNotGoneBy(t *testing.T) {
+// TestAStaleShareIsNotApplied: the coordinator repeats it, so that it has been lost.
+func TestAStaleShareIsNotApplied(t *testing.T) {
 	g := NewWithT(t)
-	meter := inTouch(route.RateLimit{PerSecond: 63, Burst: 63}, 0.9, 0.2)
+	meter := meterWithShare(route.RateLimit{PerSecond: 63, Burst: 63}, 0.9, 0.2)
 	later, admitted := start.Add(2*time.Second), 0
 	for number := range 100 {
 		if meter.Admit(fmt.Sprint(number), later).IsAdmitted {
@@ -124,11 +124,11 @@
 	g.Expect(admitted).To(BeNumerically("<=", 1))
 }
 
-// TestWhatIsNotAcknowledgedIsBound: a node that asks much while its coordinator has just fallen
+// TestUnacknowledgedRequestsAreBounded: a node that asks much while its coordinator has just fallen
 // silent admits a burst.
-func TestWhatIsNotAcknowledgedIsBound(t *testing.T) {
+func TestUnacknowledgedRequestsAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	meter := inTouch(route.RateLimit{PerSecond: 10, Burst: 10}, 1, 0)
+	meter := meterWithShare(route.RateLimit{PerSecond: 10, Burst: 10}, 1, 0)
 	admitted := 0
 	for number := range 1000 {
 		if meter.Admit(fmt.Sprint(number), start.Add(time.Duration(number)*100*time.Microsecond)).IsAdmitted {
@@ -138,17 +138,17 @@
 	g.Expect(admitted).To(BeNumerically("<=", 13))
 }
 
-// TestNodesAreAloneAtDifferentPlaces: where each node may admit a part of a request, as many admit
+// TestIsolatedNodesHaveDifferentRoundingOffsets: where each node may admit a part of a request, as many admit
 // a whole one as there are parts of it, also long after they were cut off.
-func TestNodesAreAloneAtDifferentPlaces(t *testing.T) {
+func TestIsolatedNodesHaveDifferentRoundingOffsets(t *testing.T) {
 	g := NewWithT(t)
 	limit := route.RateLimit{PerSecond: 5, Burst: 5}
 	for _, nodes := range []int{67, 300, 5400} {
 		admitted := 0
 		for node := range nodes {
 			meter := quota.NewMeter("caller", limit, bounds, nodes, true, start)
-			_, place := math.Modf(float64(node) / math.Phi)
-			meter.SetRoundingOffset(place)
+			_, offset := math.Modf(float64(node) / math.Phi)
+			meter.SetRoundingOffset(offset)
 			later := start.Add(time.Hour)
 			for step := range 250 {
 				if meter.Admit(fmt.Sprint(node, step), later.Add(time.Duration(step)*20*time.Millisecond)).IsAdmitted {
@@ -156,16 +156,16 @@
 				}
 			}
 		}
-		g.Expect(float64(admitted)).To(And(BeNumerically("<=", limitOf(limit)), BeNumerically(">=", limit.PerSecond*bounds.Window.Seconds())), fmt.Sprint(nodes))
+		g.Expect(float64(admitted)).To(And(BeNumerically("<=", allowedInWindow(limit)), BeNumerically(">=", limit.PerSecond*bounds.Window.Seconds())), fmt.Sprint(nodes))
 	}
 }
 
-// TestANodeInDoubtAdmitsNoMoreThanAlone: a coordinator has fallen silent, and whether others answer
+// TestANodeInDoubtAdmitsNoMoreThanAnIsolatedOne: a coordinator has fallen silent, and whether others answer
 // is not known yet.
-func TestANodeInDoubtAdmitsNoMoreThanAlone(t *testing.T) {
+func TestANodeInDoubtAdmitsNoMoreThanAnIsolatedOne(t *testing.T) {
 	g := NewWithT(t)
-	ask := func(isInDoubt bool) (admitted int) {
-		meter := inTouch(route.RateLimit{PerSecond: 17, Burst: 17}, 1, 0.1)
+	request := func(isInDoubt bool) (admitted int) {
+		meter := meterWithShare(route.RateLimit{PerSecond: 17, Burst: 17}, 1, 0.1)
 		meter.SetInDoubt(isInDoubt)
 		for number := range 100 {
 			if meter.Admit(fmt.Sprint(number), start.Add(time.Duration(number)*time.Millisecond)).IsAdmitted {
@@ -174,13 +174,13 @@
 		}
 		return admitted
 	}
-	g.Expect(ask(false)).To(Equal(8))
-	g.Expect(ask(true)).To(BeNumerically("<=", 1))
+	g.Expect(request(false)).To(Equal(8))
+	g.Expect(request(true)).To(BeNumerically("<=", 1))
 }
 
-// TestANodeThatIsBackInTouchRefusesNothingWithinTheLimit: what it admitted alone was within its
+// TestAReconnectedNodeRefusesNothingWithinTheLimit: what it admitted alone was within its
 // own part, and does not count as unacknowledged.
-func TestANodeThatIsBackInTouchRefusesNothingWithinTheLimit(t *testing.T) {
+func TestAReconnectedNodeRefusesNothingWithinTheLimit(t *testing.T) {
 	g := NewWithT(t)
 	meter := quota.NewMeter("caller", route.RateLimit{PerSecond: 10, Burst: 10}, bounds, 2, true, start)
 	now, admitted := start, 0
@@ -195,11 +195,11 @@
 	g.Expect(meter.Admit("back", now).IsAdmitted).To(BeTrue())
 }
 
-// TestANewMeterBeginsAloneWithOneRequest: what it admitted in its run before, a moment
+// TestANewIsolatedMeterAdmitsOneRequest: what it admitted in its run before, a moment
 // ago, is not known. One that has been there for a window may use what the window has left.
-func TestANewMeterBeginsAloneWithOneRequest(t *testing.T) {
+func TestANewIsolatedMeterAdmitsOneRequest(t *testing.T) {
 	g := NewWithT(t)
-	admittedAlone := func(age time.Duration) (admitted int) {
+	admittedIsolated := func(age time.Duration) (admitted int) {
 		meter := quota.NewMeter("caller", route.RateLimit{PerSecond: 63, Burst: 63}, bounds, 6, true, start)
 		meter.SetMode(quota.WithFirst, start)
 		meter.ApplyVerdict(quota.Verdict{Share: 1, ExtraRate: 5, IsFirst: true}, start)
@@ -212,18 +212,18 @@
 		}
 		return admitted
 	}
-	g.Expect(admittedAlone(10 * time.Millisecond)).To(Equal(1))
-	g.Expect(admittedAlone(bounds.Window)).To(BeNumerically(">", 25))
+	g.Expect(admittedIsolated(10 * time.Millisecond)).To(Equal(1))
+	g.Expect(admittedIsolated(bounds.Window)).To(BeNumerically(">", 25))
 }
 
-// TestANodeAloneSpendsNoBurstThatOthersMayHaveSpent: the tenant was at its limit a moment ago, and a
+// TestAnIsolatedNodeSpendsNoBurstThatOthersMayHaveSpent: the tenant was at its limit a moment ago, and a
 // coordinator that has just taken over does not know of it.
-func TestANodeAloneSpendsNoBurstThatOthersMayHaveSpent(t *testing.T) {
+func TestAnIsolatedNodeSpendsNoBurstThatOthersMayHaveSpent(t *testing.T) {
 	g := NewWithT(t)
 	limit := route.RateLimit{PerSecond: 10, Burst: 10}
-	// admittedAlone returns what a node of six admits in a window, alone for a second after it was told that the
+	// admittedIsolated returns what a node of six admits in a window, alone for a second after it was told that the
 	// tenant is within its limit again, which it had been for a span.
-	admittedAlone := func(span time.Duration) (admitted int) {
+	admittedIsolated := func(span time.Duration) (admitted int) {
 		meter := quota.NewMeter("caller", limit, bounds, 6, true, start)
 		meter.SetMode(quota.WithFirst, start)
 		meter.ApplyVerdict(quota.Verdict{Share: 0.25, ExtraRate: 0, IsFirst: true}, start.Add(time.Minute))
@@ -238,22 +238,22 @@
 		}
 		return admitted
 	}
-	g.Expect(admittedAlone(time.Second)).To(BeNumerically("<=", 9), "its entitlement of a window")
-	g.Expect(admittedAlone(10 * time.Second)).To(BeNumerically(">", 9))
+	g.Expect(admittedIsolated(time.Second)).To(BeNumerically("<=", 9), "its entitlement of a window")
+	g.Expect(admittedIsolated(10 * time.Second)).To(BeNumerically(">", 9))
 }
 
 // TestAReportAnsweredOutOfTouchLeavesNothingOwed: the node has gone out of touch while its report was under way, and the answer
 // comes all the same.
 func TestAReportAnsweredOutOfTouchLeavesNothingOwed(t *testing.T) {
 	g := NewWithT(t)
-	meter := inTouch(route.RateLimit{PerSecond: 63, Burst: 63}, 0.5, 0.3)
+	meter := meterWithShare(route.RateLimit{PerSecond: 63, Burst: 63}, 0.5, 0.3)
 	for number := range 20 {
 		meter.Admit(fmt.Sprint(number), start)
 	}
-	use, _ := meter.Report(1, start)
-	g.Expect(use.NewRequests).To(BeEquivalentTo(20))
+	usage, _ := meter.Report(1, start)
+	g.Expect(usage.NewRequests).To(BeEquivalentTo(20))
 	meter.SetMode(quota.Isolated, start)
-	meter.Acknowledge(use, quota.Verdict{Share: 1}, start)
+	meter.Acknowledge(usage, quota.Verdict{Share: 1}, start)
 	after, isNew := meter.Report(1, start)
 	g.Expect(isNew).To(BeFalse())
 	g.Expect(after.NewRequests).To(BeZero())
@@ -274,21 +274,21 @@
 		return admitted
 	}
 	for name, meter := range map[string]*quota.Meter{
-		"told before":        inTouch(limit, 1, 0),
+		"told before":        meterWithShare(limit, 1, 0),
 		"never asked so far": quota.NewMeter("caller", limit, bounds, 67, true, start),
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			meter.SetMode(quota.Isolated, start)
 			late := start.Add(10 * time.Second)
-			alone := admittedAt(meter, "alone", late)
-			g.Expect(alone).To(BeNumerically("<=", 2))
+			admittedIsolated := admittedAt(meter, "alone", late)
+			g.Expect(admittedIsolated).To(BeNumerically("<=", 2))
 			meter.SetMode(quota.WithStandIn, late)
 			g.Expect(admittedAt(meter, "returned", late)).To(BeZero(), "what it may admit alone was used up")
 			meter.ApplyVerdict(quota.Verdict{Share: 1}, late)
 			g.Expect(admittedAt(meter, "stand-in", late)).To(BeZero(), "a stand-in has not heard of all that return")
-			unasked := *meter
-			g.Expect(admittedAt(&unasked, "later", late.Add(3*time.Second))).To(BeNumerically(">", 2), "nothing is told of a tenant until it is asked for")
+			withoutVerdict := *meter
+			g.Expect(admittedAt(&withoutVerdict, "later", late.Add(3*time.Second))).To(BeNumerically(">", 2), "nothing is told of a tenant until it is asked for")
 			meter.ApplyVerdict(quota.Verdict{Share: 1, IsFirst: true}, late)
 			g.Expect(admittedAt(meter, "first", late)).To(BeNumerically(">", 2))
 		})
--- a/pkg/quota/one_way_test.go
+++ b/pkg/quota/one_way_test.go
@@ -15,13 +15,13 @@
 var errRefused = errors.New("connection refused")
 
 // refusable is the transport of a node that cannot open connections to some addresses.
-type refusable struct {
+type refusingTransport struct {
 	peer.Transport
 	deployment *deployment
 }
 
 // Call implements peer.Transport.
-func (r refusable) Call(ctx context.Context, address peer.Address, kind peer.Kind, request, reply proto.Message) error {
+func (r refusingTransport) Call(ctx context.Context, address peer.Address, kind peer.Kind, request, reply proto.Message) error {
 	r.deployment.mutex.Lock()
 	isRefused := r.deployment.refusing[address]
 	r.deployment.mutex.Unlock()
@@ -44,31 +44,31 @@
 // others turn to a stand-in.
 func TestTheSumHoldsWhileACoordinatorReachesOthersAndNobodyReachesIt(t *testing.T) {
 	for tenant, limit := range tenants() {
-		for _, ahead := range []time.Duration{3 * time.Second, 0} {
-			t.Run(tenant+", "+ahead.String()+" ahead", func(t *testing.T) {
+		for _, lead := range []time.Duration{3 * time.Second, 0} {
+			t.Run(tenant+", "+lead.String()+" ahead", func(t *testing.T) {
 				t.Parallel()
-				most, after := 0, 0
+				highest, after := 0, 0
 				simulate(t, 67, tenants(), func(d *deployment) {
 					coordinator := d.coordinatorOf(tenant)
-					spread := func(perSecond float64) load {
+					weighted := func(perSecond float64) load {
 						spread := d.even(tenant, perSecond)
 						spread.weights[coordinator] = 1
 						return spread
 					}
 					usual := limit.PerSecond / 1.6
-					d.run(6*time.Second, spread(usual))
-					d.run(ahead, spread(12*usual))
+					d.run(6*time.Second, weighted(usual))
+					d.run(lead, weighted(12*usual))
 					d.setRefusing(coordinator, true)
-					d.run(12*time.Second, spread(12*usual))
+					d.run(12*time.Second, weighted(12*usual))
 					d.setRefusing(coordinator, false)
-					healed := d.moment()
-					d.run(8*time.Second, spread(12*usual))
-					most = d.mostInWindow(tenant)
-					after = d.between(tenant, healed+3*time.Second, healed+8*time.Second)
+					healed := d.elapsed()
+					d.run(8*time.Second, weighted(12*usual))
+					highest = d.maxInWindow(tenant)
+					after = d.admittedBetween(tenant, healed+3*time.Second, healed+8*time.Second)
 				})
-				t.Logf("at most %d in 5 s, allowed %.0f; %.2f of the limit in the last 5 s", most, limitOf(limit), float64(after)/(5*limit.PerSecond))
+				t.Logf("at most %d in 5 s, allowed %.0f; %.2f of the limit in the last 5 s", highest, allowedInWindow(limit), float64(after)/(5*limit.PerSecond))
 				g := NewWithT(t)
-				g.Expect(float64(most)).To(BeNumerically("<=", limitOf(limit)))
+				g.Expect(float64(highest)).To(BeNumerically("<=", allowedInWindow(limit)))
 				g.Expect(float64(after)).To(BeNumerically(">=", 0.9*5*limit.PerSecond))
 			})
 		}
--- a/pkg/quota/calm_test.go
+++ b/pkg/quota/overload_test.go
@@ -23,28 +23,28 @@
 		for _, kind := range []string{"even", "skewed"} {
 			t.Run(tenant+" "+kind, func(t *testing.T) {
 				t.Parallel()
-				most, least, calm, limit := 0, 0, 0, tenants()[tenant]
+				highest, lowest, refusedWithinLimit, limit := 0, 0, 0, tenants()[tenant]
 				simulate(t, 67, tenants(), func(d *deployment) {
 					spread := d.even
 					if kind == "skewed" {
 						spread = d.skewed
 					}
 					d.run(5*time.Second, spread(tenant, limit.PerSecond/1.6))
-					calm = d.refused[tenant]
+					refusedWithinLimit = d.refused[tenant]
 					before := d.sent()
-					begun := d.moment()
+					begun := d.elapsed()
 					d.run(20*time.Second, spread(tenant, 8*limit.PerSecond))
 					after := d.sent()
-					most = d.mostInWindow(tenant)
-					least = d.leastInWindow(tenant, begun, begun+20*time.Second)
+					highest = d.maxInWindow(tenant)
+					lowest = d.minInWindow(tenant, begun, begun+20*time.Second)
 					t.Logf("refused in calm %d; in 5 s at most %d of %.0f allowed, at least %d of %.0f granted; reports %.0f/s, verdicts %.0f/s over all nodes",
-						calm, most, limitOf(limit), least, limit.PerSecond*5,
+						refusedWithinLimit, highest, allowedInWindow(limit), lowest, limit.PerSecond*5,
 						float64(after.Reports-before.Reports)/20, float64(after.Verdicts-before.Verdicts)/20)
 				})
 				g := NewWithT(t)
-				g.Expect(calm).To(BeZero())
-				g.Expect(float64(most)).To(BeNumerically("<=", limitOf(limit)))
-				g.Expect(float64(least)).To(BeNumerically(">=", 0.95*limit.PerSecond*bounds.Window.Seconds()))
+				g.Expect(refusedWithinLimit).To(BeZero())
+				g.Expect(float64(highest)).To(BeNumerically("<=", allowedInWindow(limit)))
+				g.Expect(float64(lowest)).To(BeNumerically(">=", 0.95*limit.PerSecond*bounds.Window.Seconds()))
 			})
 		}
 	}
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -31,23 +31,23 @@
 }
 
 // room returns the number of requests by which a window may exceed rate x Window + burst.
-func (b Bounds) room(limit route.RateLimit) float64 {
+func (b Bounds) tolerance(limit route.RateLimit) float64 {
 	return (limit.PerSecond*b.Window.Seconds()+limit.Burst)*b.Overshoot + b.Slack
 }
 
-// aloneExtra returns the number of requests that each of some nodes, all alone, may admit in a
+// isolatedAllowance returns the number of requests that each of some nodes, all alone, may admit in a
 // window beside its entitlement: its equal part of the burst and the room, less what one node
 // may have admitted that no coordinator has counted, and the rate until nodes know that they are
 // cut off.
-func (b Bounds) aloneExtra(limit route.RateLimit, nodes int) float64 {
-	left := limit.Burst + b.room(limit) - greatestUnacknowledged(limit) - limit.PerSecond*contactInterval.Seconds()
-	return max(0, left) / float64(max(1, nodes))
+func (b Bounds) isolatedAllowance(limit route.RateLimit, nodes int) float64 {
+	remaining := limit.Burst + b.tolerance(limit) - maxUnacknowledged(limit) - limit.PerSecond*contactInterval.Seconds()
+	return max(0, remaining) / float64(max(1, nodes))
 }
 
-// greatestUnacknowledged returns the number of requests that a node admits at most before a
+// maxUnacknowledged returns the number of requests that a node admits at most before a
 // coordinator has counted them.
-func greatestUnacknowledged(limit route.RateLimit) float64 {
-	return 1 + unacknowledgedPart*(limit.Burst+limit.PerSecond)
+func maxUnacknowledged(limit route.RateLimit) float64 {
+	return 1 + unacknowledgedFraction*(limit.Burst+limit.PerSecond)
 }
 
 // Use is what a node has had of one tenant since its process started.
--- a/pkg/quota/rate.go
+++ b/pkg/quota/rate.go
@@ -29,7 +29,7 @@
 }
 
 // bucket is a token bucket. Its level may be negative: what was spent beyond it is made up for.
-type bucket struct {
+type tokenBucket struct {
 	rate  float64
 	cap   float64
 	level float64
@@ -37,7 +37,7 @@
 }
 
 // settle brings the level up to a moment.
-func (b *bucket) settle(now time.Time) {
+func (b *tokenBucket) settle(now time.Time) {
 	if passed := now.Sub(b.at).Seconds(); passed > 0 {
 		b.level = min(b.cap, b.level+passed*b.rate)
 		b.at = now
--- a/pkg/quota/refusal.go
+++ b/pkg/quota/refusal.go
@@ -18,7 +18,7 @@
 	InDoubt
 	// BeyondEntitlement: no coordinator answers, and the node has admitted its part of the limit.
 	BeyondEntitlement
-	// ShareTooOld: a coordinator answers, but the share that it told, below 1, is older than shareAge,
+	// ShareTooOld: a coordinator answers, but the share that it told, below 1, is older than maxShareAge,
 	// and the node has admitted its part of the limit.
 	ShareTooOld
 	// JustStarted: no coordinator has answered since the start, and what an earlier process of the
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -15,49 +15,49 @@
 // kindReport is the message by which a node reports to a coordinator.
 const kindReport peer.Kind = "quota.report"
 
-// usedMuchTold is the number of tenants of which an answer to an empty report tells: every node sends one
+// maxHighUsageVerdicts is the number of tenants of which an answer to an empty report tells: every node sends one
 // every half second or so, and the accounts are locked while it is answered. Which ones varies.
-const usedMuchTold = 16
+const maxHighUsageVerdicts = 16
 
 // report tells each coordinator what is new for it.
 func (l *Limiter) report(ctx context.Context, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	uses := make(map[string]map[string]Usage)
-	for tenant, held := range l.meters {
-		name := l.coordinator(held.ranked)
-		if name == "" || l.links[name].calling {
+	usages := make(map[string]map[string]Usage)
+	for tenant, entry := range l.meters {
+		name := l.coordinator(entry.ranked)
+		if name == "" || l.links[name].isCalling {
 			// What is not told now is told by the next report: at the end of the call, or
 			// when a coordinator answers.
 			continue
 		}
-		use, isNew := held.meter.Report(l.options.Incarnation, now)
+		usage, isNew := entry.meter.Report(l.options.Incarnation, now)
 		if !isNew {
 			continue
 		}
-		if uses[name] == nil {
-			uses[name] = make(map[string]Usage)
+		if usages[name] == nil {
+			usages[name] = make(map[string]Usage)
 		}
-		uses[name][tenant] = use
+		usages[name][tenant] = usage
 	}
-	for name, told := range uses {
+	for name, reported := range usages {
 		if name == l.options.Local {
-			l.acknowledge(told, l.take(name, told, now), now)
+			l.acknowledge(reported, l.recordReport(name, reported, now), now)
 			continue
 		}
-		l.call(ctx, name, encodeReport(l.options.Incarnation, told), told)
+		l.call(ctx, name, encodeReport(l.options.Incarnation, reported), reported)
 	}
 }
 
 // call sends a report to a coordinator and takes the answer; told is what the report holds, empty if it
 // only asks whether the coordinator answers. The caller holds the mutex.
-func (l *Limiter) call(ctx context.Context, name string, message *quotapb.Report, told map[string]Usage) {
+func (l *Limiter) call(ctx context.Context, name string, message *quotapb.Report, reported map[string]Usage) {
 	if l.isStopped {
 		return
 	}
 	address := l.addresses[name]
-	l.links[name].calling, l.links[name].calledAt = true, time.Now()
-	l.sent.Reports++
+	l.links[name].isCalling, l.links[name].calledAt = true, time.Now()
+	l.messagesSent.Reports++
 	l.group.Go(func() {
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
@@ -71,10 +71,10 @@
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
 		l.noteAnswer(name, err, now)
-		if err == nil && len(told) > 0 {
-			l.acknowledge(told, decodeVerdicts(answer), now)
+		if err == nil && len(reported) > 0 {
+			l.acknowledge(reported, decodeVerdicts(answer), now)
 		} else if err == nil {
-			l.takeTold(ctx, name, decodeVerdicts(answer), now)
+			l.applyVerdicts(ctx, name, decodeVerdicts(answer), now)
 		}
 		// Requests may have come while the call was under way, also while it only asked whether
 		// the coordinator answers.
@@ -83,18 +83,18 @@
 }
 
 // acknowledge takes the answer to a report. The caller holds the mutex.
-func (l *Limiter) acknowledge(told map[string]Usage, verdicts map[string]Verdict, now time.Time) {
-	for tenant, use := range told {
-		held := l.meters[tenant]
+func (l *Limiter) acknowledge(reported map[string]Usage, verdicts map[string]Verdict, now time.Time) {
+	for tenant, usage := range reported {
+		entry := l.meters[tenant]
 		verdict, isAnswered := verdicts[tenant]
-		if held != nil && isAnswered {
-			held.meter.Acknowledge(use, verdict, now)
+		if entry != nil && isAnswered {
+			entry.meter.Acknowledge(usage, verdict, now)
 		}
 	}
 }
 
-// takeReport answers the report of another node.
-func (l *Limiter) takeReport(_ context.Context, from target.NodeID, body []byte) (proto.Message, error) {
+// handleReport answers the report of another node.
+func (l *Limiter) handleReport(_ context.Context, from target.NodeID, body []byte) (proto.Message, error) {
 	message := &quotapb.Report{}
 	if err := message.UnmarshalVT(body); err != nil {
 		return nil, errors.Wrap(err, "decode report")
@@ -105,26 +105,26 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.noteContact(string(from))
-	l.heardAt = time.Now()
-	l.noteHeard(l.heardAt)
+	l.lastReportAt = time.Now()
+	l.updateReceivesReports(l.lastReportAt)
 	if len(message.Uses) == 0 {
-		return encodeVerdicts(l.usedMuch(l.heardAt)), nil
+		return encodeVerdicts(l.highUsageVerdicts(l.lastReportAt)), nil
 	}
-	return encodeVerdicts(l.take(string(from), decodeUses(message), l.heardAt)), nil
+	return encodeVerdicts(l.recordReport(string(from), decodeUsages(message), l.lastReportAt)), nil
 }
 
 // errNoLimitsKnown answers a node that takes this one for a coordinator: it has just started, or its
 // configuration has no tenants, so that it would tell a share of 1 whatever is asked.
 var errNoLimitsKnown = errors.New("no configuration with tenants is known here")
 
-// usedMuch returns the verdicts on some tenants that use much of their limits, for a node that asks
+// highUsageVerdicts returns the verdicts on some tenants that use much of their limits, for a node that asks
 // whether this one answers. The caller holds the mutex.
-func (l *Limiter) usedMuch(now time.Time) map[string]Verdict {
+func (l *Limiter) highUsageVerdicts(now time.Time) map[string]Verdict {
 	verdicts := make(map[string]Verdict)
-	for tenant, kept := range l.accounts {
-		if len(verdicts) < usedMuchTold && l.isFirst(tenant) && kept.account.isUsedMuch(now) {
-			kept.isFirst = true
-			verdicts[tenant] = kept.account.Verdict(l.contact(kept), now)
+	for tenant, entry := range l.accounts {
+		if len(verdicts) < maxHighUsageVerdicts && l.isFirst(tenant) && entry.account.isHighUsage(now) {
+			entry.isFirst = true
+			verdicts[tenant] = entry.account.Verdict(l.view(entry), now)
 		}
 	}
 	return verdicts
@@ -133,40 +133,40 @@
 // noteContact notes that a node is in touch. The caller holds the mutex.
 func (l *Limiter) noteContact(name string) {
 	delete(l.silent, name)
-	delete(l.gone, name)
+	delete(l.departed, name)
 }
 
 // take counts the report of a node and returns the verdicts on its tenants. The caller holds
 // the mutex.
-func (l *Limiter) take(from string, uses map[string]Usage, now time.Time) map[string]Verdict {
-	verdicts := make(map[string]Verdict, len(uses))
-	for tenant, use := range uses {
+func (l *Limiter) recordReport(from string, usages map[string]Usage, now time.Time) map[string]Verdict {
+	verdicts := make(map[string]Verdict, len(usages))
+	for tenant, usage := range usages {
 		limit, isKnown := l.options.LimitOf(tenant)
 		if !isKnown || !limit.IsBound() {
 			// The reporting node has another configuration, and holds the tenant to the limit in that.
 			verdicts[tenant] = Verdict{Share: 1}
 			continue
 		}
-		kept := l.accounts[tenant]
+		entry := l.accounts[tenant]
 		isFirst := l.isFirst(tenant)
-		if kept == nil {
+		if entry == nil {
 			since := now
 			if isFirst {
 				since = l.coordinatorsSince
 			}
-			kept = &coordinated{account: NewAccount(limit, l.options.Bounds, since, now), told: 1}
+			entry = &tenantAccount{account: NewAccount(limit, l.options.Bounds, since, now), sentShare: 1}
 			if now.Sub(l.startedAt) < l.options.Bounds.Window {
-				kept.account.SetProcessStart(l.startedAt)
+				entry.account.SetProcessStart(l.startedAt)
 			}
-			l.accounts[tenant] = kept
+			l.accounts[tenant] = entry
 		}
-		kept.isFirst = isFirst
-		contact := l.contact(kept)
-		kept.account.SetLimit(limit)
-		kept.account.AddReport(from, use, contact, now)
-		verdicts[tenant] = kept.account.Verdict(contact, now)
-		l.noteLimit(tenant, kept, verdicts[tenant], now)
-		if verdicts[tenant].Share < fallingShare*kept.told {
+		entry.isFirst = isFirst
+		view := l.view(entry)
+		entry.account.SetLimit(limit)
+		entry.account.AddReport(from, usage, view, now)
+		verdicts[tenant] = entry.account.Verdict(view, now)
+		l.trackLimit(tenant, entry, verdicts[tenant], now)
+		if verdicts[tenant].Share < urgentShareRatio*entry.sentShare {
 			signal(l.urgent)
 		}
 	}
@@ -181,29 +181,29 @@
 }
 
 // contact returns what this node knows of the others. The caller holds the mutex.
-func (l *Limiter) contact(kept *coordinated) DeploymentView {
-	return DeploymentView{IsFirst: kept.isFirst, IsSettling: l.isSettling(time.Now()), Nodes: l.nodeCount() + len(l.gone), Silent: l.silent}
+func (l *Limiter) view(entry *tenantAccount) DeploymentView {
+	return DeploymentView{IsFirst: entry.isFirst, IsSettling: l.isSettling(time.Now()), Nodes: l.nodeCount() + len(l.departed), Silent: l.silent}
 }
 
-// noteLimit follows whether a tenant is at its limit, and tells when it has come to it. The caller holds the mutex.
-func (l *Limiter) noteLimit(tenant string, kept *coordinated, verdict Verdict, now time.Time) {
+// trackLimit follows whether a tenant is at its limit, and tells when it has come to it. The caller holds the mutex.
+func (l *Limiter) trackLimit(tenant string, entry *tenantAccount, verdict Verdict, now time.Time) {
 	if verdict.Share < 1 {
-		kept.fullAt = time.Time{}
-		if kept.limitedAt.IsZero() {
-			kept.limitedAt = now
-			l.options.Events.AtLimit(tenant, verdict, kept.account.Stats(now))
+		entry.withinLimitSince = time.Time{}
+		if entry.limitedAt.IsZero() {
+			entry.limitedAt = now
+			l.options.Events.AtLimit(tenant, verdict, entry.account.Stats(now))
 		}
 		return
 	}
-	if !kept.limitedAt.IsZero() && kept.fullAt.IsZero() {
-		kept.fullAt = now
+	if !entry.limitedAt.IsZero() && entry.withinLimitSince.IsZero() {
+		entry.withinLimitSince = now
 	}
 }
 
 // encodeReport returns the message for what a node had of its tenants.
-func encodeReport(start uint64, uses map[string]Usage) *quotapb.Report {
-	message := &quotapb.Report{Start: start, Uses: make([]*quotapb.Use, 0, len(uses))}
-	for tenant, use := range uses {
+func encodeReport(incarnation uint64, usages map[string]Usage) *quotapb.Report {
+	message := &quotapb.Report{Start: incarnation, Uses: make([]*quotapb.Use, 0, len(usages))}
+	for tenant, use := range usages {
 		message.Uses = append(message.Uses, &quotapb.Use{
 			Tenant: tenant, Asked: use.Requests, Admitted: use.Admitted, NewAsked: use.NewRequests, NewAdmitted: use.NewAdmitted,
 			Recent: use.RecentRate, Entitled: use.EntitledRate, Share: use.Share,
@@ -212,14 +212,14 @@
 	return message
 }
 
-// decodeUses reverses encodeReport.
-func decodeUses(message *quotapb.Report) map[string]Usage {
-	uses := make(map[string]Usage, len(message.Uses))
+// decodeUsages reverses encodeReport.
+func decodeUsages(message *quotapb.Report) map[string]Usage {
+	usages := make(map[string]Usage, len(message.Uses))
 	for _, use := range message.Uses {
-		uses[use.Tenant] = Usage{
+		usages[use.Tenant] = Usage{
 			Incarnation: message.Start, Requests: use.Asked, Admitted: use.Admitted, NewRequests: use.NewAsked, NewAdmitted: use.NewAdmitted,
 			RecentRate: use.Recent, EntitledRate: use.Entitled, Share: use.Share,
 		}
 	}
-	return uses
+	return usages
 }
--- a/pkg/quota/series_test.go
+++ b/pkg/quota/restart_series_test.go
@@ -13,14 +13,14 @@
 )
 
 // series is a way in which nodes lose touch while their processes start again, one after the other.
-type series struct {
+type restartSeries struct {
 	name string
 	// cut puts the nodes out of touch.
-	cut func(d *deployment, tenant string)
+	isolate func(d *deployment, tenant string)
 	// restarted returns the nodes whose processes start again.
 	restarted func(d *deployment, tenant string) []int
 	// usual is for how long the tenant stays within its limit after that.
-	usual time.Duration
+	withinLimit time.Duration
 }
 
 // coordinatorsOf returns the nodes that coordinate a tenant for the whole deployment: the first one, and the one
@@ -37,7 +37,7 @@
 	return found
 }
 
-func allOf(d *deployment, _ string) []int {
+func allNodes(d *deployment, _ string) []int {
 	var found []int
 	for index := range d.nodes {
 		found = append(found, index)
@@ -45,40 +45,40 @@
 	return found
 }
 
-func coordinatorsAlone(d *deployment, tenant string) {
+func isolateCoordinators(d *deployment, tenant string) {
 	for _, index := range d.coordinatorsOf(tenant) {
-		alone(index, index+1)(d)
+		isolateEach(index, index+1)(d)
 	}
 }
 
-func firstAlone(d *deployment, tenant string) {
+func isolateFirst(d *deployment, tenant string) {
 	first := d.coordinatorsOf(tenant)[0]
-	alone(first, first+1)(d)
+	isolateEach(first, first+1)(d)
 }
 
-func allAlone(d *deployment, _ string) { alone(0, len(d.nodes))(d) }
+func isolateAll(d *deployment, _ string) { isolateEach(0, len(d.nodes))(d) }
 
-func allSeries() []series {
-	return []series{
-		{"all nodes alone, all start again", allAlone, allOf, 0},
-		{"all nodes alone for long, all start again", allAlone, allOf, 20 * time.Second},
-		{"coordinators alone, all start again", coordinatorsAlone, allOf, 0},
-		{"coordinators alone, they start again", coordinatorsAlone, (*deployment).coordinatorsOf, 0},
-		{"first coordinator alone, the other one starts again", firstAlone, func(d *deployment, tenant string) []int {
+func allRestartSeries() []restartSeries {
+	return []restartSeries{
+		{"all nodes alone, all start again", isolateAll, allNodes, 0},
+		{"all nodes alone for long, all start again", isolateAll, allNodes, 20 * time.Second},
+		{"coordinators alone, all start again", isolateCoordinators, allNodes, 0},
+		{"coordinators alone, they start again", isolateCoordinators, (*deployment).coordinatorsOf, 0},
+		{"first coordinator alone, the other one starts again", isolateFirst, func(d *deployment, tenant string) []int {
 			return d.coordinatorsOf(tenant)[1:]
 		}, 0},
-		{"first coordinator alone, all start again", firstAlone, allOf, 0},
+		{"first coordinator alone, all start again", isolateFirst, allNodes, 0},
 	}
 }
 
-// restartInSeries starts the processes of some nodes again, one after the other, each once in a span.
-func (d *deployment) restartInSeries(nodes []int, each, span time.Duration, asked load) {
+// restartOneByOne starts the processes of some nodes again, one after the other, each once in a span.
+func (d *deployment) restartOneByOne(nodes []int, roundTime, span time.Duration, traffic load) {
 	for begun, next := time.Now(), 0; time.Since(begun) < span; next++ {
 		index := nodes[next%len(nodes)]
 		d.kill(index)
 		d.start(index)
 		d.nodes[index].limiter.SetNodes(d.list())
-		d.run(each/time.Duration(len(nodes)), asked)
+		d.run(roundTime/time.Duration(len(nodes)), traffic)
 	}
 }
 
@@ -104,7 +104,7 @@
 	atOnce, later := "", ""
 	simulate(t, 12, tenants(), func(d *deployment) {
 		first := d.coordinatorOf("large")
-		alone(first, first+1)(d)
+		isolateEach(first, first+1)(d)
 		d.kill(first)
 		d.start(first)
 		d.nodes[first].limiter.SetNodes(d.list())
@@ -123,27 +123,27 @@
 func TestTheSumHoldsWhileProcessesOutOfTouchStartInSeries(t *testing.T) {
 	limits := map[string]route.RateLimit{"large": {PerSecond: 63, Burst: 63}, "small": {PerSecond: 10, Burst: 10}}
 	for tenant, limit := range limits {
-		for _, played := range allSeries() {
-			for _, each := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second} {
-				t.Run(tenant+", "+played.name+", each in "+each.String(), func(t *testing.T) {
+		for _, scenario := range allRestartSeries() {
+			for _, roundTime := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second} {
+				t.Run(tenant+", "+scenario.name+", each in "+roundTime.String(), func(t *testing.T) {
 					t.Parallel()
-					most, during := 0, 0
+					highest, during := 0, 0
 					simulate(t, 6, limits, func(d *deployment) {
 						usual, hot := d.even(tenant, limit.PerSecond/1.6), d.even(tenant, 6*limit.PerSecond)
 						d.run(3*time.Second, usual)
-						nodes := played.restarted(d, tenant)
-						if played.usual == 0 {
+						nodes := scenario.restarted(d, tenant)
+						if scenario.withinLimit == 0 {
 							d.run(3*time.Second, hot)
 						}
-						played.cut(d, tenant)
-						d.run(played.usual, usual)
+						scenario.isolate(d, tenant)
+						d.run(scenario.withinLimit, usual)
 						d.run(500*time.Millisecond, hot)
-						begun := d.moment()
-						d.restartInSeries(nodes, each, 12*time.Second, hot)
-						most, during = d.mostInWindow(tenant), d.between(tenant, begun+2*time.Second, begun+12*time.Second)
+						begun := d.elapsed()
+						d.restartOneByOne(nodes, roundTime, 12*time.Second, hot)
+						highest, during = d.maxInWindow(tenant), d.admittedBetween(tenant, begun+2*time.Second, begun+12*time.Second)
 					})
-					t.Logf("at most %d in 5 s, allowed %.0f; %.2f of the limit meanwhile", most, limitOf(limit), float64(during)/(10*limit.PerSecond))
-					NewWithT(t).Expect(float64(most)).To(BeNumerically("<=", limitOf(limit)))
+					t.Logf("at most %d in 5 s, allowed %.0f; %.2f of the limit meanwhile", highest, allowedInWindow(limit), float64(during)/(10*limit.PerSecond))
+					NewWithT(t).Expect(float64(highest)).To(BeNumerically("<=", allowedInWindow(limit)))
 				})
 			}
 		}
--- a/pkg/quota/resume_test.go
+++ b/pkg/quota/resume_test.go
@@ -11,24 +11,24 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// TestAMachineThatWasSuspendedIsOutOfTouch until a coordinator has answered: what it was told is
+// TestASuspendedMachineIsIsolatedUntilACoordinatorAnswers until a coordinator has answered: what it was told is
 // as old as the suspension was long, which its steady clock does not show.
-func TestAMachineThatWasSuspendedIsOutOfTouch(t *testing.T) {
+func TestASuspendedMachineIsIsolatedUntilACoordinatorAnswers(t *testing.T) {
 	atOnce, later := 0, 0
 	simulate(t, 12, tenants(), func(d *deployment) {
 		d.run(2*time.Second, d.even("large", 10))
-		ask := func() (admitted int) {
+		request := func() (admitted int) {
 			for range 60 {
-				if d.ask(0, "large", fmt.Sprint(d.random.Uint64())) {
+				if d.request(0, "large", fmt.Sprint(d.random.Uint64())) {
 					admitted++
 				}
 			}
 			return admitted
 		}
 		d.nodes[0].limiter.Resumed()
-		atOnce = ask()
+		atOnce = request()
 		time.Sleep(2 * time.Second)
-		later = ask()
+		later = request()
 	})
 	g := NewWithT(t)
 	g.Expect(atOnce).To(BeNumerically("<=", 1))
@@ -44,7 +44,7 @@
 	}
 	simulate(t, 4, limits, func(d *deployment) {
 		for tenant := range limits {
-			d.ask(0, tenant, "request")
+			d.request(0, tenant, "request")
 		}
 		time.Sleep(time.Second)
 		before = d.nodes[0].limiter.TenantCount()
--- a/pkg/quota/simulation_test.go
+++ b/pkg/quota/simulation_test.go
@@ -20,18 +20,18 @@
 
 var bounds = quota.Bounds{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 
-// limitOf is the bound on the requests in a window.
-func limitOf(limit route.RateLimit) float64 {
+// allowedInWindow is the bound on the requests in a window.
+func allowedInWindow(limit route.RateLimit) float64 {
 	return (limit.PerSecond*bounds.Window.Seconds()+limit.Burst)*(1+bounds.Overshoot) + bounds.Slack
 }
 
 // deployment is a number of limiters on a network under virtual time, and clients.
 type deployment struct {
-	network *peer.Network
-	nodes   []*simulated
-	random  *rand.Rand
-	limits  map[string]route.RateLimit
-	began   time.Time
+	network   *peer.Network
+	nodes     []*simulatedNode
+	random    *rand.Rand
+	limits    map[string]route.RateLimit
+	startedAt time.Time
 
 	mutex sync.Mutex
 	// admitted holds when requests of each tenant were admitted, guarded by mutex.
@@ -43,45 +43,45 @@
 }
 
 // simulated is one node.
-type simulated struct {
+type simulatedNode struct {
 	name    string
 	limiter *quota.Limiter
 	stop    context.CancelFunc
 	ended   chan struct{}
-	// hasNoTable says that the node knows no configuration yet.
-	hasNoTable atomic.Bool
+	// hasNoConfiguration says that the node knows no configuration yet.
+	hasNoConfiguration atomic.Bool
 	// isUnlisted says that the list of nodes did not hold it when its process began.
 	isUnlisted bool
 }
 
 // quiet takes no note of events.
-type quiet struct{}
+type ignoredEvents struct{}
 
-func (quiet) AtLimit(string, quota.Verdict, quota.AccountStats)    {}
-func (quiet) BelowLimit(string, quota.AccountStats, time.Duration) {}
-func (quiet) CoordinatorLost(string, error)                        {}
-func (quiet) CoordinatorRegained(string)                           {}
+func (ignoredEvents) AtLimit(string, quota.Verdict, quota.AccountStats)    {}
+func (ignoredEvents) BelowLimit(string, quota.AccountStats, time.Duration) {}
+func (ignoredEvents) CoordinatorLost(string, error)                        {}
+func (ignoredEvents) CoordinatorRegained(string)                           {}
 
 // simulate runs body with a deployment whose nodes lie 12 ms from each other.
 func simulate(t testing.TB, count int, limits map[string]route.RateLimit, body func(d *deployment)) {
 	t.Helper()
-	simulateSeed(t, usualSeed, count, limits, body)
+	simulateSeed(t, defaultSeed, count, limits, body)
 }
 
-// usualSeed is the seed of the requests of all simulations but those that say another one.
-const usualSeed = 7
+// defaultSeed is the seed of the requests of all simulations but those that say another one.
+const defaultSeed = 7
 
 func simulateSeed(t testing.TB, seed uint64, count int, limits map[string]route.RateLimit, body func(d *deployment)) {
 	t.Helper()
-	play(t, count, func() {
+	runInVirtualTime(t, count, func() {
 		d := &deployment{
-			network: peer.NewNetwork(1), random: rand.New(rand.NewPCG(seed, seed)), limits: limits, began: time.Now(),
+			network: peer.NewNetwork(1), random: rand.New(rand.NewPCG(seed, seed)), limits: limits, startedAt: time.Now(),
 			admitted: make(map[string][]time.Duration), refused: make(map[string]int),
 			refusing: make(map[peer.Address]bool),
 		}
 		d.network.SetLatency(func(_, _ peer.Address) time.Duration { return 12 * time.Millisecond })
 		for index := range count {
-			d.nodes = append(d.nodes, &simulated{name: fmt.Sprintf("node-%d", index)})
+			d.nodes = append(d.nodes, &simulatedNode{name: fmt.Sprintf("node-%d", index)})
 			d.start(index)
 		}
 		d.setNodes()
@@ -97,20 +97,20 @@
 	})
 }
 
-// nodesAtOnce bounds the nodes of the simulations that run together: under the race detector each
+// maxSimulatedNodes bounds the nodes of the simulations that run together: under the race detector each
 // of them takes some 25 MB, and tests that run in parallel are as many as there are processors.
-const nodesAtOnce = 335
+const maxSimulatedNodes = 335
 
-var playing = semaphore.NewWeighted(nodesAtOnce)
+var simulationSlots = semaphore.NewWeighted(maxSimulatedNodes)
 
 // play runs body, a simulation of a number of nodes, under virtual time. A benchmark has none of its
 // own: it runs in that of a test.
-func play(t testing.TB, nodes int, body func()) {
-	taken := int64(min(nodes, nodesAtOnce))
-	if err := playing.Acquire(context.Background(), taken); err != nil {
+func runInVirtualTime(t testing.TB, nodes int, body func()) {
+	taken := int64(min(nodes, maxSimulatedNodes))
+	if err := simulationSlots.Acquire(context.Background(), taken); err != nil {
 		t.Fatal(err)
 	}
-	defer playing.Release(taken)
+	defer simulationSlots.Release(taken)
 	if test, isTest := t.(*testing.T); isTest {
 		synctest.Test(test, func(*testing.T) { body() })
 		return
@@ -126,14 +126,14 @@
 	isUnlisted := node.isUnlisted
 	ctx, cancel := context.WithCancel(context.Background())
 	node.limiter = quota.New(quota.Options{
-		Local: node.name, Zone: zoneOf(index), Bounds: bounds, Transport: refusable{d.network.Transport(peer.Address(node.name)), d}, Events: quiet{},
+		Local: node.name, Zone: zoneOf(index), Bounds: bounds, Transport: refusingTransport{d.network.Transport(peer.Address(node.name)), d}, Events: ignoredEvents{},
 		LimitOf: func(tenant string) (route.RateLimit, bool) {
 			d.mutex.Lock()
 			defer d.mutex.Unlock()
 			found, isKnown := d.limits[tenant]
-			return found, isKnown && !node.hasNoTable.Load()
+			return found, isKnown && !node.hasNoConfiguration.Load()
 		},
-		KnowsTenants: func() bool { return !node.hasNoTable.Load() },
+		KnowsTenants: func() bool { return !node.hasNoConfiguration.Load() },
 		WasListed:    func() bool { return !isUnlisted },
 		Incarnation:  d.random.Uint64(),
 	})
@@ -192,12 +192,12 @@
 
 // run plays loads for a span: Poisson arrivals, in steps of a millisecond.
 func (d *deployment) run(span time.Duration, loads ...load) {
-	cumulated := make([][]float64, len(loads))
-	for index, played := range loads {
+	cumulative := make([][]float64, len(loads))
+	for index, traffic := range loads {
 		sum := 0.0
-		for _, weight := range played.weights {
+		for _, weight := range traffic.weights {
 			sum += weight
-			cumulated[index] = append(cumulated[index], sum)
+			cumulative[index] = append(cumulative[index], sum)
 		}
 	}
 	next := make([]float64, len(loads))
@@ -205,17 +205,17 @@
 		next[index] = d.random.ExpFloat64() / loads[index].perSecond
 	}
 	for begun := time.Now(); time.Since(begun) < span; time.Sleep(time.Millisecond) {
-		for index, played := range loads {
-			for ; next[index] <= time.Since(begun).Seconds(); next[index] += d.random.ExpFloat64() / played.perSecond {
-				node := sort.SearchFloat64s(cumulated[index], d.random.Float64()*cumulated[index][len(cumulated[index])-1])
-				d.ask(min(node, len(d.nodes)-1), played.tenant, fmt.Sprint(d.random.Uint64()))
+		for index, traffic := range loads {
+			for ; next[index] <= time.Since(begun).Seconds(); next[index] += d.random.ExpFloat64() / traffic.perSecond {
+				node := sort.SearchFloat64s(cumulative[index], d.random.Float64()*cumulative[index][len(cumulative[index])-1])
+				d.request(min(node, len(d.nodes)-1), traffic.tenant, fmt.Sprint(d.random.Uint64()))
 			}
 		}
 	}
 }
 
 // ask sends one request to a node, and reports whether it was admitted.
-func (d *deployment) ask(node int, tenant, id string) bool {
+func (d *deployment) request(node int, tenant, id string) bool {
 	d.mutex.Lock()
 	limit := d.limits[tenant]
 	d.mutex.Unlock()
@@ -225,39 +225,39 @@
 		d.waits = append(d.waits, decision.RetryAfter)
 		return false
 	}
-	d.admitted[tenant] = append(d.admitted[tenant], time.Since(d.began))
+	d.admitted[tenant] = append(d.admitted[tenant], time.Since(d.startedAt))
 	return true
 }
 
 // moment returns the time since the deployment began.
-func (d *deployment) moment() time.Duration { return time.Since(d.began) }
+func (d *deployment) elapsed() time.Duration { return time.Since(d.startedAt) }
 
-// mostInWindow returns the greatest number of admitted requests in any window.
-func (d *deployment) mostInWindow(tenant string) int {
-	admitted, most, first := d.admitted[tenant], 0, 0
+// maxInWindow returns the greatest number of admitted requests in any window.
+func (d *deployment) maxInWindow(tenant string) int {
+	admitted, highest, first := d.admitted[tenant], 0, 0
 	for index, at := range admitted {
 		for admitted[first] <= at-bounds.Window {
 			first++
 		}
-		most = max(most, index-first+1)
+		highest = max(highest, index-first+1)
 	}
-	return most
+	return highest
 }
 
-// leastInWindow returns the least number in the windows that begin and end between two moments.
-func (d *deployment) leastInWindow(tenant string, from, to time.Duration) int {
-	least := -1
+// minInWindow returns the least number in the windows that begin and end between two moments.
+func (d *deployment) minInWindow(tenant string, from, to time.Duration) int {
+	lowest := -1
 	for begin := from; begin+bounds.Window <= to; begin += 50 * time.Millisecond {
-		count := d.between(tenant, begin, begin+bounds.Window)
-		if least < 0 || count < least {
-			least = count
+		count := d.admittedBetween(tenant, begin, begin+bounds.Window)
+		if lowest < 0 || count < lowest {
+			lowest = count
 		}
 	}
-	return least
+	return lowest
 }
 
 // between returns the number of admitted requests between two moments.
-func (d *deployment) between(tenant string, from, to time.Duration) int {
+func (d *deployment) admittedBetween(tenant string, from, to time.Duration) int {
 	admitted := d.admitted[tenant]
 	return sort.Search(len(admitted), func(i int) bool { return admitted[i] >= to }) -
 		sort.Search(len(admitted), func(i int) bool { return admitted[i] >= from })
@@ -273,8 +273,8 @@
 }
 
 // sent returns the messages that all nodes sent.
-func (d *deployment) sent() quota.MessagesSent {
-	var sum quota.MessagesSent
+func (d *deployment) sent() quota.MessageCounts {
+	var sum quota.MessageCounts
 	for _, node := range d.nodes {
 		sent := node.limiter.MessagesSent()
 		sum.Reports += sent.Reports
--- a/pkg/quota/snapshot.go
+++ b/pkg/quota/snapshot.go
@@ -128,9 +128,9 @@
 
 // copyCoordinated copies what the accounts hold. The caller holds the mutex.
 func (l *Limiter) copyCoordinated(copied *Snapshot, tenant string, now time.Time) {
-	var chosen largest
-	offer := func(name string, kept *coordinated) {
-		if kept != nil && kept.isInUse(now) {
+	var chosen largestTenants
+	offer := func(name string, entry *tenantAccount) {
+		if entry != nil && entry.isInUse(now) {
 			limit, _ := l.options.LimitOf(name)
 			chosen.offer(name, limit)
 		}
@@ -138,19 +138,19 @@
 	if tenant != "" {
 		offer(tenant, l.accounts[tenant])
 	} else {
-		for name, kept := range l.accounts {
-			offer(name, kept)
+		for name, entry := range l.accounts {
+			offer(name, entry)
 		}
 	}
 	copied.CoordinatedLeftOut = chosen.leftOut
 	copied.Coordinated = make([]CoordinatedTenant, 0, len(chosen.kept))
 	for _, one := range chosen.kept {
-		kept := l.accounts[one.tenant]
-		found := kept.account.view(l.isFirst(one.tenant), now)
+		entry := l.accounts[one.tenant]
+		found := entry.account.view(l.isFirst(one.tenant), now)
 		// An account takes a new limit with the next report only.
-		found.Tenant, found.Limit, found.AtLimitSince = one.tenant, one.limit, kept.limitedAt
+		found.Tenant, found.Limit, found.AtLimitSince = one.tenant, one.limit, entry.limitedAt
 		if tenant != "" {
-			found.Reporters = kept.account.reporters(now)
+			found.Reporters = entry.account.reporters(now)
 		}
 		copied.Coordinated = append(copied.Coordinated, found)
 	}
@@ -158,13 +158,13 @@
 
 // isInUse reports whether nodes report the tenant here. A node that stood in for a coordinator keeps the
 // account for a while after that one is back.
-func (c *coordinated) isInUse(now time.Time) bool {
-	return !c.limitedAt.IsZero() || now.Sub(c.account.usedAt) <= entrySpan
+func (t *tenantAccount) isInUse(now time.Time) bool {
+	return !t.limitedAt.IsZero() || now.Sub(t.account.lastReportAt) <= reportRetention
 }
 
 // copyServed copies what the meters hold. The caller holds the mutex.
 func (l *Limiter) copyServed(copied *Snapshot, tenant string, now time.Time) {
-	var chosen largest
+	var chosen largestTenants
 	if limit, isKnown := l.options.LimitOf(tenant); tenant != "" && (isKnown || l.tallies[tenant] != nil) {
 		chosen.offer(tenant, limit)
 	}
@@ -183,21 +183,21 @@
 
 // served returns what is known of one tenant at this node. The caller holds the mutex.
 func (l *Limiter) served(one sizedTenant, now time.Time) ServedTenant {
-	counted, held := l.tallies[one.tenant], l.meters[one.tenant]
+	counted, entry := l.tallies[one.tenant], l.meters[one.tenant]
 	if counted == nil {
 		counted = &tally{}
 	}
 	found := ServedTenant{
-		Tenant: one.tenant, Limit: one.limit, Admitted: counted.admitted, Refused: make(map[Refusal]uint64), IsIdle: held == nil,
+		Tenant: one.tenant, Limit: one.limit, Admitted: counted.admitted, Refused: make(map[Refusal]uint64), IsIdle: entry == nil,
 	}
 	for _, reason := range Refusals() {
 		if count := counted.refused[reason]; count > 0 {
 			found.Refused[reason] = count
 		}
 	}
-	if held != nil {
-		found.Mode, found.Coordinator = held.meter.standing, l.coordinator(held.ranked)
-		held.meter.view(&found, now)
+	if entry != nil {
+		found.Mode, found.Coordinator = entry.meter.mode, l.coordinator(entry.ranked)
+		entry.meter.view(&found, now)
 	}
 	return found
 }
@@ -208,20 +208,20 @@
 	copied := *a
 	copied.bucket.settle(now)
 	found := CoordinatedTenant{
-		IsFirst: isFirst, RequestsPerSecond: a.steady.read(now), Share: copied.share(now), Tokens: copied.bucket.level,
-		ReservedPerSecond: a.keptBack,
+		IsFirst: isFirst, RequestsPerSecond: a.steadyRate.read(now), Share: copied.share(now), Tokens: copied.bucket.level,
+		ReservedPerSecond: a.reservedRate,
 	}
-	if now.Sub(a.usedAt) <= entrySpan {
-		found.Reporting = len(a.nodes)
+	if now.Sub(a.lastReportAt) <= reportRetention {
+		found.Reporting = len(a.reports)
 	}
 	return found
 }
 
-// reporters returns the nodes that reported in the last entrySpan.
+// reporters returns the nodes that reported in the last reportRetention.
 func (a *Account) reporters(now time.Time) []string {
-	names := make([]string, 0, len(a.nodes))
-	for name, node := range a.nodes {
-		if now.Sub(node.at) <= entrySpan {
+	names := make([]string, 0, len(a.reports))
+	for name, node := range a.reports {
+		if now.Sub(node.at) <= reportRetention {
 			names = append(names, name)
 		}
 	}
@@ -230,16 +230,16 @@
 
 // view fills in the state of a meter as it is at a moment.
 func (m *Meter) view(found *ServedTenant, now time.Time) {
-	lately := m.lately
+	lately := m.admittedInWindow
 	found.AdmittedInWindow = lately.read(now)
-	found.Share, found.ShareReceivedAt = m.share, m.toldAt
-	found.IsShareStale = m.share < 1 && now.Sub(m.toldAt) > shareAge
+	found.Share, found.ShareReceivedAt = m.share, m.verdictAt
+	found.IsShareStale = m.share < 1 && now.Sub(m.verdictAt) > maxShareAge
 	found.EntitledPerSecond = m.entitlement(now)
 }
 
 // largest keeps the tenants with the greatest limits of the configuration in force. Nodes with the same
 // configuration leave out the same tenants, so that what they say of the others can be added up.
-type largest struct {
+type largestTenants struct {
 	kept    []sizedTenant
 	leftOut int
 }
@@ -251,7 +251,7 @@
 }
 
 // offer keeps a tenant if it is among the largest.
-func (c *largest) offer(tenant string, limit route.RateLimit) {
+func (c *largestTenants) offer(tenant string, limit route.RateLimit) {
 	offered := sizedTenant{tenant, limit}
 	position, _ := slices.BinarySearchFunc(c.kept, offered, compareSizes)
 	if position < snapshotTenants {
--- a/pkg/quota/snapshot_test.go
+++ b/pkg/quota/snapshot_test.go
@@ -23,8 +23,8 @@
 	return all
 }
 
-// firstOf returns what the tenant's first coordinators say, with the snapshot of the last one.
-func firstOf(all []quota.Snapshot) ([]quota.CoordinatedTenant, quota.Snapshot) {
+// firstCoordinators returns what the tenant's first coordinators say, with the snapshot of the last one.
+func firstCoordinators(all []quota.Snapshot) ([]quota.CoordinatedTenant, quota.Snapshot) {
 	var found []quota.CoordinatedTenant
 	var from quota.Snapshot
 	for _, one := range all {
@@ -38,7 +38,7 @@
 }
 
 // summed is what the nodes that serve a tenant add up to.
-type summed struct {
+type servedTotals struct {
 	admitted int64
 	refused  map[quota.Refusal]uint64
 	window   float64
@@ -46,8 +46,8 @@
 	standing map[quota.Mode]int
 }
 
-func sumServed(all []quota.Snapshot) summed {
-	sum := summed{refused: make(map[quota.Refusal]uint64), standing: make(map[quota.Mode]int)}
+func sumServed(all []quota.Snapshot) servedTotals {
+	sum := servedTotals{refused: make(map[quota.Refusal]uint64), standing: make(map[quota.Mode]int)}
 	for _, one := range all {
 		for _, served := range one.Served {
 			sum.admitted += served.Admitted
@@ -62,7 +62,7 @@
 	return sum
 }
 
-func (s summed) allRefused() uint64 {
+func (s servedTotals) totalRefused() uint64 {
 	sum := uint64(0)
 	for _, count := range s.refused {
 		sum += count
@@ -70,9 +70,9 @@
 	return sum
 }
 
-// TestSnapshotsAddUpToWhatWasDecided: the coordinator tells of the limit and of what is asked of all
+// TestSnapshotsAddUpToAllDecisions: the coordinator tells of the limit and of what is asked of all
 // nodes, and the counts of all nodes are all requests.
-func TestSnapshotsAddUpToWhatWasDecided(t *testing.T) {
+func TestSnapshotsAddUpToAllDecisions(t *testing.T) {
 	const tenant, count = "medium", 12
 	var all, idle []quota.Snapshot
 	admitted, refused, lately, coordinator := 0, 0, 0, ""
@@ -82,33 +82,33 @@
 		d.run(10*time.Second, d.skewed(tenant, 80))
 		all = d.snapshots(tenant)
 		admitted, refused = len(d.admitted[tenant]), d.refused[tenant]
-		lately = d.between(tenant, d.moment()-bounds.Window, d.moment())
+		lately = d.admittedBetween(tenant, d.elapsed()-bounds.Window, d.elapsed())
 		time.Sleep(2 * time.Minute)
 		idle = d.snapshots(tenant)
 	})
 	g := NewWithT(t)
-	first, from := firstOf(all)
+	first, from := firstCoordinators(all)
 	g.Expect(first).To(HaveLen(1))
 	g.Expect(from.Node).To(Equal(coordinator))
 	g.Expect(from.Nodes).To(Equal(count))
 	g.Expect(from.Silent).To(BeEmpty())
-	told := first[0]
-	g.Expect(told.Tenant).To(Equal(tenant))
-	g.Expect(told.Limit).To(Equal(tenants()[tenant]))
-	g.Expect(told.RequestsPerSecond).To(BeNumerically("~", 80, 25))
-	g.Expect(told.Share).To(BeNumerically("<", 0.6))
-	g.Expect(told.AtLimitSince).NotTo(BeZero())
-	g.Expect(told.Reporting).To(Equal(count))
-	g.Expect(told.Reporters).To(HaveLen(count))
-	g.Expect(told.ReservedPerSecond).To(BeZero())
+	coordinated := first[0]
+	g.Expect(coordinated.Tenant).To(Equal(tenant))
+	g.Expect(coordinated.Limit).To(Equal(tenants()[tenant]))
+	g.Expect(coordinated.RequestsPerSecond).To(BeNumerically("~", 80, 25))
+	g.Expect(coordinated.Share).To(BeNumerically("<", 0.6))
+	g.Expect(coordinated.AtLimitSince).NotTo(BeZero())
+	g.Expect(coordinated.Reporting).To(Equal(count))
+	g.Expect(coordinated.Reporters).To(HaveLen(count))
+	g.Expect(coordinated.ReservedPerSecond).To(BeZero())
 	sum := sumServed(all)
 	g.Expect(sum.admitted).To(Equal(int64(admitted)))
-	g.Expect(sum.allRefused()).To(Equal(uint64(refused)))
+	g.Expect(sum.totalRefused()).To(Equal(uint64(refused)))
 	g.Expect(sum.refused[quota.BeyondShare]).To(BeNumerically(">", refused/2))
 	g.Expect(sum.refused).NotTo(HaveKey(quota.BeyondEntitlement))
 	g.Expect(sum.standing).To(Equal(map[quota.Mode]int{quota.WithFirst: count}))
 	g.Expect(sum.window).To(BeNumerically("~", lately, 10))
-	g.Expect(sum.entitled).To(BeNumerically("<=", 1.3*told.Limit.PerSecond))
+	g.Expect(sum.entitled).To(BeNumerically("<=", 1.3*coordinated.Limit.PerSecond))
 	for _, one := range all {
 		g.Expect(one.Served[0].Coordinator).To(Equal(coordinator))
 		g.Expect(one.At.Sub(one.Served[0].ShareReceivedAt)).To(BeNumerically("<", time.Second))
@@ -118,13 +118,13 @@
 	g.Expect(after.admitted).To(Equal(sum.admitted), "counts outlive the meters of idle tenants")
 	g.Expect(after.refused).To(Equal(sum.refused))
 	g.Expect(idle[0].Served[0].IsIdle).To(BeTrue())
-	gone, _ := firstOf(idle)
+	gone, _ := firstCoordinators(idle)
 	g.Expect(gone).To(BeEmpty())
 }
 
-// TestASnapshotTellsWhichNodesAreOutOfTouch: the coordinator names them and keeps back for them, and
+// TestASnapshotNamesSilentNodes: the coordinator names them and keeps back for them, and
 // they say that they decide alone.
-func TestASnapshotTellsWhichNodesAreOutOfTouch(t *testing.T) {
+func TestASnapshotNamesSilentNodes(t *testing.T) {
 	const tenant, count = "medium", 12
 	var all []quota.Snapshot
 	cut, name := 0, ""
@@ -136,13 +136,13 @@
 			cut--
 		}
 		name = d.nodes[cut].name
-		alone(cut, cut+1)(d)
+		isolateEach(cut, cut+1)(d)
 		// For longer than a report counts.
 		d.run(12*time.Second, hot)
 		all = d.snapshots(tenant)
 	})
 	g := NewWithT(t)
-	first, from := firstOf(all)
+	first, from := firstCoordinators(all)
 	g.Expect(first).To(HaveLen(1))
 	g.Expect(from.Silent).To(Equal([]string{name}))
 	g.Expect(from.SilentCount).To(Equal(1))
@@ -167,8 +167,8 @@
 		limits[fmt.Sprint("tenant-", number)] = route.RateLimit{PerSecond: float64(number), Burst: 1}
 	}
 	limiter := quota.New(quota.Options{
-		Local: "node-0", Zone: "zone", Bounds: bounds, Events: quiet{}, Incarnation: 1,
-		Transport:    &answering{handlers: make(map[peer.Kind]peer.Handler)},
+		Local: "node-0", Zone: "zone", Bounds: bounds, Events: ignoredEvents{}, Incarnation: 1,
+		Transport:    &countingTransport{handlers: make(map[peer.Kind]peer.Handler)},
 		LimitOf:      func(tenant string) (route.RateLimit, bool) { limit, isKnown := limits[tenant]; return limit, isKnown },
 		KnowsTenants: func() bool { return true },
 	})
@@ -191,11 +191,11 @@
 	return limiter
 }
 
-// TestASnapshotIsBound, holds the greatest limits and says how many it left out; a tenant that is
+// TestASnapshotIsBounded, holds the greatest limits and says how many it left out; a tenant that is
 // asked for by name is there whatever its limit.
-func TestASnapshotIsBound(t *testing.T) {
+func TestASnapshotIsBounded(t *testing.T) {
 	var all, one, none quota.Snapshot
-	play(t, 1, func() {
+	runInVirtualTime(t, 1, func() {
 		limiter := limiterOfMany(nil)
 		all, one, none = limiter.Snapshot(""), limiter.Snapshot("tenant-1"), limiter.Snapshot("tenant-0")
 	})
@@ -223,11 +223,11 @@
 	started := quota.NewMeter("caller", limit, bounds, 67, false, start)
 	started.SetProcessStart(start)
 	for reason, meter := range map[quota.Refusal]*quota.Meter{
-		quota.BeyondShare:       inTouch(limit, 0.01, 0),
-		quota.Unacknowledged:    inTouch(limit, 1, 0),
-		quota.InDoubt:           inTouch(route.RateLimit{PerSecond: 5, Burst: 100}, 1, 0),
+		quota.BeyondShare:       meterWithShare(limit, 0.01, 0),
+		quota.Unacknowledged:    meterWithShare(limit, 1, 0),
+		quota.InDoubt:           meterWithShare(route.RateLimit{PerSecond: 5, Burst: 100}, 1, 0),
 		quota.BeyondEntitlement: quota.NewMeter("caller", limit, bounds, 67, false, start),
-		quota.ShareTooOld:       inTouch(limit, 0.01, 0),
+		quota.ShareTooOld:       meterWithShare(limit, 0.01, 0),
 		quota.JustStarted:       started,
 	} {
 		t.Run(reason.String(), func(t *testing.T) {
@@ -251,10 +251,10 @@
 	NewWithT(t).Expect(quota.Refusals()).To(HaveLen(6))
 }
 
-// TestARequestThatDidNotRunIsTakenOff the count of admitted ones.
-func TestARequestThatDidNotRunIsTakenOff(t *testing.T) {
+// TestARefundedRequestIsNotCounted the count of admitted ones.
+func TestARefundedRequestIsNotCounted(t *testing.T) {
 	var before, after quota.Snapshot
-	play(t, 1, func() {
+	runInVirtualTime(t, 1, func() {
 		limiter := limiterOfMany(nil)
 		before = limiter.Snapshot("tenant-300")
 		limiter.Refund("tenant-300")
@@ -265,13 +265,13 @@
 	g.Expect(after.Served[0].Admitted).To(BeZero())
 }
 
-// TestASnapshotGoesByTheLimitsInForce, also for tenants that were not asked for since these were
+// TestASnapshotHoldsTheLimitsInForce, also for tenants that were not asked for since these were
 // changed: the list holds and orders all tenants by the limits that it tells.
-func TestASnapshotGoesByTheLimitsInForce(t *testing.T) {
+func TestASnapshotHoldsTheLimitsInForce(t *testing.T) {
 	const raised, lowered = "tenant-1", "tenant-300"
 	limits := map[string]route.RateLimit{raised: {PerSecond: 1000, Burst: 7}, lowered: {PerSecond: 0.5, Burst: 1}}
 	var all, one quota.Snapshot
-	play(t, 1, func() {
+	runInVirtualTime(t, 1, func() {
 		limiter := limiterOfMany(limits)
 		all, one = limiter.Snapshot(""), limiter.Snapshot(lowered)
 	})
@@ -295,8 +295,8 @@
 		limits[fmt.Sprint("tenant-", number)] = route.RateLimit{PerSecond: float64(number), Burst: 5}
 	}
 	limiter := quota.New(quota.Options{
-		Local: "node-0", Zone: "zone", Bounds: bounds, Events: quiet{}, Incarnation: 1,
-		Transport:    &answering{handlers: make(map[peer.Kind]peer.Handler)},
+		Local: "node-0", Zone: "zone", Bounds: bounds, Events: ignoredEvents{}, Incarnation: 1,
+		Transport:    &countingTransport{handlers: make(map[peer.Kind]peer.Handler)},
 		LimitOf:      func(tenant string) (route.RateLimit, bool) { limit, isKnown := limits[tenant]; return limit, isKnown },
 		KnowsTenants: func() bool { return true },
 	})
--- a/pkg/quota/starting_account_test.go
+++ b/pkg/quota/startup_account_test.go
@@ -20,10 +20,10 @@
 		account.SetProcessStart(start)
 		for number := range 10 {
 			now = now.Add(50 * time.Millisecond)
-			use := quota.Usage{Incarnation: 1, Requests: uint64(asked), Admitted: int64(admitted), NewRequests: 1, NewAdmitted: int64(admitted), Share: 1}
-			account.AddReport(fmt.Sprint(number), use, first, now)
+			usage := quota.Usage{Incarnation: 1, Requests: uint64(asked), Admitted: int64(admitted), NewRequests: 1, NewAdmitted: int64(admitted), Share: 1}
+			account.AddReport(fmt.Sprint(number), usage, firstCoordinatorView, now)
 		}
-		return account.Verdict(first, now).Share
+		return account.Verdict(firstCoordinatorView, now).Share
 	}
 	g.Expect(shareAfter(100, 20)).To(BeNumerically("<=", 0.01))
 	g.Expect(shareAfter(3, 3)).To(BeEquivalentTo(1))
@@ -38,12 +38,12 @@
 	for number := range 3 {
 		g.Expect(meter.Admit(fmt.Sprint(number), start).IsAdmitted).To(BeTrue())
 	}
-	use, _ := meter.Report(1, start)
-	meter.Acknowledge(use, quota.Verdict{Share: 1, IsFirst: true}, start)
+	usage, _ := meter.Report(1, start)
+	meter.Acknowledge(usage, quota.Verdict{Share: 1, IsFirst: true}, start)
 	g.Expect(meter.Admit("another", start).IsAdmitted).To(BeTrue())
-	use, _ = meter.Report(1, start)
-	g.Expect(use.NewAdmitted).To(BeEquivalentTo(4))
-	g.Expect(use.NewRequests).To(BeEquivalentTo(1))
-	use, _ = meter.Report(1, start.Add(bounds.Window))
-	g.Expect(use.NewAdmitted).To(BeEquivalentTo(1))
+	usage, _ = meter.Report(1, start)
+	g.Expect(usage.NewAdmitted).To(BeEquivalentTo(4))
+	g.Expect(usage.NewRequests).To(BeEquivalentTo(1))
+	usage, _ = meter.Report(1, start.Add(bounds.Window))
+	g.Expect(usage.NewAdmitted).To(BeEquivalentTo(1))
 }
--- a/pkg/quota/starting_test.go
+++ b/pkg/quota/startup_test.go
@@ -13,31 +13,31 @@
 	for tenant, limit := range tenants() {
 		t.Run(tenant, func(t *testing.T) {
 			t.Parallel()
-			most := 0
+			highest := 0
 			simulate(t, 67, tenants(), func(d *deployment) {
 				usual := limit.PerSecond / 1.6
 				coordinator := d.coordinatorOf(tenant)
 				others := d.skewed(tenant, 12*usual)
 				others.weights[coordinator] = 0
 				d.run(6*time.Second, others)
-				d.nodes[coordinator].hasNoTable.Store(true)
+				d.nodes[coordinator].hasNoConfiguration.Store(true)
 				d.kill(coordinator)
 				d.start(coordinator)
 				d.nodes[coordinator].limiter.SetNodes(d.list())
 				d.run(2*time.Second, others)
-				d.nodes[coordinator].hasNoTable.Store(false)
+				d.nodes[coordinator].hasNoConfiguration.Store(false)
 				d.run(8*time.Second, others)
-				most = d.mostInWindow(tenant)
+				highest = d.maxInWindow(tenant)
 			})
-			t.Logf("at most %d in 5 s, allowed %.0f", most, limitOf(limit))
-			NewWithT(t).Expect(float64(most)).To(BeNumerically("<=", limitOf(limit)))
+			t.Logf("at most %d in 5 s, allowed %.0f", highest, allowedInWindow(limit))
+			NewWithT(t).Expect(float64(highest)).To(BeNumerically("<=", allowedInWindow(limit)))
 		})
 	}
 }
 
 // TestACoordinatorThatHasStartedIsTurnedToAtOnce by nodes that report to a stand-in: while they do, both grant the limit.
 func TestACoordinatorThatHasStartedIsTurnedToAtOnce(t *testing.T) {
-	turned, count := 0, 67
+	reporting, count := 0, 67
 	simulate(t, count, tenants(), func(d *deployment) {
 		first := d.coordinatorOf("large")
 		d.kill(first)
@@ -49,16 +49,16 @@
 		d.run(500*time.Millisecond, others)
 		for _, node := range d.nodes {
 			if node.limiter.Coordinator("large") == d.nodes[first].name {
-				turned++
+				reporting++
 			}
 		}
 	})
-	NewWithT(t).Expect(turned).To(Equal(count))
+	NewWithT(t).Expect(reporting).To(Equal(count))
 }
 
-// TestACoordinatorThatKnewNoOthersIsTurnedToAtOnce: it has read its own entry before those of the others.
-func TestACoordinatorThatKnewNoOthersIsTurnedToAtOnce(t *testing.T) {
-	turned, count := 0, 67
+// TestACoordinatorThatKnewNoOthersIsUsedAtOnce: it has read its own entry before those of the others.
+func TestACoordinatorThatKnewNoOthersIsUsedAtOnce(t *testing.T) {
+	reporting, count := 0, 67
 	simulate(t, count, tenants(), func(d *deployment) {
 		first := d.coordinatorOf("large")
 		d.kill(first)
@@ -72,9 +72,9 @@
 		d.run(500*time.Millisecond, others)
 		for _, node := range d.nodes {
 			if node.limiter.Coordinator("large") == d.nodes[first].name {
-				turned++
+				reporting++
 			}
 		}
 	})
-	NewWithT(t).Expect(turned).To(Equal(count))
+	NewWithT(t).Expect(reporting).To(Equal(count))
 }
--- a/pkg/quota/stop_test.go
+++ b/pkg/quota/stop_test.go
@@ -19,28 +19,28 @@
 )
 
 // answering is a transport on which every call is answered, and which counts them.
-type answering struct {
+type countingTransport struct {
 	calls    atomic.Int64
 	handlers map[peer.Kind]peer.Handler
 }
 
-func (a *answering) Call(context.Context, peer.Address, peer.Kind, proto.Message, proto.Message) error {
+func (a *countingTransport) Call(context.Context, peer.Address, peer.Kind, proto.Message, proto.Message) error {
 	a.calls.Add(1)
 	return nil
 }
 
-func (a *answering) Handle(kind peer.Kind, handler peer.Handler) { a.handlers[kind] = handler }
+func (a *countingTransport) Handle(kind peer.Kind, handler peer.Handler) { a.handlers[kind] = handler }
 
-func (a *answering) Address() peer.Address { return "node-0" }
+func (a *countingTransport) Address() peer.Address { return "node-0" }
 
 // TestANodeThatHasStoppedCallsNobody, whatever others still tell it: nothing waits for such a call.
 func TestANodeThatHasStoppedCallsNobody(t *testing.T) {
 	before, after := int64(0), int64(0)
 	synctest.Test(t, func(t *testing.T) {
-		transport := &answering{handlers: make(map[peer.Kind]peer.Handler)}
+		transport := &countingTransport{handlers: make(map[peer.Kind]peer.Handler)}
 		limit := route.RateLimit{PerSecond: 5, Burst: 5}
 		limiter := quota.New(quota.Options{
-			Local: "node-0", Zone: "zone", Bounds: bounds, Transport: transport, Events: quiet{},
+			Local: "node-0", Zone: "zone", Bounds: bounds, Transport: transport, Events: ignoredEvents{},
 			LimitOf:      func(string) (route.RateLimit, bool) { return limit, true },
 			KnowsTenants: func() bool { return true },
 		})
--- a/pkg/quota/tally.go
+++ b/pkg/quota/tally.go
@@ -18,12 +18,12 @@
 
 // tallyOf returns the tally of a tenant, a new one if there is none. The caller holds the mutex.
 func (l *Limiter) tallyOf(tenant string) *tally {
-	counted := l.tallies[tenant]
-	if counted == nil {
-		counted = &tally{}
-		l.tallies[tenant] = counted
+	found := l.tallies[tenant]
+	if found == nil {
+		found = &tally{}
+		l.tallies[tenant] = found
 	}
-	return counted
+	return found
 }
 
 // forgetTallies forgets the counts of tenants that are in no configuration any more. The caller holds
--- a/pkg/quota/unlimited_test.go
+++ b/pkg/quota/unlimited_test.go
@@ -16,14 +16,14 @@
 )
 
 // counted counts what is told of tenants.
-type counted struct {
-	quiet
+type countingEvents struct {
+	ignoredEvents
 	atLimit, belowLimit atomic.Int64
 }
 
-func (c *counted) AtLimit(string, quota.Verdict, quota.AccountStats) { c.atLimit.Add(1) }
+func (c *countingEvents) AtLimit(string, quota.Verdict, quota.AccountStats) { c.atLimit.Add(1) }
 
-func (c *counted) BelowLimit(string, quota.AccountStats, time.Duration) { c.belowLimit.Add(1) }
+func (c *countingEvents) BelowLimit(string, quota.AccountStats, time.Duration) { c.belowLimit.Add(1) }
 
 // TestATenantThatLosesItsLimitIsNoLongerAtIt: what was told to begin is told to end.
 func TestATenantThatLosesItsLimitIsNoLongerAtIt(t *testing.T) {
@@ -35,13 +35,13 @@
 		"no longer a tenant": {route.RateLimit{}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			events := &counted{}
+			events := &countingEvents{}
 			synctest.Test(t, func(t *testing.T) {
 				limit := route.RateLimit{PerSecond: 5, Burst: 5}
 				var isOver atomic.Bool
 				limiter := quota.New(quota.Options{
 					Local: "node-0", Zone: "zone", Bounds: bounds, Events: events, Incarnation: 1,
-					Transport: &answering{handlers: make(map[peer.Kind]peer.Handler)},
+					Transport: &countingTransport{handlers: make(map[peer.Kind]peer.Handler)},
 					LimitOf: func(string) (route.RateLimit, bool) {
 						if isOver.Load() {
 							return after.limit, after.isKnown
--- a/pkg/quota/unreported_test.go
+++ b/pkg/quota/unreported_test.go
@@ -22,7 +22,7 @@
 	simulate(t, 4, limits, func(d *deployment) {
 		for round := range rounds {
 			for index := range d.nodes {
-				d.ask(index, fmt.Sprint("tenant-", round), fmt.Sprint("request ", round, index))
+				d.request(index, fmt.Sprint("tenant-", round), fmt.Sprint("request ", round, index))
 				time.Sleep(7 * time.Millisecond)
 			}
 			time.Sleep(100*time.Second + time.Duration(round)*17*time.Millisecond)
--- a/pkg/quota/verdicts.go
+++ b/pkg/quota/verdicts.go
@@ -18,73 +18,73 @@
 
 // When coordinators tell shares.
 const (
-	// fallingShare is the part of the share told last below which a new one is told at once rather
+	// urgentShareRatio is the part of the share told last below which a new one is told at once rather
 	// than with the next repetition: until then nodes admit too much.
-	fallingShare = 0.8
+	urgentShareRatio = 0.8
 	// urgentInterval is the least time between two messages to the same node, also if shares keep
 	// falling.
 	urgentInterval = 50 * time.Millisecond
 	// releaseSpan is for how long a share of 1 is still told after a tenant has come back within its
 	// limit: several repetitions, so that every node that is in touch learns of it.
-	releaseSpan = 3 * repeatInterval
+	releaseSpan = 3 * verdictInterval
 )
 
 // spread tells all nodes the shares of the tenants at their limits, if that is due. While another
 // coordinator does not answer, and once after its start, it also sends a message without shares, to
 // learn which nodes are in touch.
-func (l *Limiter) spread(ctx context.Context, now time.Time) {
+func (l *Limiter) broadcast(ctx context.Context, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	verdicts, isUrgent := l.dueVerdicts(now)
-	interval := repeatInterval
+	interval := verdictInterval
 	if len(verdicts) == 0 {
-		if !l.missesCoordinator() && !l.isUntold() {
+		if !l.missesCoordinator() && !l.hasSentNoVerdicts() {
 			return
 		}
-		interval = silentInterval
+		interval = silentNodeInterval
 	}
-	if !l.spreading && (isUrgent && now.Sub(l.spreadAt) >= urgentInterval || now.Sub(l.spreadAt) >= interval) {
-		l.spreading, l.spreadAt = true, now
+	if !l.isBroadcasting && (isUrgent && now.Sub(l.broadcastAt) >= urgentInterval || now.Sub(l.broadcastAt) >= interval) {
+		l.isBroadcasting, l.broadcastAt = true, now
 		for tenant, verdict := range verdicts {
-			l.accounts[tenant].told = verdict.Share
+			l.accounts[tenant].sentShare = verdict.Share
 		}
-		l.tell(ctx, l.others(false), verdicts, &l.spreading)
+		l.sendVerdicts(ctx, l.otherNodes(false), verdicts, &l.isBroadcasting)
 	}
-	if silent := l.others(true); len(silent) > 0 && !l.probing && now.Sub(l.probeAt) >= silentInterval {
-		l.probing, l.probeAt = true, now
-		l.tell(ctx, silent, verdicts, &l.probing)
+	if silent := l.otherNodes(true); len(silent) > 0 && !l.isProbingSilent && now.Sub(l.silentProbeAt) >= silentNodeInterval {
+		l.isProbingSilent, l.silentProbeAt = true, now
+		l.sendVerdicts(ctx, silent, verdicts, &l.isProbingSilent)
 	}
 }
 
-// isUntold reports whether this node coordinates limits and has sent the others no verdicts since its
+// hasSentNoVerdicts reports whether this node coordinates limits and has sent the others no verdicts since its
 // start: on the first ones, nodes that report to a stand-in turn back to it. The caller holds the mutex.
-func (l *Limiter) isUntold() bool {
-	return l.sent.Verdicts == 0 && len(l.addresses) > 1 && l.coordinates(l.options.Local) && l.options.KnowsTenants()
+func (l *Limiter) hasSentNoVerdicts() bool {
+	return l.messagesSent.Verdicts == 0 && len(l.addresses) > 1 && l.coordinates(l.options.Local) && l.options.KnowsTenants()
 }
 
 // dueVerdicts returns the verdicts on tenants at their limits, and whether one is much lower than what
 // was told. The caller holds the mutex.
 func (l *Limiter) dueVerdicts(now time.Time) (map[string]Verdict, bool) {
 	verdicts, isUrgent := make(map[string]Verdict), false
-	for tenant, kept := range l.accounts {
-		if kept.limitedAt.IsZero() {
+	for tenant, entry := range l.accounts {
+		if entry.limitedAt.IsZero() {
 			continue
 		}
 		limit, isKnown := l.options.LimitOf(tenant)
 		if !isKnown || !limit.IsBound() {
-			l.options.Events.BelowLimit(tenant, kept.account.Stats(now), now.Sub(kept.limitedAt))
+			l.options.Events.BelowLimit(tenant, entry.account.Stats(now), now.Sub(entry.limitedAt))
 			delete(l.accounts, tenant)
 			continue
 		}
-		kept.isFirst = l.isFirst(tenant)
-		kept.account.SetLimit(limit)
-		verdict := kept.account.Verdict(l.contact(kept), now)
-		l.noteLimit(tenant, kept, verdict, now)
+		entry.isFirst = l.isFirst(tenant)
+		entry.account.SetLimit(limit)
+		verdict := entry.account.Verdict(l.view(entry), now)
+		l.trackLimit(tenant, entry, verdict, now)
 		verdicts[tenant] = verdict
-		isUrgent = isUrgent || verdict.Share < fallingShare*kept.told
-		if !kept.fullAt.IsZero() && now.Sub(kept.fullAt) > releaseSpan {
-			l.options.Events.BelowLimit(tenant, kept.account.Stats(now), now.Sub(kept.limitedAt))
-			kept.limitedAt, kept.fullAt, kept.told = time.Time{}, time.Time{}, 1
+		isUrgent = isUrgent || verdict.Share < urgentShareRatio*entry.sentShare
+		if !entry.withinLimitSince.IsZero() && now.Sub(entry.withinLimitSince) > releaseSpan {
+			l.options.Events.BelowLimit(tenant, entry.account.Stats(now), now.Sub(entry.limitedAt))
+			entry.limitedAt, entry.withinLimitSince, entry.sentShare = time.Time{}, time.Time{}, 1
 		}
 	}
 	return verdicts, isUrgent
@@ -92,7 +92,7 @@
 
 // others returns the other nodes that are silent, or those that are not. The caller holds the
 // mutex.
-func (l *Limiter) others(isSilent bool) map[peer.Address]string {
+func (l *Limiter) otherNodes(isSilent bool) map[peer.Address]string {
 	found := make(map[peer.Address]string)
 	for name, address := range l.addresses {
 		if name != l.options.Local && l.silent[name] == isSilent {
@@ -102,14 +102,14 @@
 	return found
 }
 
-// tell sends verdicts to some nodes and notes which of them took them; it clears underWay when all
+// tell sends verdicts to some nodes and notes which of them took them; it clears isUnderWay when all
 // calls have ended. The caller holds the mutex.
-func (l *Limiter) tell(ctx context.Context, nodes map[peer.Address]string, verdicts map[string]Verdict, underWay *bool) {
-	l.takeTold(ctx, l.options.Local, verdicts, time.Now())
+func (l *Limiter) sendVerdicts(ctx context.Context, nodes map[peer.Address]string, verdicts map[string]Verdict, isUnderWay *bool) {
+	l.applyVerdicts(ctx, l.options.Local, verdicts, time.Now())
 	if l.isStopped {
 		return
 	}
-	l.sent.Verdicts += uint64(len(nodes))
+	l.messagesSent.Verdicts += uint64(len(nodes))
 	message := encodeVerdicts(verdicts)
 	addresses := make([]peer.Address, 0, len(nodes))
 	for address := range nodes {
@@ -119,7 +119,7 @@
 		taken := l.sendAll(ctx, addresses, message)
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
-		*underWay = false
+		*isUnderWay = false
 		if ctx.Err() != nil {
 			return
 		}
@@ -142,31 +142,31 @@
 	return peer.SpreadAll(limited, l.options.Transport, addresses, kindVerdicts, message, func() proto.Message { return &quotapb.Taken{} })
 }
 
-// takeTold takes verdicts that do not answer a report. Only those of the coordinator to which this node
+// applyVerdicts takes verdicts that do not answer a report. Only those of the coordinator to which this node
 // reports count; those of another one of the tenant's coordinators are kept, in case that this node turns
 // to it, and lead to a call to the present one. The caller holds the mutex.
-func (l *Limiter) takeTold(ctx context.Context, from string, verdicts map[string]Verdict, now time.Time) {
+func (l *Limiter) applyVerdicts(ctx context.Context, from string, verdicts map[string]Verdict, now time.Time) {
 	for tenant, verdict := range verdicts {
-		held := l.meters[tenant]
-		if held == nil {
+		entry := l.meters[tenant]
+		if entry == nil {
 			limit, isKnown := l.options.LimitOf(tenant)
 			if !isKnown {
 				continue
 			}
-			held = l.metered(tenant, limit, now)
-			held.usedAt = now
+			entry = l.meterFor(tenant, limit, now)
+			entry.usedAt = now
 		}
-		if current := l.coordinator(held.ranked); current == from {
-			held.meter.ApplyVerdict(verdict, now)
-		} else if slices.Contains(held.ranked, from) {
-			held.standIn = hint{from: from, verdict: verdict, at: now}
+		if current := l.coordinator(entry.ranked); current == from {
+			entry.meter.ApplyVerdict(verdict, now)
+		} else if slices.Contains(entry.ranked, from) {
+			entry.standInVerdict = receivedVerdict{from: from, verdict: verdict, at: now}
 			l.checkCoordinator(ctx, current, now)
 		}
 	}
 }
 
-// takeVerdicts takes what another node tells about the tenants that it coordinates.
-func (l *Limiter) takeVerdicts(_ context.Context, from target.NodeID, body []byte) (proto.Message, error) {
+// handleVerdicts takes what another node tells about the tenants that it coordinates.
+func (l *Limiter) handleVerdicts(_ context.Context, from target.NodeID, body []byte) (proto.Message, error) {
 	message := &quotapb.Verdicts{}
 	if err := message.UnmarshalVT(body); err != nil {
 		return nil, errors.Wrap(err, "decode verdicts")
@@ -174,7 +174,7 @@
 	now := time.Now()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.takeTold(l.context, string(from), decodeVerdicts(message), now)
+	l.applyVerdicts(l.context, string(from), decodeVerdicts(message), now)
 	found := l.links[string(from)]
 	if found == nil || found.answers {
 		return &quotapb.Taken{}, nil
@@ -185,12 +185,12 @@
 		// The first call to it is still under way, as after a start.
 		return &quotapb.Taken{}, nil
 	}
-	return nil, errTurnedElsewhere
+	return nil, errReportsElsewhere
 }
 
-// errTurnedElsewhere answers a coordinator that reaches this node while this node does not reach
+// errReportsElsewhere answers a coordinator that reaches this node while this node does not reach
 // it, and so reports to a stand-in or decides alone: for the coordinator the node is out of touch.
-var errTurnedElsewhere = errors.New("reports do not reach the coordinator, another one stands in for it")
+var errReportsElsewhere = errors.New("reports do not reach the coordinator, another one stands in for it")
 
 // encodeVerdicts returns the message for verdicts; only those of first coordinators carry a spare
 // rate.
--- a/pkg/quota/weigh_test.go
+++ b/pkg/quota/weigh_test.go
@@ -16,46 +16,46 @@
 			limit := tenants()[tenant]
 			b.Run(name+"share of lots", func(b *testing.B) {
 				for range b.N {
-					measureShare(b, count, tenant)
+					measureLimiter(b, count, tenant)
 				}
 			})
 			b.Run(name+"fixed part", func(b *testing.B) {
 				// Each node has an equal part of rate and burst, at least as a fraction of a token.
-				fixed := func(int, []int, float64) float64 { return 1 / float64(count) }
-				b.ReportMetric(reachOf(count, limit.PerSecond, limit.Burst, fixed), "reached")
+				fixedPart := func(int, []int, float64) float64 { return 1 / float64(count) }
+				b.ReportMetric(reachedFraction(count, limit.PerSecond, limit.Burst, fixedPart), "reached")
 			})
 			b.Run(name+"leases", func(b *testing.B) {
 				// A tenth is dealt equally, the rest by what each node was asked a second ago.
-				leased := func(node int, asked []int, sum float64) float64 {
-					return 0.1/float64(count) + 0.9*float64(asked[node])/max(1, sum)
+				leasedPart := func(node int, requests []int, sum float64) float64 {
+					return 0.1/float64(count) + 0.9*float64(requests[node])/max(1, sum)
 				}
-				b.ReportMetric(reachOf(count, limit.PerSecond, limit.Burst, leased), "reached")
+				b.ReportMetric(reachedFraction(count, limit.PerSecond, limit.Burst, leasedPart), "reached")
 			})
 		}
 	}
 }
 
-// measureShare plays the package itself.
-func measureShare(b *testing.B, count int, tenant string) {
+// measureLimiter plays the package itself.
+func measureLimiter(b *testing.B, count int, tenant string) {
 	simulate(b, count, tenants(), func(d *deployment) {
 		limit := d.limits[tenant]
 		d.run(2*time.Second, d.even(tenant, limit.PerSecond/1.6))
-		before, begun := d.sent(), d.moment()
+		before, begun := d.sent(), d.elapsed()
 		const span = 8 * time.Second
 		d.run(span, d.even(tenant, 8*limit.PerSecond))
 		after := d.sent()
-		b.ReportMetric(float64(d.leastInWindow(tenant, begun, begun+span))/(limit.PerSecond*bounds.Window.Seconds()), "reached")
-		b.ReportMetric(float64(d.mostInWindow(tenant))/limitOf(limit), "of-allowed")
+		b.ReportMetric(float64(d.minInWindow(tenant, begun, begun+span))/(limit.PerSecond*bounds.Window.Seconds()), "reached")
+		b.ReportMetric(float64(d.maxInWindow(tenant))/allowedInWindow(limit), "of-allowed")
 		b.ReportMetric(float64(after.Reports-before.Reports)/span.Seconds()/float64(count), "reports/s/node")
 		b.ReportMetric(float64(after.Verdicts-before.Verdicts)/span.Seconds()/float64(count), "verdicts/s/node")
 	})
 }
 
-// reachOf returns the part of a rate that nodes reach with parts of it in buckets of their own,
+// reachedFraction returns the part of a rate that nodes reach with parts of it in buckets of their own,
 // dealt anew each second by what was asked in the one before.
-func reachOf(count int, perSecond, burst float64, part func(node int, asked []int, sum float64) float64) float64 {
+func reachedFraction(count int, perSecond, burst float64, part func(node int, requests []int, sum float64) float64) float64 {
 	random := rand.New(rand.NewPCG(3, 3))
-	levels, asked := make([]float64, count), make([]int, count)
+	levels, requests := make([]float64, count), make([]int, count)
 	served, total := 0, 0.0
 	const seconds = 60
 	for second := range seconds {
@@ -68,15 +68,15 @@
 			now[random.IntN(count)]++
 		}
 		for node := range count {
-			own := part(node, asked, total)
-			levels[node] = min(levels[node]+own*perSecond, max(1, own*burst))
+			fraction := part(node, requests, total)
+			levels[node] = min(levels[node]+fraction*perSecond, max(1, fraction*burst))
 			taken := min(now[node], int(levels[node]))
 			levels[node] -= float64(taken)
 			if second >= seconds/2 {
 				served += taken
 			}
 		}
-		asked, total = now, 0
+		requests, total = now, 0
 		for _, count := range now {
 			total += float64(count)
 		}
--- a/pkg/quota/window.go
+++ b/pkg/quota/window.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// countSlots is the number of slots of a windowCount: a twentieth of the span each, small beside the
+// windowSlots is the number of slots of a windowCount: a twentieth of the span each, small beside the
 // bounds that are held in it. The events of the oldest slot count in part, as if they were spread
 // evenly over it.
-const countSlots = 20
+const windowSlots = 20
 
 // windowCount counts the events of the last span, by slots, so that its size does not grow with
 // their number.
@@ -14,7 +14,7 @@
 	slot  time.Duration
 	since time.Time
 	// counts is a ring of the last slots, sum their sum.
-	counts [countSlots + 1]int32
+	counts [windowSlots + 1]int32
 	sum    int32
 	// latest is the number of the slot that was counted in last.
 	latest int64
@@ -22,7 +22,7 @@
 
 // newWindowCount returns a count of the events of the last span that has seen none.
 func newWindowCount(span time.Duration, now time.Time) windowCount {
-	return windowCount{slot: max(1, span/countSlots), since: now}
+	return windowCount{slot: max(1, span/windowSlots), since: now}
 }
 
 // add counts events at a moment; a negative number takes back some of those of its slot.
@@ -39,12 +39,12 @@
 	w.advance(now)
 	// The ring holds one slot more than the span: of the oldest one, the part that has left the span is
 	// taken off.
-	begun := float64(now.Sub(w.since)%w.slot) / float64(w.slot)
-	return float64(w.sum) - begun*float64(w.counts[(w.latest+1)%int64(len(w.counts))])
+	elapsed := float64(now.Sub(w.since)%w.slot) / float64(w.slot)
+	return float64(w.sum) - elapsed*float64(w.counts[(w.latest+1)%int64(len(w.counts))])
 }
 
 // until returns how long it takes until fewer than count events are left.
-func (w *windowCount) until(count int, now time.Time) time.Duration {
+func (w *windowCount) timeUntilBelow(count int, now time.Time) time.Duration {
 	w.advance(now)
 	left, slots := int(w.sum), int64(len(w.counts))
 	for number := max(0, w.latest-slots+1); number <= w.latest; number++ {
--- a/pkg/quota/window_test.go
+++ b/pkg/quota/window_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestAWindowForgetsWhatIsOld, little by little, and no sooner than after its span.
-func TestAWindowForgetsWhatIsOld(t *testing.T) {
+// TestAWindowForgetsOldEvents, little by little, and no sooner than after its span.
+func TestAWindowForgetsOldEvents(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1_700_000_000, 0)
 	window := newWindowCount(5*time.Second, now)
@@ -20,7 +20,7 @@
 	g.Expect(window.read(now.Add(2500 * time.Millisecond))).To(BeNumerically("~", 50, 3))
 	window.add(-1, now.Add(2500*time.Millisecond))
 	g.Expect(window.read(now.Add(2500*time.Millisecond))).To(BeNumerically("~", 50, 3), "nothing is taken back from older slots")
-	wait := window.until(1, now.Add(2500*time.Millisecond))
+	wait := window.timeUntilBelow(1, now.Add(2500*time.Millisecond))
 	g.Expect(window.read(now.Add(2500*time.Millisecond + wait))).To(BeNumerically("<", 1))
 	g.Expect(window.read(now.Add(time.Hour))).To(BeZero())
 }
