--- a/pkg/query/adapters.go
+++ b/pkg/query/adapters.go
@@ -11,7 +11,7 @@
 	"github.com/bramblemast/bramblemast/pkg/template"
 )
 
-// ServerLimits returns the node's server limits as Limits.
+// ServerLimits adapts the node's server limits to Limits.
 func ServerLimits(servers *limit.Servers) Limits { return serverLimits{servers: servers} }
 
 type serverLimits struct{ servers *limit.Servers }
@@ -36,7 +36,7 @@
 	return l.servers.Observe(server)
 }
 
-// ExtraLoadBudgets returns the node's budgets as Budgets.
+// ExtraLoadBudgets adapts the node's budget pool to Budgets.
 func ExtraLoadBudgets(pool *budget.Pool) Budgets { return extraLoadBudgets{pool: pool} }
 
 type extraLoadBudgets struct{ pool *budget.Pool }
@@ -45,8 +45,8 @@
 	return b.pool.For(key, arm, spec)
 }
 
-// NopObserver is an Observer that does nothing, to embed in one that wants only
-// some of the events.
+// NopObserver is an Observer that does nothing. Embed it in an Observer that handles only some of
+// the events.
 type NopObserver struct{}
 
 // SubRequestFinished implements Observer.
@@ -61,7 +61,7 @@
 // Restarted implements Observer.
 func (NopObserver) Restarted(target.Service, target.Version, target.Version) {}
 
-// unlimited is the Limits of an executor that was given none.
+// unlimited is the default Limits of an executor: every permit is granted at once.
 type unlimited struct{}
 
 func (unlimited) TryAcquire(target.ServerID) (Permit, bool)                { return unlimited{}, true }
@@ -69,7 +69,7 @@
 func (unlimited) Observe(target.ServerID) limit.Observation                { return limit.Observation{Limit: 1} }
 func (unlimited) Release(limit.Result)                                     {}
 
-// noExtraLoad is the Budgets of an executor that was given none.
+// noExtraLoad is the default Budgets of an executor: it pays for no hedge and no retry.
 type noExtraLoad struct{}
 
 func (noExtraLoad) For(template.Key, string, policy.ExtraLoadSpec) Budget { return noExtraLoad{} }
--- a/pkg/query/answer.go
+++ b/pkg/query/answer.go
@@ -7,11 +7,12 @@
 	"github.com/bramblemast/bramblemast/pkg/outcome"
 )
 
-// cancelled is the failure of a request whose context ended: cancelled by the
-// caller, or past a deadline of its own.
+// cancellation returns the failure of a request whose context ended, either cancelled by the caller
+// or past the context's own deadline.
 func (p *pass) cancellation() *outcome.Error { return asOutcomeError(p.execution.callerCtx.Err(), "") }
 
-// awaited returns the server whose answer is waited for, if there is one only.
+// soleRunningServer returns a server whose answer is still awaited if the pass has exactly one part.
+// It returns "" if there is no such server or if the pass has several parts.
 func (p *pass) soleRunningServer() string {
 	if len(p.parts) != 1 {
 		return ""
@@ -24,7 +25,7 @@
 	return ""
 }
 
-// coverage states which part of the asked range is covered.
+// coverage returns how much of the requested range is covered so far.
 func (p *pass) coverage() Coverage {
 	result := Coverage{
 		Requested:    p.pinned.requested,
@@ -40,8 +41,8 @@
 	return result
 }
 
-// sendPartial gives the caller an early state if there is something new and
-// the last one is long enough ago.
+// sendPartial sends the caller a partial answer if parts were covered since the last one and the
+// minimum interval between partials has passed.
 func (p *pass) sendPartial() {
 	x := p.execution
 	if x.partial == nil || !p.partialPending || p.now < p.nextPartialAt {
@@ -82,7 +83,8 @@
 	}, nil
 }
 
-// fail completes a failure with what is known about the whole request.
+// fail returns a CoverageError for the failure. It sets the outcome from all sub-requests of the
+// request: NotRun if none of them may have run, and Unknown otherwise.
 func (p *pass) fail(failure *outcome.Error, result passResult, coverage Coverage) error {
 	x := p.execution
 	detailed := *failure
--- a/pkg/query/attempt.go
+++ b/pkg/query/attempt.go
@@ -11,23 +11,23 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// attemptState is the state of a sub-request. Its goroutine moves it from
-// waiting to sent; the event loop moves it from waiting to abandoned, or from
-// sent to one of the states that tell why the answer is no longer wanted.
+// attemptState is the state of a sub-request. The attempt's goroutine moves it from waiting to sent.
+// The event loop moves it from waiting to abandoned, or from sent to one of the states that record
+// why the answer is no longer wanted.
 type attemptState int32
 
 const (
-	// waiting means that nothing was sent yet.
+	// attemptWaiting means that nothing was sent yet.
 	attemptWaiting attemptState = iota
 	attemptSent
-	// abandoned means that nothing was and nothing will be sent.
+	// attemptAbandoned means that nothing was sent and nothing will be sent.
 	attemptAbandoned
-	// outlasted means that a replica that was asked later answered first.
+	// attemptOvertaken means that a later sub-request for the same part was answered first.
 	attemptOvertaken
-	// stopped means that the query stopped before its deadline, or that a
-	// replica that was asked earlier answered first.
+	// attemptStopped means that the query stopped before its deadline, or that an earlier
+	// sub-request for the same part was answered first.
 	attemptStopped
-	// expired means that the query reached its deadline.
+	// attemptExpired means that the query reached its deadline.
 	attemptExpired
 )
 
@@ -37,25 +37,25 @@
 	kind    AttemptKind
 	part    int
 	request backend.Request
-	// permit is nil if the goroutine has to wait for one.
+	// permit is nil until the goroutine has acquired one, if none was free at launch.
 	permit Permit
-	// paid is true if the attempt was paid from the extra-load budget.
+	// paid is true if the attempt was charged to the extra-load budget.
 	paid   bool
 	ctx    context.Context
 	cancel context.CancelFunc
 	state  atomic.Int32
 
-	// response and err are written by the goroutine before delivery.
+	// response and err are written by the goroutine before it delivers the attempt to the inbox.
 	response *backend.Response
 	err      error
-	// detached is true once the event loop no longer counts on the attempt.
+	// detached is true once the event loop has stopped waiting for the attempt.
 	detached bool
-	// next links the attempts of an inbox.
+	// next links the finished attempts of an inbox.
 	next *attempt
 }
 
-// run sends the sub-request, waits for its end and delivers the result. It is
-// the body of the attempt's goroutine.
+// run is the body of the attempt's goroutine: it sends the sub-request, waits until it ends and
+// delivers the result to the inbox.
 func (a *attempt) run() {
 	a.response, a.err = a.send()
 	a.cancel()
@@ -90,8 +90,8 @@
 	return response, nil
 }
 
-// check returns the failure of the sub-request, if any. An answer must be of
-// the pinned version and of exactly the range that was asked.
+// check returns the failure of the sub-request, if any. An answer must have the pinned version and
+// exactly the requested range.
 func (a *attempt) check(response *backend.Response, err error) error {
 	requested := &a.request.Target
 	switch {
@@ -107,7 +107,8 @@
 	}
 }
 
-// reportHints passes on what the server said of itself.
+// reportHints reports the server's hints to the catalog. A refusal because the server is draining
+// counts as a hint too.
 func (a *attempt) reportHints(response *backend.Response, err error) {
 	source := a.pass.execution.executor.options.Catalog
 	switch {
@@ -118,11 +119,10 @@
 	}
 }
 
-// report releases the permit and tells the catalog, the latency tracker and
-// the observer how the sub-request ended. The wait for an answer that a hedge
-// outran counts as a latency: if only the answers that came were counted, the
-// slow ones would be missing, the quantiles would fall, and with them the wait
-// before a hedge.
+// report releases the permit and reports the end of the sub-request to the catalog, the latency
+// tracker and the observer. The time spent waiting for an answer that a hedge overtook counts as a
+// latency: if only received answers were counted, the slow ones would be missing, the quantiles
+// would fall, and with them the delay before a hedge.
 func (a *attempt) report(now time.Time, latency time.Duration, err error) {
 	options := &a.pass.execution.executor.options
 	server := a.request.Target.Server
@@ -138,8 +138,8 @@
 	options.Observer.SubRequestFinished(a.request.Target, a.kind, latency, err)
 }
 
-// finalState returns sent if the server's own answer or failure ended the
-// sub-request, and otherwise why this node ended it.
+// finalState returns attemptSent if the server's own answer or failure ended the sub-request.
+// Otherwise it returns the state that records why this node ended it.
 func (a *attempt) finalState(err error) attemptState {
 	state := attemptState(a.state.Load())
 	if err == nil {
@@ -158,10 +158,10 @@
 	}
 }
 
-// verdict returns the failure that the sub-request says about its server. A
-// server that lost to a hedge, or that let a long wait run into the query's
-// deadline, failed to answer: a frozen server shows in no other way. A
-// sub-request that this node ended for its own reasons says nothing.
+// serverFailure returns the failure that the catalog should record for the server, or nil. A server
+// that was overtaken by a hedge, or that had not answered for unusually long when the query's
+// deadline came, failed to answer: a frozen server cannot be detected in any other way. A
+// sub-request that this node ended for its own reasons is no evidence about the server.
 func (a *attempt) serverFailure(endState attemptState, latency time.Duration, err error) error {
 	server := a.request.Target.Server
 	switch endState {
@@ -177,11 +177,11 @@
 	return nil
 }
 
-// stallQuantile is the latency quantile above which a sub-request that the
-// query's deadline ended counts as a failure of the server.
+// stallQuantile is the latency quantile above which a sub-request that was ended by the query's
+// deadline counts as a failure of the server.
 const stallQuantile = 0.99
 
-// limitResult returns what the end of a sub-request says about the server's room.
+// limitResult returns the result that the server's limit learns from when the permit is released.
 func limitResult(endState attemptState, latency time.Duration, failure error) limit.Result {
 	result := limit.Result{Latency: latency}
 	switch {
@@ -204,8 +204,8 @@
 	return reason == outcome.ReasonShed || reason == outcome.ReasonOverloaded
 }
 
-// end says that the answer is no longer wanted and cancels the sub-request. It
-// reports whether nothing was and nothing will be sent.
+// discard marks the answer as no longer wanted and cancels the sub-request. It returns true if
+// nothing was sent and nothing will be sent.
 func (a *attempt) discard(state attemptState) bool {
 	a.detached = true
 	unsent := a.move(attemptWaiting, attemptAbandoned)
@@ -216,8 +216,8 @@
 	return unsent
 }
 
-// outran returns the state of another attempt for the same part, after this
-// one gave the answer.
+// endStateOf returns the state in which another attempt for the same part ends after this one was
+// answered.
 func (a *attempt) endStateOf(other *attempt) attemptState {
 	if a.request.Attempt > other.request.Attempt {
 		return attemptOvertaken
@@ -237,9 +237,8 @@
 
 func (a *attempt) observer() Observer { return a.pass.execution.executor.options.Observer }
 
-// isStalePlan reports whether a server refused, before it ran anything,
-// because the plan no longer fits: it leaves, or it no longer serves the
-// version or the range.
+// isStalePlan reports whether a server refused, before it ran anything, because the plan is out of
+// date: the server is draining, or it no longer serves the version or the range.
 func isStalePlan(err error) bool {
 	if outcome.Of(err) != outcome.NotRun {
 		return false
@@ -252,7 +251,7 @@
 	}
 }
 
-// newTarget names what an attempt is sent to.
+// newTarget returns the target of a sub-request for the part at the server.
 func newTarget(service target.Service, part *plannedPart, server target.ServerID, version target.Version) target.Target {
 	return target.Target{Service: service, Group: part.group, Range: part.keys, Server: server, Version: version}
 }
--- a/pkg/query/bench_test.go
+++ b/pkg/query/bench_test.go
@@ -19,7 +19,7 @@
 	"github.com/bramblemast/bramblemast/pkg/template"
 )
 
-// instantClient answers at once, with records that were made before.
+// instantClient answers at once with prepared records.
 type instantClient struct {
 	records map[keyspace.Range][]backend.Record
 }
@@ -32,15 +32,15 @@
 	}, nil
 }
 
-// fixedCatalog shows one view for ever.
+// fixedCatalog always returns the same view.
 type fixedCatalog struct{ view *catalog.View }
 
 func (c fixedCatalog) View(target.Service) *catalog.View        { return c.view }
 func (fixedCatalog) ReportHints(target.ServerID, backend.Hints) {}
 func (fixedCatalog) ReportResult(target.ServerID, error)        {}
 
-// newBenchmark returns an executor over parts with three replicas each, with
-// the limits and budgets of a node.
+// newBenchmark returns an executor with the limits and budgets of a node, over the given number of
+// parts with three replicas each, and a request for it.
 func newBenchmark(b *testing.B, parts int) (*query.Executor, *query.Request) {
 	limits := limit.NewServers(limit.Options{})
 	view := &catalog.View{Service: service}
@@ -71,8 +71,8 @@
 	return executor, &query.Request{ID: "benchmark", Template: &template.Template{Tenant: "t", Name: "n", Service: service}, Policies: policies, Limit: 10}
 }
 
-// BenchmarkExecute gives the executor's own cost; run it with -cpu 1, so that
-// the time is processor time.
+// BenchmarkExecute measures the executor's own cost. Run it with -cpu 1, so that the time is
+// processor time.
 func BenchmarkExecute(b *testing.B) {
 	for _, parts := range []int{4, 25, 220} {
 		b.Run(fmt.Sprintf("parts=%d", parts), func(b *testing.B) {
--- a/pkg/query/execute_test.go
+++ b/pkg/query/execute_test.go
@@ -22,7 +22,7 @@
 	"github.com/bramblemast/bramblemast/pkg/template"
 )
 
-// bench is a world with an executor and a request that specs adapt.
+// fixture holds a fake cluster and the options, policies and request that a spec adapts.
 type fixture struct {
 	cluster *fakeCluster
 	budget  *fakeBudget
@@ -39,7 +39,8 @@
 	return f
 }
 
-// halves adds two groups of two servers: s000 and s001, s002 and s003.
+// addTwoGroups adds two groups of two servers, each for one half of the key space: s000 and s001,
+// s002 and s003.
 func (f *fixture) addTwoGroups(versions ...target.Version) *fixture {
 	for i, keys := range keyspace.Split(2) {
 		f.cluster.addGroup([]string{"low", "high"}[i], 2, versions, keys)
@@ -54,11 +55,11 @@
 	f.request.Policies = policies
 	f.request.Deadline = time.Now().Add(100 * time.Millisecond)
 	answer, err := query.New(f.options).Execute(context.Background(), f.request, partial)
-	synctest.Wait() // cancelled sub-requests have ended: the world may be read
+	synctest.Wait() // all cancelled sub-requests have ended, so the cluster may be read without its mutex
 	return answer, err
 }
 
-// expectAnswer checks that an answer is complete and right.
+// expectAnswer checks that an answer is complete and correct.
 func (f *fixture) expectAnswer(answer *query.Answer, version target.Version) {
 	GinkgoHelper()
 	Expect(answer.Version).To(Equal(version))
@@ -68,20 +69,20 @@
 	Expect(answer.ScoreSum).To(Equal(want.ScoreSum))
 }
 
-// refuse is a script that refuses before it runs anything.
+// refuse returns a script that refuses before it runs anything.
 func refuse(reason outcome.Reason) script {
 	return func(_ context.Context, request *backend.Request) (*backend.Response, error) {
 		return nil, &outcome.Error{Step: "script", Peer: string(request.Target.Server), Outcome: outcome.NotRun, Reason: reason}
 	}
 }
 
-// freeze is a script that never answers.
+// hang is a script that never answers.
 func hang(ctx context.Context, request *backend.Request) (*backend.Response, error) {
 	<-ctx.Done()
 	return nil, &outcome.Error{Step: "script", Peer: string(request.Target.Server), Reason: outcome.ReasonDeadline}
 }
 
-// respond is a script that answers, cancelled or not.
+// respond is a script that answers even if the sub-request is cancelled.
 func (c *fakeCluster) respond(_ context.Context, request *backend.Request) (*backend.Response, error) {
 	return c.evaluate(request, request.Target), nil
 }
@@ -94,7 +95,7 @@
 
 func (c *lateCounter) LateResponse(target.Service) { c.count.Add(1) }
 
-// firstCandidate makes the choice of a replica predictable.
+// firstCandidate always chooses the first replica, to make the choice predictable.
 type firstCandidate struct{}
 
 func (firstCandidate) Choose([]policy.ReplicaState, *rand.Rand) int { return 0 }
@@ -105,7 +106,7 @@
 	})
 }
 
-// after delays a script.
+// delayed returns a script that waits before it runs the next one.
 func delayed(wait time.Duration, next script) script {
 	return func(ctx context.Context, request *backend.Request) (*backend.Response, error) {
 		time.Sleep(wait)
@@ -125,7 +126,7 @@
 		f.expectAnswer(answer, 5)
 	}))
 
-	It("takes the pieces of a range from the children after a split", inVirtualTime(func() {
+	It("queries the child shards for the pieces of a range after a split", inVirtualTime(func() {
 		f := newFixture().addTwoGroups(1)
 		low := keyspace.Split(4)[:2]
 		for i := range 2 {
@@ -142,7 +143,7 @@
 		Expect(f.budget.spent).To(BeZero())
 	}))
 
-	It("starts anew on the newest version when the pinned one is retired", inVirtualTime(func() {
+	It("restarts on the newest version when the pinned one is retired", inVirtualTime(func() {
 		f := newFixture().addTwoGroups(1)
 		f.cluster.scripts["s002"] = delayed(3*time.Millisecond, refuse(outcome.ReasonVersionGone))
 		f.cluster.scripts["s003"] = f.cluster.scripts["s002"]
@@ -169,7 +170,7 @@
 		Expect(restarted).To(Equal([]bool{false, true}))
 	}))
 
-	It("does not start anew to get round the retry policy", inVirtualTime(func() {
+	It("does not restart to bypass the retry policy", inVirtualTime(func() {
 		f := newFixture().addTwoGroups(1)
 		f.cluster.scripts["s000"] = refuse(outcome.ReasonShed)
 		f.cluster.scripts["s001"] = refuse(outcome.ReasonShed)
@@ -181,7 +182,7 @@
 		Expect(answer.ExtraLoad).To(Equal(query.ExtraLoad{Primary: 2, NotRun: 1, Refused: 1}))
 	}))
 
-	It("does not start anew for a part that was given up", inVirtualTime(func() {
+	It("does not restart for a part that was given up", inVirtualTime(func() {
 		f := newFixture()
 		f.cluster.addGroup("low", 1, []target.Version{1}, keyspace.Split(2)[0])
 		f.cluster.updateCatalog()
@@ -198,7 +199,7 @@
 		Expect(f.cluster.calls).To(HaveLen(1))
 	}))
 
-	It("drops the answer of a replica that a hedge outran", inVirtualTime(func() {
+	It("drops the answer of a replica that a hedge overtook", inVirtualTime(func() {
 		f := newFixture().addTwoGroups(1)
 		f.spec.Replica.Policy = "first_candidate"
 		f.spec.Hedge = policy.HedgeSpec{Policy: policy.HedgeFixed, Delay: policy.Duration(10 * time.Millisecond)}
@@ -213,12 +214,12 @@
 		f.expectAnswer(answer, 1)
 		Expect(answer.Elapsed).To(Equal(30 * time.Millisecond))
 		Expect(answer.ExtraLoad.Hedges).To(Equal(2))
-		Expect(late.count.Load()).To(Equal(int64(1)), "the outrun answer came while the query ran")
+		Expect(late.count.Load()).To(Equal(int64(1)), "the overtaken answer arrived while the query was running")
 		time.Sleep(time.Second)
-		Expect(late.count.Load()).To(Equal(int64(2)), "the hedge of the other part came after its end")
+		Expect(late.count.Load()).To(Equal(int64(2)), "the other part's hedge was answered after the query ended")
 	}))
 
-	It("hedges a frozen replica and tells the catalog of it", inVirtualTime(func() {
+	It("hedges a frozen replica and reports it to the catalog", inVirtualTime(func() {
 		f := newFixture().addTwoGroups(1)
 		f.budget.burst = 100
 		f.spec.Hedge = policy.HedgeSpec{Policy: policy.HedgeFixed, Delay: policy.Duration(10 * time.Millisecond)}
@@ -237,10 +238,10 @@
 		Expect(slowest).To(BeNumerically("<", 20*time.Millisecond))
 		Expect(f.cluster.reportedFailures["s000"]).To(ContainElement(outcome.ReasonDeadline))
 		Expect(f.cluster.reportedFailures["s001"]).To(BeEmpty())
-		Expect(tracker.Quantile(service, 1)).To(BeNumerically(">", 10*time.Millisecond), "outrun waits count")
+		Expect(tracker.Quantile(service, 1)).To(BeNumerically(">", 10*time.Millisecond), "the latency of overtaken sub-requests counts")
 	}))
 
-	It("sends no hedge that the budget does not pay for", inVirtualTime(func() {
+	It("sends no hedge without budget", inVirtualTime(func() {
 		f := newFixture().addTwoGroups(1)
 		f.budget.burst = 0
 		f.spec.Hedge = policy.HedgeSpec{Policy: policy.HedgeFixed, Delay: policy.Duration(10 * time.Millisecond)}
@@ -252,7 +253,7 @@
 		Expect(answer.StopReason).To(Equal(policy.StopDeadline))
 	}))
 
-	It("says at once that a request was refused everywhere, and when to retry", inVirtualTime(func() {
+	It("reports at once that a request was refused everywhere, and when to retry", inVirtualTime(func() {
 		f := newFixture().addTwoGroups(1)
 		f.cluster.permitsPerServer = 0
 		answer, err := f.execute(nil)
@@ -266,7 +267,7 @@
 		Expect(time.Until(f.request.Deadline)).To(BeNumerically(">", 90*time.Millisecond))
 	}))
 
-	It("gives no records below the minimum coverage", inVirtualTime(func() {
+	It("returns no records below the minimum coverage", inVirtualTime(func() {
 		f := newFixture().addTwoGroups(1)
 		f.request.Template.MinimumCoverage = 0.9
 		f.cluster.scripts["s000"] = refuse(outcome.ReasonShed)
@@ -296,7 +297,7 @@
 			}
 		}
 
-		It("sends it to one server and answers unknown when that is lost", inVirtualTime(func() {
+		It("sends it to one server and reports outcome unknown when that server does not answer", inVirtualTime(func() {
 			f := notRepeatable()
 			scriptAll(f, hang)
 			_, err := f.execute(nil)
@@ -308,7 +309,7 @@
 			Expect(failure.Peer).To(Equal(string(f.cluster.calls[0].request.Target.Server)))
 		}))
 
-		It("tries again after evidence that it did not run", inVirtualTime(func() {
+		It("retries after evidence that it did not run", inVirtualTime(func() {
 			f := notRepeatable()
 			shed := refuse(outcome.ReasonShed)
 			scriptAll(f, func(ctx context.Context, request *backend.Request) (*backend.Response, error) {
@@ -323,7 +324,7 @@
 			Expect(answer.ExtraLoad).To(Equal(query.ExtraLoad{Primary: 1, Retries: 2, NotRun: 2, Refused: 2}))
 		}))
 
-		It("does not try again after an answer of the wrong version", inVirtualTime(func() {
+		It("does not retry after an answer of the wrong version", inVirtualTime(func() {
 			f := notRepeatable()
 			scriptAll(f, func(_ context.Context, request *backend.Request) (*backend.Response, error) {
 				wrong := request.Target
--- a/pkg/query/executor.go
+++ b/pkg/query/executor.go
@@ -23,35 +23,35 @@
 	DefaultRestartShare    = 0.4
 )
 
-// marginDivisor bounds the answer margin to a share of a short deadline.
+// marginDivisor limits the answer margin to this fraction of the remaining time, so that the margin
+// does not use up a short deadline.
 const marginDivisor = 10
 
-// Options are the parts that an Executor works with.
+// Options configures an Executor.
 type Options struct {
 	// Client and Catalog are required.
 	Client  backend.Client
 	Catalog catalog.Source
-	// Limits bounds the sub-requests at each server; nil for no bound.
+	// Limits bounds the concurrent sub-requests at each server; nil means no bound.
 	Limits Limits
-	// Budgets pays for hedges and retries; nil for none of either.
+	// Budgets pays for hedges and retries; nil means that neither is sent.
 	Budgets Budgets
-	// Latency keeps latency distributions; nil for a new latency.Tracker.
+	// Latency keeps latency distributions; nil means a new latency.Tracker.
 	Latency Latency
-	// Observer is told of events; it may be nil.
+	// Observer receives events; it may be nil.
 	Observer Observer
 	// Seed makes the random choices reproducible.
 	Seed uint64
-	// AnswerMargin is how long before its deadline a query stops, so that the
-	// answer is on its way in time; zero for the default.
+	// AnswerMargin is how long before its deadline a query stops, so that the answer is sent in
+	// time; zero means the default.
 	AnswerMargin time.Duration
-	// PartialInterval is the least time between two partials; zero for the
-	// default.
+	// PartialInterval is the minimum time between two partials; zero means the default.
 	PartialInterval time.Duration
-	// MaxRestarts bounds how often a query starts anew on a newer version;
-	// zero for the default, negative for never.
+	// MaxRestarts is how often a query may restart on a newer version; zero means the default,
+	// a negative value means never.
 	MaxRestarts int
-	// RestartShare is the share of the query's time, 0 to 1, that must be left
-	// for a restart; zero for the default.
+	// RestartShare is the share of the query's total time, 0 to 1, that must remain for a restart;
+	// zero means the default.
 	RestartShare float64
 }
 
@@ -59,7 +59,7 @@
 type Executor struct {
 	options Options
 	layouts layoutCache
-	// queries numbers the queries, for their random streams.
+	// queries counts the queries; the number selects the random stream of a query.
 	queries atomic.Uint64
 }
 
@@ -92,13 +92,13 @@
 	return &Executor{options: options}
 }
 
-// Execute runs one request and returns its answer, at the latest shortly
-// before request.Deadline. It does not wait for sub-requests that it cancels.
-// Cancelling ctx ends it at once.
+// Execute runs one request and returns its answer shortly before request.Deadline at the latest;
+// see Options.AnswerMargin. It does not wait for sub-requests that it cancels. Cancelling ctx ends
+// it at once. The partial function may be nil.
 //
-// The error is an *outcome.Error for a request that was not fanned out, and
-// otherwise a *CoverageError, which wraps one. Its outcome is NotRun only if
-// no back end ran any part of the request, on evidence.
+// The error is an *outcome.Error for a request that was not fanned out, and otherwise a
+// *CoverageError, which wraps one. Its outcome is NotRun only if there is evidence that no back end
+// ran any part of the request.
 func (e *Executor) Execute(ctx context.Context, request *Request, partial PartialFunc) (*Answer, error) {
 	if err := validate(request); err != nil {
 		return nil, err
@@ -129,7 +129,7 @@
 	}
 }
 
-// validate rejects a request that the executor cannot run.
+// validate returns an error for a request that the executor cannot run.
 func validate(request *Request) error {
 	policies := request.Policies
 	switch {
@@ -142,13 +142,13 @@
 	}
 }
 
-// execution is the state of one request over all its passes. Only the
-// goroutine of Execute writes it.
+// execution is the state of one request over all its passes. Only the goroutine of Execute writes
+// to it.
 type execution struct {
 	executor *Executor
 	request  *Request
 	partial  PartialFunc
-	// caller is the caller's context; work is that of the sub-requests.
+	// callerCtx is the caller's context; workCtx is the parent context of the sub-requests.
 	callerCtx context.Context
 	workCtx   context.Context
 	cancel    context.CancelFunc
@@ -159,9 +159,9 @@
 	random    *rand.Rand
 	extraLoad ExtraLoad
 	restarts  int
-	// attempts numbers the sub-requests of the request.
+	// attempts counts the sub-requests of the request, to number them.
 	attempts uint32
-	// mayHaveRun counts the sub-requests that ran or that may have run.
+	// mayHaveRun counts the sub-requests that ran or may have run.
 	mayHaveRun  int
 	lastFailure error
 	retryAfter  time.Duration
@@ -184,7 +184,8 @@
 	return x
 }
 
-// stopTime returns the moment at which a query stops to wait.
+// stopTime returns when a query stops waiting for answers: the answer margin before the earlier one
+// of its deadline and the deadline of ctx.
 func (e *Executor) stopTime(ctx context.Context, deadline time.Time, now time.Time) time.Time {
 	if earlier, bounded := ctx.Deadline(); bounded && earlier.Before(deadline) {
 		deadline = earlier
@@ -193,13 +194,13 @@
 	return deadline.Add(-max(margin, 0))
 }
 
-// quantile is the latency quantile of the request's service.
+// quantile returns a latency quantile of the request's service.
 func (x *execution) quantile(quantile float64) time.Duration {
 	return x.executor.options.Latency.Quantile(x.request.Template.Service, quantile)
 }
 
-// count adds to the sub-requests of a kind. The first sub-requests of a pass
-// after a restart are extra load.
+// countAttempts adds change to the number of sub-requests of a kind. After a restart the primary
+// sub-requests of the new pass are extra load and count as retries.
 func (x *execution) countAttempts(kind AttemptKind, change int) {
 	switch {
 	case kind == Hedge:
@@ -211,7 +212,7 @@
 	}
 }
 
-// recordFailure remembers the latest failure and the longest wait asked for.
+// recordFailure keeps the latest failure and the longest requested delay before a retry.
 func (x *execution) recordFailure(err error) {
 	x.lastFailure = err
 	var failure *outcome.Error
@@ -220,12 +221,12 @@
 	}
 }
 
-// ending says how a pass ended: with a stop reason, with a failure that ends
-// the request, or with the plan of a restart.
+// passResult is how a pass ended: with a stop reason, with a failure that ends the request, or with
+// the layout to restart on.
 type passResult struct {
 	reason  policy.StopReason
 	failure *outcome.Error
 	restart *layout
-	// awaited is the one server whose answer was waited for, if there was one.
+	// awaitedServer is the server whose answer was still awaited; see soleRunningServer.
 	awaitedServer string
 }
--- a/pkg/query/extra.go
+++ b/pkg/query/extra.go
@@ -7,17 +7,18 @@
 	"github.com/bramblemast/bramblemast/pkg/policy"
 )
 
-// maxHedges bounds the hedges that run for one part at a time. With one only,
-// a wide query often meets a part whose hedge is slow as well.
+// maxHedges is the maximum number of hedges that run for one part at a time. A single hedge is not
+// enough: a query over many parts often has a part whose hedge is slow too.
 const maxHedges = 2
 
-// maxAttempts bounds the sub-requests for one part, whatever the policies say.
+// maxAttempts is the maximum number of sub-requests for one part, whatever the policies allow.
 const maxAttempts = 16
 
-// typicalQuantile is the latency quantile that stands for a typical answer.
+// typicalQuantile is the latency quantile taken as the typical latency.
 const typicalQuantile = 0.5
 
-// hedgeTime returns when a sub-request that is sent now is due for a hedge.
+// hedgeTime returns when to hedge a sub-request that is sent now, as time since the start of the
+// execution. The hedge policy is evaluated once for each clock reading.
 func (p *pass) hedgeTime() time.Duration {
 	if p.hedgeTimeCachedAt != p.now {
 		p.hedgeTimeCachedAt = p.now
@@ -39,8 +40,7 @@
 	return p.now + max(delay, 0)
 }
 
-// scheduleHedge sets when the part is due for a hedge, if it has another
-// replica at all.
+// scheduleHedge sets when the part is hedged. A part with fewer than two replicas is never hedged.
 func (p *pass) scheduleHedge(index int, at time.Duration) {
 	part := &p.parts[index]
 	if len(part.plan.candidates) < 2 {
@@ -50,7 +50,7 @@
 	p.nextDue = min(p.nextDue, at)
 }
 
-// scheduleRetry sets when the part is tried again.
+// scheduleRetry schedules a retry of the part after the delay.
 func (p *pass) scheduleRetry(index int, delay time.Duration) {
 	part := &p.parts[index]
 	part.retryAt = p.now + max(delay, 0)
@@ -58,7 +58,7 @@
 	p.nextDue = min(p.nextDue, part.retryAt)
 }
 
-// sendDue sends the hedges and retries that are due.
+// sendDue sends the hedges and retries whose time has come.
 func (p *pass) sendDue() {
 	if p.now < p.nextDue {
 		return
@@ -79,8 +79,9 @@
 	}
 }
 
-// hedge asks a further replica for a part whose answer is slow, if the budget
-// and a permit allow it, and looks again after as long a wait.
+// hedge sends a part whose answer is slow to a further replica, if the budget allows it and a permit
+// is free. While the part may be hedged further, it schedules the next check, sent or not. A suspect
+// request is not hedged.
 func (p *pass) hedge(index int) {
 	part := &p.parts[index]
 	part.hedgeAt = never
@@ -98,15 +99,15 @@
 	}
 }
 
-// minimumHedgeWait is the least time between two hedges for a part.
+// minimumHedgeWait is the minimum time between two hedges for a part.
 const minimumHedgeWait = time.Millisecond
 
 func (p *pass) nextHedgeTime() time.Duration {
 	return max(p.hedgeTime(), p.now+minimumHedgeWait)
 }
 
-// retry sends the sub-request that was scheduled for a part. A part of which
-// nothing was sent so far is not extra load and needs no budget.
+// retry sends the retry that was scheduled for a part. If nothing was sent for the part so far, the
+// sub-request is not extra load and needs no budget.
 func (p *pass) retry(index int) {
 	part := &p.parts[index]
 	part.retryAt = never
@@ -125,7 +126,8 @@
 	p.relaunch(index, Retry, true)
 }
 
-// relaunch sends a further sub-request for a part, or gives the part up.
+// relaunch sends a further sub-request for a part, or marks the part as unavailable if no server is
+// left.
 func (p *pass) relaunch(index int, kind AttemptKind, paid bool) {
 	if p.launch(index, kind, paid) {
 		p.scheduleHedge(index, p.hedgeTime())
@@ -138,7 +140,8 @@
 	p.considerRestart()
 }
 
-// failed decides what follows on a sub-request that gave no answer.
+// handleFailure decides what to do after a sub-request that failed: end the request, reroute the
+// part, schedule a retry, or give the part up.
 func (p *pass) handleFailure(finished *attempt) {
 	x := p.execution
 	x.recordFailure(finished.err)
--- a/pkg/query/failure.go
+++ b/pkg/query/failure.go
@@ -11,11 +11,11 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// CoverageError is the failure of a request that was fanned out and has no
-// answer to give: its coverage is zero or below the template's minimum, or it
-// was cancelled.
+// CoverageError is the failure of a request that was fanned out and has no answer: its coverage is
+// zero or below the template's minimum, it was cancelled, or a not-repeatable sub-request failed
+// without evidence that it did not run.
 type CoverageError struct {
-	// Failure states the reason, the step, the peer and the outcome.
+	// Failure holds the reason, the step, the peer and the outcome.
 	Failure    *outcome.Error
 	Version    target.Version
 	Coverage   Coverage
@@ -31,7 +31,7 @@
 // Unwrap returns the *outcome.Error.
 func (e *CoverageError) Unwrap() error { return e.Failure }
 
-// Errors that a sub-request ends with inside this node.
+// Errors that this node itself assigns to a sub-request.
 var (
 	errMismatch       = errors.New("the answer is of another index version or range than asked")
 	errAlreadyCovered = errors.New("the answer covers a range that is already covered")
@@ -39,14 +39,14 @@
 	errNoAnswer       = errors.New("the client returned neither an answer nor an error")
 )
 
-// Steps that this package names in errors.
+// Steps named in the errors of this package.
 const (
 	stepAnswer   = "wait for answer"
 	stepCheck    = "check answer"
 	stepCoverage = "reach minimum coverage"
 )
 
-// notRun returns a failure that arose before anything was sent.
+// notRun returns a failure that occurred before anything was sent.
 func notRun(step string, reason outcome.Reason, cause error) error {
 	return &outcome.Error{Step: step, Outcome: outcome.NotRun, Reason: reason, Cause: cause}
 }
@@ -56,7 +56,7 @@
 	return &outcome.Error{Step: step, Peer: string(server), Outcome: outcome.Unknown, Reason: reason, Cause: cause}
 }
 
-// typed returns err as an *outcome.Error; one without an outcome is Unknown.
+// asOutcomeError returns err as an *outcome.Error. If err does not wrap one, the outcome is Unknown.
 func asOutcomeError(err error, server target.ServerID) *outcome.Error {
 	var known *outcome.Error
 	if errors.As(err, &known) {
@@ -72,8 +72,7 @@
 	return unknown(stepAnswer, server, reason, err)
 }
 
-// overallFailure states why a request has no answer. Its outcome is NotRun
-// only if nothing ran.
+// overallFailure returns why a request has no answer. Its outcome is NotRun only if nothing ran.
 func (x *execution) overallFailure(reason policy.StopReason, covered bool) *outcome.Error {
 	failure := &outcome.Error{Step: stepCoverage, Reason: outcome.ReasonCoverageTooLow, RetryAfter: x.retryAfter, Cause: x.lastFailure}
 	if x.mayHaveRun == 0 {
--- a/pkg/query/fake_cluster_test.go
+++ b/pkg/query/fake_cluster_test.go
@@ -22,13 +22,13 @@
 
 const service target.Service = "valgsok"
 
-// faults are the shares, in percent, of sub-requests that go wrong in each way.
+// faults are the percentages of sub-requests that fail in each way.
 type faults struct {
 	Shed, Unreachable, Lost, Hang, Straggle, WrongVersion, WrongRange, IgnoreCancel int
 }
 
-// none reports whether nothing goes wrong. Late answers after a cancellation
-// are part of normal work.
+// none reports whether no fault is injected. IgnoreCancel does not count, because answers that
+// arrive after a cancellation are normal.
 func (f faults) none() bool { return f == faults{IgnoreCancel: f.IgnoreCancel} }
 
 // call is one sub-request that reached the client.
@@ -36,14 +36,14 @@
 	request  backend.Request
 	at       time.Time
 	executed bool
-	// ended, reason and result are set when the client returned.
+	// ended, reason and result are set when the client returns.
 	ended  bool
 	reason outcome.Reason
 	result outcome.Outcome
 }
 
-// world is a service of servers with an injected fault for some sub-requests.
-// It is the client, the catalog and the limits of the executor under test.
+// fakeCluster is a service whose servers fail some sub-requests. It implements the client, the
+// catalog and the limits of the executor under test.
 type fakeCluster struct {
 	data   *dataset.Dataset
 	faults faults
@@ -51,19 +51,19 @@
 	// mutex guards the fields below.
 	mutex   sync.Mutex
 	random  *rand.Rand
-	servers []*catalog.Server // the truth
-	view    *catalog.View     // what the catalog shows, later than the truth
+	servers []*catalog.Server // the actual state
+	view    *catalog.View     // what the catalog shows; it lags behind the actual state
 	calls   []*call
-	// permits counts the permits that are out, for each server.
+	// permits counts the permits in use at each server; permitsPerServer is its bound.
 	permits          map[target.ServerID]int
 	permitsPerServer int
-	// scripts replace the behaviour of single servers.
+	// scripts replaces the behaviour of single servers.
 	scripts map[target.ServerID]script
-	// reported holds what the executor told the catalog of each server.
+	// reportedFailures holds the reasons of the failures that the executor reported for each server.
 	reportedFailures map[target.ServerID][]outcome.Reason
 }
 
-// script answers every sub-request of one server.
+// script handles every sub-request of one server.
 type script func(ctx context.Context, request *backend.Request) (*backend.Response, error)
 
 func newFakeCluster(seed uint64, injected faults) *fakeCluster {
@@ -79,7 +79,7 @@
 	return cluster
 }
 
-// addGroup adds replicas that hold the ranges at the versions.
+// addGroup adds a group of replicas that hold the ranges at the versions.
 func (c *fakeCluster) addGroup(group string, replicas int, versions []target.Version, ranges ...keyspace.Range) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -105,14 +105,14 @@
 	c.scripts[server] = behaviour
 }
 
-// refresh shows the truth in the catalog.
+// updateCatalog makes the catalog show the actual servers.
 func (c *fakeCluster) updateCatalog() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.view = &catalog.View{Service: service, Servers: slices.Clone(c.servers)}
 }
 
-// change replaces a server of the truth by a changed copy.
+// changeServer replaces a server by a changed copy. The catalog shows it after updateCatalog.
 func (c *fakeCluster) changeServer(index int, edit func(*catalog.Server)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -138,7 +138,7 @@
 	}
 }
 
-// Do runs one sub-request: a way there, the work, a way back.
+// Do runs one sub-request: the delay of the request, the execution, and the delay of the response.
 func (c *fakeCluster) Do(ctx context.Context, request *backend.Request) (*backend.Response, error) {
 	record := &call{request: *request, at: time.Now()}
 	c.mutex.Lock()
@@ -211,7 +211,7 @@
 	}
 }
 
-// refusal returns why the server would not run a sub-request now.
+// refusalReason returns why the server refuses to run the sub-request now, or "".
 func (c *fakeCluster) refusalReason(record *call) outcome.Reason {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -235,12 +235,13 @@
 	return outcome.ReasonVersionGone
 }
 
-// delay draws the time of one way. The mutex is held.
+// drawDelay draws the delay of a request or a response. The caller must hold the mutex.
 func (c *fakeCluster) drawDelay() time.Duration {
 	return time.Duration(100+c.random.IntN(2000)) * time.Microsecond
 }
 
-// sleep waits and reports whether ctx was still alive at the end.
+// sleep waits for the given time, even if ctx ends earlier, and reports whether ctx was alive
+// throughout.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -248,7 +249,7 @@
 	case <-timer.C:
 		return true
 	case <-ctx.Done():
-		<-timer.C // a late answer arrives in its own time
+		<-timer.C // a late answer takes as long as any other
 		return false
 	}
 }
@@ -297,7 +298,7 @@
 	p.cluster.permits[p.server]--
 }
 
-// ledger is a budget that counts what was paid.
+// fakeBudget is a budget that counts what was spent.
 type fakeBudget struct {
 	mutex                 sync.Mutex
 	share                 float64
--- a/pkg/query/inbox.go
+++ b/pkg/query/inbox.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// inbox hands finished attempts from their goroutines to the query's event
-// loop. The loop takes all that have arrived at once, so that a burst of
-// answers costs one wake-up. It is safe for concurrent use.
+// inbox passes finished attempts from their goroutines to the query's event loop. The loop takes all
+// attempts that have arrived at once, so that a burst of answers costs one wake-up. It is safe for
+// concurrent use.
 type inbox struct {
-	// ready holds one token while there may be something to do. The loop waits
-	// for nothing else: its timer and the caller's context wake it through
-	// ready too, because a plain receive costs less than a select.
+	// ready holds one token while there may be something to do. The loop waits on this channel
+	// only: its timer and the caller's context wake it through ready too, because a plain receive
+	// costs less than a select.
 	ready chan struct{}
 
 	// mutex guards the fields below.
@@ -20,8 +20,8 @@
 
 func newInbox() inbox { return inbox{ready: make(chan struct{}, 1)} }
 
-// deliver adds a finished attempt. It never blocks. It returns false if the
-// inbox is closed: the attempt is late and is to be dropped.
+// deliver adds a finished attempt. It never blocks. It returns false if the inbox is closed; the
+// attempt is then late, and the caller drops it.
 func (i *inbox) deliver(finished *attempt) bool {
 	i.mutex.Lock()
 	if i.closed {
@@ -42,7 +42,7 @@
 	return true
 }
 
-// wake makes the event loop look around. It never blocks.
+// wake wakes the event loop. It never blocks.
 func (i *inbox) wake() {
 	select {
 	case i.ready <- struct{}{}:
@@ -59,7 +59,7 @@
 	return first
 }
 
-// close refuses further attempts and returns those not yet taken.
+// close rejects further attempts and returns those that were not taken yet.
 func (i *inbox) close() *attempt {
 	i.mutex.Lock()
 	i.closed = true
--- a/pkg/query/launch.go
+++ b/pkg/query/launch.go
@@ -28,8 +28,8 @@
 	p.considerRestart()
 }
 
-// open adds a part and sends its first sub-request. It reports whether there
-// was a server to send it to.
+// openPart adds a part and sends its first sub-request. It returns false if there is no server to
+// send it to.
 func (p *pass) openPart(plan *plannedPart, hedgeAt time.Duration) bool {
 	p.parts = append(p.parts, partState{plan: plan, hedgeAt: never, retryAt: never})
 	index := len(p.parts) - 1
@@ -41,8 +41,8 @@
 	return true
 }
 
-// launch sends a sub-request for a part. It reports whether there was a server
-// to send it to; for a hedge, one with a free permit.
+// launch starts a sub-request for a part. It returns false if there is no server to send it to or,
+// for a hedge, no server with a free permit.
 func (p *pass) launch(index int, kind AttemptKind, paid bool) bool {
 	part := &p.parts[index]
 	candidate, permit := p.choose(part, kind)
@@ -69,7 +69,7 @@
 	return true
 }
 
-// newAttempt returns an unused attempt.
+// newAttempt returns an unused attempt, from the slab while it lasts.
 func (p *pass) newAttempt() *attempt {
 	if len(p.slab) == 0 {
 		return &attempt{}
@@ -93,9 +93,9 @@
 	}
 }
 
-// choose picks a candidate of the part, with a permit if one is free. Without
-// a free permit it returns the first choice, for which the attempt waits; a
-// hedge does not wait. The index is negative if there is no candidate.
+// choose returns the index of a candidate of the part, with a permit if one is free. If no permit is
+// free, it returns the first choice without a permit, and the attempt waits for one; a hedge does
+// not wait. The index is negative if there is no candidate.
 func (p *pass) choose(part *partState, kind AttemptKind) (int, Permit) {
 	p.collectCandidates(part, kind)
 	x := p.execution
@@ -123,8 +123,9 @@
 	return firstChoice, nil
 }
 
-// collect lists the candidates to choose from: active replicas that were not
-// tried yet, else ejected ones, else (but not for a hedge) those tried before.
+// collectCandidates lists the candidates to choose from: active replicas that were not tried yet;
+// if there are none, ejected replicas that were not tried yet; if there are none, and not for a
+// hedge, the replicas that were tried before.
 func (p *pass) collectCandidates(part *partState, kind AttemptKind) {
 	p.indices, p.replicas = p.indices[:0], p.replicas[:0]
 	candidates := part.plan.candidates
--- a/pkg/query/layout.go
+++ b/pkg/query/layout.go
@@ -10,25 +10,25 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// maxCandidates bounds the replicas of a part that a query considers.
+// maxCandidates is the maximum number of replicas of a part that a query considers. It is the number
+// of bits in partState.tried.
 const maxCandidates = 64
 
-// layout is the plan of one index version as one view shows it. It is
-// immutable.
+// layout is the plan of one index version, built from one view of the catalog. It is immutable.
 type layout struct {
 	version target.Version
-	// asked is the range that the parts divide.
+	// requested is the range that the parts divide.
 	requested keyspace.Range
 	parts     []plannedPart
-	// reachable counts the positions that some server can be asked for.
+	// reachableWidth counts the positions for which there is a candidate.
 	reachableWidth uint32
 }
 
-// skipFunc reports whether a server is not to be asked for a range.
+// skipFunc reports whether a server must not be used for a range.
 type skipFunc func(server target.ServerID, keys keyspace.Range) bool
 
-// newLayout plans the asked range of a version, leaving out what skip (which
-// may be nil) names.
+// newLayout plans the requested range of a version, without the servers for which skip returns true.
+// skip may be nil.
 func newLayout(view *catalog.View, version target.Version, requested keyspace.Range, skip skipFunc) *layout {
 	planned := &layout{version: version, requested: requested}
 	planned.parts = tile(requested, shardsOf(view, version, skip))
@@ -40,7 +40,7 @@
 	return planned
 }
 
-// narrow returns a layout of only the part that holds the position.
+// narrow returns a layout of only the part that contains the position.
 func (l *layout) narrow(position uint32) *layout {
 	for i, part := range l.parts {
 		if !part.keys.Contains(position) {
@@ -88,7 +88,8 @@
 	return shards
 }
 
-// newShard orders the candidates: active ones first, then by ID, each once.
+// newShard returns a shard with its candidates sorted, active ones first and then by ID, without
+// duplicates and limited to maxCandidates.
 func newShard(group string, keys keyspace.Range, candidates []*catalog.Server) shard {
 	ordered := slices.Clone(candidates)
 	slices.SortFunc(ordered, func(a, b *catalog.Server) int {
@@ -108,8 +109,8 @@
 	return result
 }
 
-// layouts is the plans of the whole key space for every version that a view
-// shows, newest first. It is immutable.
+// layouts holds the plans of the whole key space for every version in a view, newest first. It is
+// immutable.
 type layouts struct {
 	view     *catalog.View
 	versions []*layout
@@ -134,9 +135,10 @@
 	return result
 }
 
-// pin chooses the version to answer from: the newest that covers the most. A
-// non-empty key narrows the layout to the part that holds it. The result is
-// nil if no server can be asked.
+// pin chooses the version to answer from: the one with the greatest reachable width, the newest of
+// these if there are several. With a non-empty key it chooses the newest version that has a server
+// for the key, and narrows the layout to the part that contains the key. It returns nil if there is
+// no usable server.
 func (l *layouts) pin(key string) *layout {
 	var best *layout
 	for _, candidate := range l.versions {
@@ -156,8 +158,8 @@
 	return best
 }
 
-// layoutCache keeps the layouts of the last view of each service, because many
-// queries share a view. It is safe for concurrent use.
+// layoutCache keeps the layouts of the latest view of each service, because many queries use the
+// same view. It is safe for concurrent use.
 type layoutCache struct {
 	services sync.Map // target.Service -> *cachedLayouts
 }
--- a/pkg/query/pass.go
+++ b/pkg/query/pass.go
@@ -13,24 +13,24 @@
 	"github.com/bramblemast/bramblemast/pkg/policy"
 )
 
-// never is a moment after every deadline.
+// never is a time later than every deadline.
 const never = time.Duration(math.MaxInt64)
 
-// typicalReplicas is the number of candidates of a part that room is made for.
+// typicalReplicas is the initial capacity of the scratch slices for the choice of a replica.
 const typicalReplicas = 8
 
 // partStatus is the state of one part of a pass.
 type partStatus int
 
 const (
-	// open means that the part is not covered and may yet be.
+	// partOpen means that the part is not covered yet but may still be.
 	partOpen partStatus = iota
 	partCovered
-	// stranded means that no server is known to hold the part.
+	// partUnavailable means that no usable server is known for the part.
 	partUnavailable
 	// partGivenUp means that no further sub-request is sent for the part.
 	partGivenUp
-	// replaced means that other parts stand for the range of this one.
+	// partReplaced means that newer parts have taken over the range of this one.
 	partReplaced
 )
 
@@ -38,20 +38,20 @@
 type partState struct {
 	plan   *plannedPart
 	status partStatus
-	// running are the attempts without a result: an attempt and its hedges.
+	// running holds the unfinished attempts: an attempt and its hedges.
 	running [1 + maxHedges]*attempt
-	// tried has a bit for each of the plan's candidates that was asked.
+	// tried has a bit set for each of the plan's candidates that was tried.
 	tried uint64
-	// attempts counts all attempts, and sent those that were sent.
+	// attempts counts all attempts; sent leaves out those that ended before they were sent.
 	attempts int
 	sent     int
-	// hedgeAt and retryAt are when a hedge or a retry is due, since the start
-	// of the execution.
+	// hedgeAt and retryAt are when a hedge or a retry is to be sent, as time since the start of the
+	// execution.
 	hedgeAt time.Duration
 	retryAt time.Duration
 }
 
-// countRunning returns the number of attempts without a result.
+// countRunning returns the number of unfinished attempts.
 func (s *partState) countRunning() int {
 	count := 0
 	for _, running := range s.running {
@@ -62,7 +62,7 @@
 	return count
 }
 
-// drop takes an attempt off the running ones.
+// removeRunning removes an attempt from the running ones.
 func (s *partState) removeRunning(finished *attempt) {
 	for i := range s.running {
 		if s.running[i] == finished {
@@ -71,7 +71,7 @@
 	}
 }
 
-// keep puts an attempt among the running ones.
+// addRunning adds an attempt to the running ones.
 func (s *partState) addRunning(started *attempt) {
 	for i := range s.running {
 		if s.running[i] == nil {
@@ -81,15 +81,15 @@
 	}
 }
 
-// pass is the work on one request at one index version. All fields but the
-// inbox belong to the goroutine of Execute.
+// pass is the execution of one request at one index version. All fields except the inbox are used by
+// the goroutine of Execute only.
 type pass struct {
 	execution *execution
 	inbox     inbox
 	view      *catalog.View
 	pinned    *layout
 	parts     []partState
-	// slab holds the attempts of the fan-out, to allocate them at once.
+	// slab holds unused attempts for the fan-out, allocated at once.
 	slab []attempt
 
 	covered     keyspace.Set
@@ -97,15 +97,15 @@
 	matches     uint64
 	scoreSum    int64
 	outstanding int
-	// scheduled counts the parts with a retry to come.
+	// scheduled counts the parts with a scheduled retry.
 	scheduled int
-	// unavailableParts counts the parts that no known server holds.
+	// unavailableParts counts the parts with status partUnavailable.
 	unavailableParts int
-	// lost counts the sub-requests whose server broke the connection, and trials those that
-	// were sent although the request was suspect for that; see holdBack.
+	// lostConnections counts the sub-requests whose connection was lost. trials counts the
+	// sub-requests that were sent although the request was suspect for that; see holdBack.
 	lostConnections int
 	trials          int
-	// refused is what servers said that they do not serve.
+	// refusals holds which servers refused which ranges because the plan was out of date.
 	refusals []refusal
 	fatal    *outcome.Error
 	restart  *layout
@@ -114,22 +114,23 @@
 	now time.Duration
 	// targetReachedAt is when the coverage reached the stop rule's target share.
 	targetReachedAt time.Duration
-	// nextDue is the earliest hedge or retry; recheckAt is when the stop rule
-	// wants to be asked again.
+	// nextDue is the time of the earliest hedge or retry; recheckAt is when the stop rule is to be
+	// evaluated again.
 	nextDue   time.Duration
 	recheckAt time.Duration
-	// timer wakes the event loop at timerDue.
+	// timer wakes the event loop at timerDue, a time since the start of the execution.
 	timer    *time.Timer
 	timerDue time.Duration
 	// cachedHedgeTime is what hedgeTime returned at hedgeTimeCachedAt.
 	cachedHedgeTime   time.Duration
 	hedgeTimeCachedAt time.Duration
-	// fresh is true if parts were covered since the last partial.
+	// partialPending is true if parts were covered since the last partial; partialSent is true once
+	// this pass has sent a partial.
 	partialPending bool
 	nextPartialAt  time.Duration
 	partialSent    bool
 
-	// replicas and indices are scratch space for the choice of a replica.
+	// replicas and indices are scratch slices for the choice of a replica.
 	replicas []policy.ReplicaState
 	indices  []int
 }
@@ -171,7 +172,8 @@
 	}
 }
 
-// proceed sends what is due, unless the request is over.
+// sendFurther sends due hedges and retries and retries unavailable parts, unless the request is
+// over.
 func (p *pass) sendFurther() {
 	if p.isOver() {
 		return
@@ -180,22 +182,22 @@
 	p.retryUnavailable()
 }
 
-// isOver reports whether the deadline has come or the caller has cancelled.
-// Sub-requests that fail because of that are not tried again.
+// isOver reports whether the deadline has passed or the caller's context has ended. Sub-requests
+// that fail because of that are not retried.
 func (p *pass) isOver() bool {
 	return p.remaining() <= 0 || p.execution.callerCtx.Err() != nil
 }
 
-// tick reads the clock.
+// tick updates the current time of the pass.
 func (p *pass) tick() { p.now = time.Since(p.execution.started) }
 
-// total is the time from the start of the execution to its deadline.
+// totalTime returns the time from the start of the execution to its deadline.
 func (x *execution) totalTime() time.Duration { return x.deadline.Sub(x.started) }
 
-// remaining is the time until the deadline.
+// remaining returns the time until the deadline.
 func (p *pass) remaining() time.Duration { return p.execution.totalTime() - p.now }
 
-// wait blocks until something happens or is due.
+// wait blocks until an attempt finishes, the caller's context ends, or the next timed action is due.
 func (p *pass) wait() {
 	due := min(p.execution.totalTime(), p.nextDue, p.recheckAt)
 	if p.partialPending && p.execution.partial != nil {
@@ -206,12 +208,12 @@
 		p.timerDue = due
 	}
 	<-p.inbox.ready
-	// Answers tend to come in bursts: let those that are about to be delivered
-	// come first, so that one look around takes in all of them.
+	// Answers tend to arrive in bursts. Yield once, so that answers that are about to be delivered
+	// are processed in the same iteration.
 	runtime.Gosched()
 }
 
-// decide tells whether the pass has ended, and how.
+// decide reports whether the pass has ended, and with which result.
 func (p *pass) decide() (passResult, bool) {
 	x := p.execution
 	switch {
@@ -259,14 +261,14 @@
 	return progress
 }
 
-// absorb takes in the attempts that have finished.
+// processFinished processes all attempts that have finished.
 func (p *pass) processFinished() {
 	for finished := p.inbox.take(); finished != nil; finished = finished.next {
 		p.processAttempt(finished)
 	}
 }
 
-// settle takes in one finished attempt.
+// processAttempt processes one finished attempt: it merges the answer or handles the failure.
 func (p *pass) processAttempt(finished *attempt) {
 	if finished.detached {
 		p.countLate(finished)
@@ -301,7 +303,7 @@
 	p.partialPending = true
 }
 
-// release ends an attempt that is no longer wanted.
+// discardRunning discards an attempt whose answer is no longer wanted.
 func (p *pass) discardRunning(running *attempt, state attemptState) {
 	p.outstanding--
 	p.parts[running.part].removeRunning(running)
@@ -312,7 +314,8 @@
 	}
 }
 
-// uncount takes back an attempt that was never sent.
+// uncountUnsent removes an attempt that was never sent from the counts, and refunds it if it was
+// paid.
 func (p *pass) uncountUnsent(unsent *attempt) {
 	p.execution.countAttempts(unsent.kind, -1)
 	p.parts[unsent.part].sent--
@@ -321,15 +324,15 @@
 	}
 }
 
-// countLate counts an answer that is no longer wanted.
+// countLate reports an answer that is no longer wanted to the observer.
 func (p *pass) countLate(finished *attempt) {
 	if finished.err == nil {
 		finished.observer().LateResponse(finished.request.Target.Service)
 	}
 }
 
-// close ends what still runs. Answers that arrive from now on are dropped by
-// their own goroutines.
+// close discards the attempts that are still running. Answers that arrive from now on are dropped
+// by their own goroutines.
 func (p *pass) close(result passResult) {
 	state := attemptStopped
 	if result.reason == policy.StopDeadline {
@@ -353,7 +356,7 @@
 	}
 }
 
-// account counts the end of an attempt that gave no answer to merge.
+// countUnanswered counts an attempt that ended without an answer to merge.
 func (p *pass) countUnanswered(finished *attempt) {
 	switch outcome.ReasonOf(finished.err) {
 	case outcome.ReasonShed, outcome.ReasonOverloaded:
--- a/pkg/query/property_test.go
+++ b/pkg/query/property_test.go
@@ -19,8 +19,8 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// TestExecuteKeepsItsPromises runs random scenarios in virtual time and
-// compares what the callers got with what the servers did and hold.
+// TestExecuteKeepsItsPromises runs random scenarios in virtual time and compares what the callers
+// received with what the servers executed and with the data that they hold.
 func TestExecuteKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		drawn := drawScenario(rt)
@@ -85,12 +85,12 @@
 		report("complete %v but stopped for %s", answer.Coverage.Complete(), answer.StopReason)
 	}
 	if got.caller.Key != "" && !answer.Coverage.Requested.Contains(keyspace.Position(got.caller.Key)) {
-		report("asked %s does not hold the key", answer.Coverage.Requested)
+		report("the requested range %s does not contain the key", answer.Coverage.Requested)
 	}
 	return violations
 }
 
-// load returns the extra load of a result and whether it is known.
+// load returns the extra load of a result and its number of restarts, which is -1 if unknown.
 func (r *result) load() (query.ExtraLoad, int) {
 	var failed *query.CoverageError
 	switch {
@@ -111,7 +111,7 @@
 	return missing.Missing(coverage.Requested)
 }
 
-// checkContent compares records and coverage with the oracle.
+// checkContent compares the records with the data set and checks that the coverage is consistent.
 func (s scenario) checkContent(cluster *fakeCluster, got *result, version target.Version, coverage query.Coverage, records []backend.Record, report func(string, ...any)) {
 	covered := coveredRanges(coverage)
 	want := cluster.data.Evaluate(version, got.caller.Query, covered, got.caller.Limit)
@@ -123,14 +123,15 @@
 		width += keys.Width()
 	}
 	if width != coverage.CoveredWidth {
-		report("covered width %d, but %d is not missing", coverage.CoveredWidth, width)
+		report("the covered width is %d, but the ranges that are not missing have width %d", coverage.CoveredWidth, width)
 	}
 	if coverage.Complete() != (coverage.PartsCovered == coverage.PartsTotal) {
 		report("complete is %v with %d of %d parts", coverage.Complete(), coverage.PartsCovered, coverage.PartsTotal)
 	}
 }
 
-// checkPartials checks that early states are true and only grow.
+// checkPartials checks that the partials are correct and that their coverage only grows, except at a
+// restart.
 func (s scenario) checkPartials(cluster *fakeCluster, got *result, restarts int, report func(string, ...any)) {
 	var last query.Partial
 	for i, early := range got.partials {
@@ -148,7 +149,7 @@
 	}
 }
 
-// checkTotals checks what holds for all requests together.
+// checkTotals checks the permits and the budget over all requests.
 func (s scenario) checkTotals(cluster *fakeCluster, budget *fakeBudget, results []*result) []string {
 	var violations []string
 	for server, out := range cluster.permits {
@@ -171,9 +172,9 @@
 	return violations
 }
 
-// unpaidRetries counts the sub-requests that may have followed on a refusal
-// because the plan no longer fitted, and so are not paid: those for a range
-// that was refused so before, and those of a restart.
+// unpaidRetries counts the sub-requests that are not charged to the budget because they may follow a
+// refusal due to an outdated plan: those for a range that was refused in this way before, and those
+// after a restart.
 func unpaidRetries(calls []*call) int {
 	unpaid := 0
 	for i, sub := range calls {
--- a/pkg/query/query.go
+++ b/pkg/query/query.go
@@ -1,13 +1,13 @@
-// Package query runs one request over many shards: it pins an index version,
-// plans which replica to ask for each part of the key space, fans out, hedges
-// and retries within the extra-load budget, decides when to stop, and merges.
+// Package query runs one request over many shards: it pins an index version, divides the key space
+// into parts with candidate replicas, fans out, hedges and retries within the extra-load budget,
+// decides when to stop, and merges the answers.
 //
 // The invariants of this package:
-//   - every record of an answer is drawn from one index version;
-//   - a position of the key space is counted at most once, and Complete is
-//     true only if every position is covered;
-//   - a not-repeatable request is sent at most once, unless there is evidence
-//     that the earlier attempt did not run.
+//   - all records of an answer come from one index version;
+//   - a position of the key space is counted at most once, and Complete is true only if every
+//     position is covered;
+//   - a not-repeatable request is sent at most once, unless there is evidence that the earlier
+//     attempt did not run.
 package query
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/bramblemast/bramblemast/pkg/template"
 )
 
-// Request is one admitted request of a caller.
+// Request is one request of a caller, after admission.
 type Request struct {
 	ID       string
 	Template *template.Template
@@ -29,12 +29,12 @@
 	// Policies are the policies of that arm.
 	Policies policy.Set
 	Query    string
-	// Key, if set, narrows the request to the one part that holds the key. It
-	// is always set for a not-repeatable request.
+	// Key, if set, narrows the request to the one part that contains the key. It must be set for a
+	// not-repeatable request.
 	Key string
-	// Limit is the greatest number of records wanted.
+	// Limit is the maximum number of records wanted; zero or less means all.
 	Limit int
-	// Deadline is the moment at which the answer must be on its way.
+	// Deadline is when the answer must be on its way to the caller.
 	Deadline time.Time
 	// Payload and IdempotencyKey are set for not-repeatable requests.
 	Payload        []byte
@@ -43,41 +43,41 @@
 
 // Answer is the merged result of a request.
 type Answer struct {
-	// Version is the one index version that the answer was drawn from.
+	// Version is the one index version that all parts of the answer come from.
 	Version target.Version
-	// Records are the best rows by score, highest first, ties by key.
+	// Records are the records with the highest scores, highest first, ties by key.
 	Records []backend.Record
-	// Matches and ScoreSum are totals over the covered part.
+	// Matches and ScoreSum are totals over the covered ranges.
 	Matches    uint64
 	ScoreSum   int64
 	Coverage   Coverage
 	StopReason policy.StopReason
 	ExtraLoad  ExtraLoad
-	// Restarts is how often the query started anew on a newer version.
+	// Restarts is how often the query restarted on a newer version.
 	Restarts int
 	Elapsed  time.Duration
 }
 
-// Coverage states which part of the asked key space an answer covers.
+// Coverage is how much of the requested range an answer covers.
 type Coverage struct {
-	// Requested is the range that the request covers: the whole key space, or
-	// the one part that holds its key.
+	// Requested is the range of the request: the whole key space, or the one part that contains
+	// the request's key.
 	Requested keyspace.Range
 	// CoveredWidth counts the covered positions, each once.
 	CoveredWidth uint32
 	// Missing lists the uncovered ranges in ascending order.
 	Missing []keyspace.Range
-	// PartsCovered and PartsTotal count the parts of the pinned layout.
+	// PartsCovered and PartsTotal count the covered parts and all parts of the pinned layout.
 	PartsCovered int
 	PartsTotal   int
 }
 
-// Complete reports whether every asked position is covered.
+// Complete reports whether every requested position is covered.
 func (c Coverage) Complete() bool {
 	return c.CoveredWidth == c.Requested.Width() && len(c.Missing) == 0
 }
 
-// Share returns the covered share of the asked range, 0 to 1.
+// Share returns the covered share of the requested range, 0 to 1.
 func (c Coverage) Share() float64 {
 	if c.Requested.Width() == 0 {
 		return 0
@@ -87,19 +87,19 @@
 
 // ExtraLoad counts the sub-requests that a request caused.
 type ExtraLoad struct {
-	// Primary counts the first sub-request for each part.
+	// Primary counts the first sub-requests for the parts. After a restart on a newer version
+	// these count as retries.
 	Primary int
 	Hedges  int
 	Retries int
-	// NotRun counts sub-requests, of those above, that back ends refused
-	// before execution.
+	// NotRun counts those of the sub-requests above that back ends refused before execution.
 	NotRun int
-	// Refused counts sub-requests that were refused for load: shed by a server,
-	// or given no permit by this node's limits.
+	// Refused counts the sub-requests that were refused because of load: shed by a server, or
+	// denied a permit by this node's limits.
 	Refused int
 }
 
-// Ratio returns the extra sub-requests for each primary one.
+// Ratio returns the number of extra sub-requests per primary sub-request.
 func (e ExtraLoad) Ratio() float64 {
 	if e.Primary == 0 {
 		return 0
@@ -107,19 +107,18 @@
 	return float64(e.Hedges+e.Retries) / float64(e.Primary)
 }
 
-// Partial is an early state of an answer, for callers that stream.
+// Partial is an intermediate state of an answer, for callers that stream.
 type Partial struct {
-	// Restarted is true on the first partial after the query started anew on a
-	// newer version: what earlier partials said is void.
+	// Restarted is true on the first partial after the query restarted on a newer version. It
+	// invalidates all earlier partials.
 	Restarted bool
 	Version   target.Version
 	Records   []backend.Record
 	Coverage  Coverage
 }
 
-// PartialFunc receives early states of an answer, one at a time and in order.
-// All partials and the final answer of one request carry the same version,
-// except after a restart on a newer version, which Restarted announces. The
-// function runs on the query's event loop and must return quickly; it owns the
-// slices of the partial.
+// PartialFunc receives the partials of an answer, one at a time and in order. All partials and the
+// final answer of one request have the same version, unless the query restarts on a newer version;
+// Partial.Restarted marks the first partial after that. The function runs on the query's event loop
+// and must return quickly. It owns the slices of the partial.
 type PartialFunc func(partial Partial)
--- a/pkg/query/replan.go
+++ b/pkg/query/replan.go
@@ -9,9 +9,9 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// reroute sends a part elsewhere after its server refused, on evidence before
-// it ran anything, because the plan no longer fits. The refused sub-request
-// caused no load, so the new one is not paid from the budget.
+// reroute sends a part to another server after its server refused it because the plan is out of
+// date. There is evidence that the refusal came before anything ran, so the refused sub-request
+// caused no load, and the new one is not charged to the budget.
 func (p *pass) reroute(index int) {
 	part := &p.parts[index]
 	if part.attempts >= maxAttempts {
@@ -26,7 +26,7 @@
 	p.considerRestart()
 }
 
-// rerouteKind is Primary while nothing was sent for the part.
+// rerouteKind returns Primary while nothing was sent for the part, and Retry after that.
 func (p *pass) rerouteKind(part *partState) AttemptKind {
 	if part.sent == 0 {
 		return Primary
@@ -51,16 +51,16 @@
 	return false
 }
 
-// refusal is what a server said that it does not serve.
+// refusal records that a server does not serve a range at the pinned version.
 type refusal struct {
 	server target.ServerID
-	// everything is true if the server serves nothing of the version.
+	// wholeVersion is true if the server serves no range of the version.
 	wholeVersion bool
-	// keys is the range that was asked.
+	// keys is the range that was requested.
 	keys keyspace.Range
 }
 
-// refuse remembers a refusal because the plan no longer fits.
+// recordRefusal records a refusal because the plan is out of date.
 func (p *pass) recordRefusal(refused target.Target, err error) {
 	p.refusals = append(p.refusals, refusal{
 		server:       refused.Server,
@@ -69,19 +69,18 @@
 	})
 }
 
-// isRefused reports whether the server said that it does not serve the range.
-// One that does not hold a range may still hold a piece of it.
+// isRefused reports whether the server is known not to serve the range. A server that does not hold
+// a range may still hold a piece of it.
 func (p *pass) isRefused(server target.ServerID, keys keyspace.Range) bool {
 	return slices.ContainsFunc(p.refusals, func(refused refusal) bool {
 		return refused.server == server && (refused.wholeVersion || keys.Covers(refused.keys))
 	})
 }
 
-// replan divides the range of one uncovered part anew, from the current view
-// and at the same version: after a split its pieces come from the children,
-// after a merge it is a piece of the parent. A request with a key has one part
-// and nothing covered yet: it goes on with only the piece that holds the key,
-// since one that is not repeatable must go to one server only.
+// replan divides the range of one uncovered part again, from the current view and at the same
+// version. After a split the pieces come from the child shards; after a merge the part is a piece
+// of the parent shard. A request with a key has one part and nothing covered yet. It continues with
+// only the piece that contains the key, because a not-repeatable request must go to one server only.
 func (p *pass) replan(index int) {
 	p.view = p.currentView()
 	old := p.parts[index]
@@ -103,7 +102,8 @@
 	}
 }
 
-// openPiece adds a part that stands for a piece of an older one.
+// openPiece adds a part for a piece of an older part and sends a sub-request for it. The new part
+// inherits the attempts of the older one.
 func (p *pass) openPiece(old *partState, plan *plannedPart) {
 	p.parts = append(p.parts, partState{
 		plan:     plan,
@@ -121,8 +121,8 @@
 	p.scheduleHedge(index, p.hedgeTime())
 }
 
-// carryOverTried returns the bits of the new plan's candidates that were tried for
-// the old part.
+// carryOverTried returns the tried bits for the new plan: those candidates that were tried for the
+// old part.
 func carryOverTried(old *partState, plan *plannedPart) uint64 {
 	var tried uint64
 	for i, server := range plan.candidates {
@@ -134,14 +134,14 @@
 	return tried
 }
 
-// strand marks a part that no known server holds at the pinned version.
+// markUnavailable marks a part for which no usable server is known at the pinned version.
 func (p *pass) markUnavailable(index int) {
 	p.parts[index].status = partUnavailable
 	p.unavailableParts++
 }
 
-// considerRestart looks for a newer version to restart on, if some part is out
-// of reach at the pinned one.
+// considerRestart looks for a newer version to restart on if some part is unavailable at the pinned
+// one. The newer version must be fully reachable or reach more positions than the pinned one.
 func (p *pass) considerRestart() {
 	if p.unavailableParts == 0 || !p.mayRestart() {
 		return
@@ -159,8 +159,8 @@
 	}
 }
 
-// reachable counts the positions that servers hold at the pinned version. A
-// part that was given up counts: a restart is no way round the retry policy.
+// reachableWidth counts the positions that are reachable at the pinned version. A part that was
+// given up counts as reachable, because a restart must not bypass the retry policy.
 func (p *pass) reachableWidth() uint32 {
 	var width uint32
 	for i := range p.parts {
@@ -172,8 +172,8 @@
 	return width
 }
 
-// mayRestart reports whether the request may start anew: nothing that may run
-// only once has run, and enough time is left.
+// mayRestart reports whether the request may restart: the maximum number of restarts is not reached,
+// a not-repeatable request cannot have run yet, and enough time is left.
 func (p *pass) mayRestart() bool {
 	x := p.execution
 	options := &x.executor.options
@@ -189,7 +189,7 @@
 	}
 }
 
-// revisit tries the stranded parts again if the catalog has news.
+// retryUnavailable plans the unavailable parts again if the catalog has a new view.
 func (p *pass) retryUnavailable() {
 	if p.unavailableParts == 0 || p.currentView() == p.view {
 		return
--- a/pkg/query/scenario_test.go
+++ b/pkg/query/scenario_test.go
@@ -18,12 +18,12 @@
 	"github.com/bramblemast/bramblemast/pkg/template"
 )
 
-// event changes the world while queries run.
+// event changes the cluster while queries run.
 type event struct {
 	At     time.Duration
 	Kind   int
 	Server int
-	// Shown is how much later the catalog shows the change.
+	// CatalogDelay is how much later the catalog shows the change.
 	CatalogDelay time.Duration
 }
 
@@ -38,7 +38,7 @@
 	eventKinds
 )
 
-// cancelOffset keeps cancellations away from the moments at which other things happen.
+// cancelOffset keeps cancellations from coinciding with other timed events.
 const cancelOffset = 37 * time.Microsecond
 
 // caller is one request of a scenario.
@@ -51,7 +51,7 @@
 	Stream                    bool
 }
 
-// scenario is everything that a run of the property depends on.
+// scenario holds all inputs of one run of the property.
 type scenario struct {
 	Seed       uint64
 	Groups     int
@@ -113,7 +113,7 @@
 	}
 }
 
-// build makes the world of a scenario. Two versions are served at first.
+// newCluster returns the cluster of a scenario. Its servers hold two versions at first.
 func (s scenario) newCluster() *fakeCluster {
 	cluster := newFakeCluster(s.Seed, s.Faults)
 	cluster.permitsPerServer = s.PerServer
@@ -127,7 +127,7 @@
 	return cluster
 }
 
-// apply carries out an event.
+// apply applies an event to the servers, and to the catalog after the event's delay.
 func (c *fakeCluster) apply(change event) {
 	index := change.Server % len(c.servers)
 	c.changeServer(index, func(server *catalog.Server) {
@@ -162,7 +162,8 @@
 	c.updateCatalog()
 }
 
-// repartition returns a half of the first shard, or one twice as wide.
+// repartition returns the shards with the first one changed: made twice as wide by a merge; by a
+// split, reduced to one of its halves or replaced by both.
 func repartition(shards []backend.Shard, change event) []backend.Shard {
 	changed := slices.Clone(shards)
 	keys := changed[0].Range
@@ -181,7 +182,7 @@
 	return slices.DeleteFunc(changed, func(part backend.Shard) bool { return !part.Range.Valid() })
 }
 
-// result is what one caller got.
+// result is what one caller received.
 type result struct {
 	caller   caller
 	request  *query.Request
--- a/pkg/query/suite_test.go
+++ b/pkg/query/suite_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// suite is the test that runs the specs; virtual time needs it.
+// suite is the test that runs the specs; synctest.Test needs it.
 var suite *testing.T
 
 func TestQuery(t *testing.T) {
@@ -17,8 +17,8 @@
 	RunSpecs(t, "Query")
 }
 
-// inVirtualTime runs a spec's body in a bubble with its own clock. It fails if
-// a goroutine is left over.
+// inVirtualTime runs a spec's body in a synctest bubble with a fake clock. The spec fails if a
+// goroutine is left running.
 func inVirtualTime(body func()) func() {
 	return func() {
 		synctest.Test(suite, func(*testing.T) {
--- a/pkg/query/suspect.go
+++ b/pkg/query/suspect.go
@@ -7,32 +7,33 @@
 	"github.com/bramblemast/bramblemast/pkg/quarantine"
 )
 
-// Bounds of requests that may end the servers that run them.
+// Bounds for suspect requests: those that may crash the servers that run them.
 const (
-	// suspectAfter is how many sub-requests lose their connections, with no answer to any,
-	// until the request is suspect.
+	// suspectAfter is how many sub-requests must lose their connections, with none answered, before
+	// the request is suspect.
 	suspectAfter = quarantine.SuspectAfter
-	// maxTrials is how many further sub-requests a suspect request gets, one after the
-	// other, to show that it is not what ends servers.
+	// maxTrials is how many further sub-requests a suspect request may send, one after the other.
+	// An answer to one of them clears it of suspicion.
 	maxTrials = quarantine.ImmediateTrials
-	// holdBackRecheck is when a retry that was kept back is looked at again.
+	// holdBackRecheck is the delay after which a held-back retry is checked again.
 	holdBackRecheck = 10 * time.Millisecond
 )
 
-// countLostConnection counts a sub-request whose server broke the connection.
+// countLostConnection counts the sub-request if it failed because its connection was lost.
 func (p *pass) countLostConnection(failure error) {
 	if outcome.ReasonOf(failure) == outcome.ReasonConnectionLost {
 		p.lostConnections++
 	}
 }
 
-// isSuspect reports whether the request may be what ends servers: several broke their
-// connections while they had it, and none has answered it.
+// isSuspect reports whether the request may be what crashes servers: several connections were lost
+// while their servers had it, and no server has answered it.
 func (p *pass) isSuspect() bool { return p.lostConnections >= suspectAfter && p.covered.Width() == 0 }
 
-// holdBack reports whether a further sub-request of a part is kept back, since the request is
-// suspect: it waits for what is under way, then for a trial, and is given up when those are
-// used up. With 220 parts, each retried once, such a request would end 220 servers more.
+// holdBack reports whether a further sub-request of a part is held back because the request is
+// suspect. The sub-request waits while others are outstanding, is then sent as a trial, and the part
+// is given up once all trials are used. Without this, a request with 220 parts, each retried once,
+// could crash 220 more servers.
 func (p *pass) holdBack(index int) bool {
 	switch {
 	case !p.isSuspect():
--- a/pkg/query/suspect_test.go
+++ b/pkg/query/suspect_test.go
@@ -15,12 +15,12 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// loseConnection is a script of a server that ends when it runs a request.
+// loseConnection is a script for a server that crashes when it runs a request.
 func loseConnection(_ context.Context, request *backend.Request) (*backend.Response, error) {
 	return nil, &outcome.Error{Step: "script", Peer: string(request.Target.Server), Reason: outcome.ReasonConnectionLost}
 }
 
-// eighths adds eight groups of three servers, and lets requests be tried again.
+// addEightGroups adds eight groups of three servers, and enables retries.
 func (f *fixture) addEightGroups() *fixture {
 	for i, keys := range keyspace.Split(8) {
 		f.cluster.addGroup(string(rune('a'+i)), 3, []target.Version{1}, keys)
@@ -31,8 +31,10 @@
 	return f
 }
 
-var _ = Describe("A request under which servers end", func() {
-	It("is not sent to a second server of each part, but tried twice", inVirtualTime(func() {
+// These specs guard against a request that crashes every server that runs it: retried for each part,
+// it would crash a second server of every shard.
+var _ = Describe("A request whose servers crash", func() {
+	It("is not sent to a second server of each part, but gets two trials", inVirtualTime(func() {
 		f := newFixture().addEightGroups()
 		var ended atomic.Int64
 		for _, server := range f.cluster.servers {
@@ -43,12 +45,12 @@
 		}
 		_, err := f.execute(nil)
 		Expect(outcome.Of(err)).To(Equal(outcome.Unknown))
-		Expect(ended.Load()).To(BeNumerically("<=", 8+2+2), "two ends are retried at once, and two trials")
+		Expect(ended.Load()).To(BeNumerically("<=", 8+2+2), "eight primaries, the two retries sent before the request is suspect, and two trials")
 	}))
 
-	It("is answered by the others if it was there by chance", inVirtualTime(func() {
+	It("is answered by the other servers if it did not cause the crashes", inVirtualTime(func() {
 		f := newFixture().addEightGroups()
-		// The first server of each group ends, whatever it runs.
+		// The first server of each group crashes, whatever it runs.
 		for number := 0; number < len(f.cluster.servers); number += 3 {
 			f.cluster.scripts[f.cluster.servers[number].ID] = delayed(time.Millisecond, loseConnection)
 		}
--- a/pkg/query/tiling.go
+++ b/pkg/query/tiling.go
@@ -7,12 +7,12 @@
 	"github.com/bramblemast/bramblemast/pkg/keyspace"
 )
 
-// shard is one distinct range that servers hold at one version.
+// shard is one distinct range that servers hold at one index version.
 type shard struct {
 	group string
 	keys  keyspace.Range
-	// candidates are the servers that may be asked, active ones first. A shard
-	// without any still tells where the layout's parts lie.
+	// candidates are the servers that may be used, active ones first; active is the number of
+	// active ones. A shard without candidates still shows where the boundaries of the parts are.
 	candidates []*catalog.Server
 	active     int
 }
@@ -20,25 +20,24 @@
 // plannedPart is one part of a plan. It is immutable.
 type plannedPart struct {
 	shard
-	// cut is true if no server's shard has exactly this range: the part is a
-	// piece of larger shards.
+	// cut is true if no server's shard has exactly this range, so that the part is a piece of
+	// larger shards.
 	cut bool
 }
 
-// scarcityUnit scales the cost of a position that has one active replica.
+// scarcityUnit is the scarcity of a position with one active replica.
 const scarcityUnit = 1 << 16
 
-// ejectedPenalty is how many times worse a position is that has only ejected
-// replicas.
+// ejectedPenalty multiplies the scarcity of a position that has only ejected replicas.
 const ejectedPenalty = 4
 
-// cost orders plans; smaller is better, the first field that differs decides.
+// cost orders plans. A smaller cost is better; the first field that differs decides.
 type cost struct {
-	// missing counts positions that no server can be asked for.
+	// missing counts the positions without any candidate.
 	missing uint32
-	// cut counts positions in parts that are no whole shard.
+	// cut counts the positions in parts that are not a whole shard.
 	cut uint32
-	// scarcity grows as positions have fewer replicas.
+	// scarcity is higher the fewer replicas the positions have.
 	scarcity uint64
 	parts    int
 }
@@ -73,13 +72,13 @@
 	}
 }
 
-// tile divides the asked range into parts that do not overlap, from shards
-// that may overlap in any way: while a repartition runs, parents and children
-// are there at once. Of all divisions it returns the one of least cost: most
-// positions that can be asked, then most whole shards, then most replicas.
+// tile divides the requested range into parts that do not overlap. The shards may overlap in any
+// way, because parents and children exist at the same time during a repartition. Of all divisions it
+// returns one with the minimum cost: the most positions with a candidate, then the most positions in
+// whole shards, then the most replicas, then the fewest parts.
 //
-// The division is a shortest path over the boundaries of the shards, from the
-// start to the end of the asked range; each usable part is an edge.
+// The division is a shortest path over the boundaries of the shards, from the start to the end of
+// the requested range. Each possible part is an edge.
 func tile(requested keyspace.Range, shards []shard) []plannedPart {
 	edges := clipTo(requested, shards)
 	bounds := boundaries(requested, edges)
@@ -88,7 +87,7 @@
 	return shortestPath(bounds, edges)
 }
 
-// clipTo returns the shards that overlap asked, cut to it.
+// clipTo returns the shards that overlap the requested range, clipped to it.
 func clipTo(requested keyspace.Range, shards []shard) []plannedPart {
 	var edges []plannedPart
 	for _, held := range shards {
@@ -103,7 +102,8 @@
 	return edges
 }
 
-// boundaries returns the distinct ends of the edges and of asked, ascending.
+// boundaries returns the distinct start and end positions of the edges and of the requested range,
+// ascending.
 func boundaries(requested keyspace.Range, edges []plannedPart) []uint32 {
 	bounds := []uint32{requested.Start, requested.End}
 	for _, edge := range edges {
@@ -113,9 +113,8 @@
 	return slices.Compact(bounds)
 }
 
-// pieces returns one part for each two neighbouring boundaries that no whole
-// edge with servers joins. It can be asked from every server whose shard covers
-// it; with no such server it is a gap.
+// pieces returns one part for each pair of adjacent boundaries that no edge with candidates connects
+// directly. Its candidates are all servers whose shard covers it; without any it is a gap.
 func pieces(bounds []uint32, edges []plannedPart) []plannedPart {
 	whole := make(map[keyspace.Range]bool, len(edges))
 	for _, edge := range edges {
@@ -148,9 +147,9 @@
 	return piece
 }
 
-// shortestPath returns the edges of the cheapest path from the first to the
-// last boundary. Edges are sorted by start, and every boundary but the last
-// starts at least one that leads to the next boundary.
+// shortestPath returns the edges of the cheapest path from the first to the last boundary. The edges
+// must be sorted by start, and from every boundary but the last there must be an edge to the next
+// one.
 func shortestPath(bounds []uint32, edges []plannedPart) []plannedPart {
 	type step struct {
 		cost cost
--- a/pkg/query/tiling_test.go
+++ b/pkg/query/tiling_test.go
@@ -38,7 +38,7 @@
 	return shards
 }
 
-// bestCost finds the least cost by trying every division at sixteenths.
+// bestCost returns the minimum cost, by trying every division into edges.
 func bestCost(requested keyspace.Range, edges []plannedPart) cost {
 	if requested.Width() == 0 {
 		return cost{}
@@ -69,25 +69,25 @@
 		var total cost
 		for _, part := range parts {
 			if part.keys.Start != next || !part.keys.Valid() {
-				t.Fatalf("%v does not divide %s", parts, requested)
+				t.Fatalf("the parts %v have a gap, an overlap or an empty range in %s", parts, requested)
 			}
 			next = part.keys.End
 			total = total.add(part)
 			checkCandidates(t, part, shards)
 		}
 		if next != requested.End {
-			t.Fatalf("%v does not reach the end of %s", parts, requested)
+			t.Fatalf("the parts %v do not reach the end of %s", parts, requested)
 		}
 		checkReachability(t, parts, shards)
 		edges := clipTo(requested, shards)
 		edges = append(edges, pieces(boundaries(requested, edges), edges)...)
 		if best := bestCost(requested, edges); best.less(total) {
-			t.Fatalf("cost %+v, but %+v is possible", total, best)
+			t.Fatalf("the tiling costs %+v, but %+v is possible", total, best)
 		}
 	})
 }
 
-// checkCandidates checks that each candidate holds the part as a whole.
+// checkCandidates checks that each candidate holds the whole range of the part.
 func checkCandidates(t *rapid.T, part plannedPart, shards []shard) {
 	for _, candidate := range part.candidates {
 		holds := false
@@ -97,24 +97,25 @@
 			}
 		}
 		if !holds {
-			t.Fatalf("%s does not hold %s", candidate.ID, part.keys)
+			t.Fatalf("candidate %s does not hold %s", candidate.ID, part.keys)
 		}
 	}
 }
 
-// checkReachability checks that every position that some server holds can be asked.
+// checkReachability checks that every position that some server holds is in a part with candidates.
 func checkReachability(t *rapid.T, parts []plannedPart, shards []shard) {
 	for _, part := range parts {
 		for _, held := range shards {
 			if len(part.candidates) == 0 && len(held.candidates) > 0 && held.keys.Overlaps(part.keys) {
-				t.Fatalf("%s is missing, but %s is held", part.keys, held.keys)
+				t.Fatalf("%s has no candidate, but a server holds %s", part.keys, held.keys)
 			}
 		}
 	}
 }
 
-// TestAShardWithoutServersHidesNoLargerOne: two halves are split from larger shards that overlap, and have no servers
-// yet. Their parts are asked of the larger ones.
+// TestAShardWithoutServersHidesNoLargerOne guards against a part without candidates although a
+// larger shard holds its range. Two shards without servers are split from larger, overlapping shards
+// that have servers; their ranges must be queried from the larger ones.
 func TestAShardWithoutServersHidesNoLargerOne(t *testing.T) {
 	held := func(name string) []*catalog.Server { return []*catalog.Server{{ID: target.ServerID(name)}} }
 	parts := tile(sixteenths(0, 3), []shard{
@@ -123,7 +124,7 @@
 	})
 	for _, part := range parts {
 		if len(part.candidates) == 0 {
-			t.Errorf("%s is missing, but a larger shard holds it", part.keys)
+			t.Errorf("%s has no candidate, but a larger shard holds it", part.keys)
 		}
 	}
 }
@@ -147,7 +148,7 @@
 	}
 }
 
-// BenchmarkLayouts gives the cost of a new view of a service with 880 servers.
+// BenchmarkLayouts measures the cost of planning a new view of a service with 880 servers.
 func BenchmarkLayouts(b *testing.B) {
 	view := &catalog.View{Service: "service"}
 	for i, keys := range keyspace.Split(220) {
--- a/pkg/query/top.go
+++ b/pkg/query/top.go
@@ -7,21 +7,22 @@
 	"github.com/bramblemast/bramblemast/pkg/backend"
 )
 
-// top keeps the best records of many lists. Its cost is low because most
-// records of a wide query fall below the worst one that can still be wanted.
-// It is not safe for concurrent use.
+// topRecords keeps the best records of many lists. It is cheap because most records of a query over
+// many parts rank below the worst record kept and are skipped after one comparison. It is not safe
+// for concurrent use.
 type topRecords struct {
-	// limit is the number of records wanted; all if zero or less.
+	// limit is the number of records wanted; zero or less means all.
 	limit   int
 	records []backend.Record
-	// taken counts the records of all parts.
+	// received counts the records of all parts, including those that were skipped.
 	received int
-	// full is true once records[limit-1] bounds what can still be wanted.
+	// full is true once a trim has left limit records; worst is then the last of them, and records
+	// that rank below it are skipped.
 	full  bool
 	worst backend.Record
 }
 
-// maxReservedRecords bounds the records for which room is made at the start.
+// maxReservedRecords is the maximum capacity, in records, that is allocated at the start.
 const maxReservedRecords = 256
 
 func newTopRecords(limit int) topRecords {
@@ -39,7 +40,7 @@
 	return cmp.Compare(a.Key, b.Key)
 }
 
-// add takes the records of one more part, in any order.
+// add adds the records of one more part, in any order.
 func (t *topRecords) add(records []backend.Record) {
 	t.received += len(records)
 	if t.limit <= 0 {
@@ -57,7 +58,7 @@
 	}
 }
 
-// shrink sorts the records and drops those beyond the limit.
+// trim sorts the records and drops those beyond the limit.
 func (t *topRecords) trim() {
 	slices.SortFunc(t.records, compareRecords)
 	if t.limit <= 0 || len(t.records) < t.limit {
@@ -68,8 +69,7 @@
 	t.full = true
 }
 
-// sorted returns the best records so far. The slice is valid until the next
-// add.
+// sorted returns the best records so far, in order. The slice is valid until the next add.
 func (t *topRecords) sorted() []backend.Record {
 	t.trim()
 	return t.records
