--- a/pkg/loadshed/admitter.go
+++ b/pkg/loadshed/admitter.go
@@ -7,54 +7,55 @@
 	"time"
 )
 
-// shareTTL is how long shares that are not told again are kept: three of the repetitions
-// while they matter. A node that hears nothing falls back to what it sees itself.
+// shareTTL is how long shares are kept after their measurement: three times republishInterval. A
+// node that receives no update falls back to its own measurements.
 const shareTTL = 1500 * time.Millisecond
 
-// Board holds what this node was told of the room at services.
+// Admitter holds the shares of services that this node has received or measured, and admits
+// requests by them. It is safe for concurrent use.
 type Admitter struct {
-	// limited counts the services that are short of room, so that nothing is locked without
-	// overload.
+	// limitedCount counts the loads of which only a part is admitted, so that no lock is needed
+	// without overload.
 	limitedCount atomic.Int64
 
 	mutex sync.RWMutex
-	// told is guarded by mutex.
+	// entries is guarded by mutex.
 	entries map[Key]shareEntry
 }
 
-// told are the shares of one service.
+// shareEntry holds the shares of one load.
 type shareEntry struct {
 	shares Shares
-	// measuredAt is when they were judged.
+	// measuredAt is when the shares were computed.
 	measuredAt time.Time
-	// isLocal says that this node has measured them by its own requests alone.
+	// isLocal is set if this node measured the shares from its own requests alone.
 	isLocal bool
 }
 
-// NewAdmitter returns an empty board.
+// NewAdmitter returns an Admitter that admits everything.
 func NewAdmitter() *Admitter { return &Admitter{entries: make(map[Key]shareEntry)} }
 
-// AdmitsAll reports whether every service is known to have room for all requests.
+// AdmitsAll reports whether no load is limited, so that every request is admitted.
 func (a *Admitter) AdmitsAll() bool { return a.limitedCount.Load() == 0 }
 
-// Limited returns how many services are short of room.
+// LimitedServices returns how many loads are limited. A service counts once for each of its keys.
 func (a *Admitter) LimitedServices() int { return int(a.limitedCount.Load()) }
 
-// Take notes the shares of a service as its owner judged them at a moment; older ones than
-// those known are passed over.
+// Update stores the shares that the owner of a service computed at measuredAt, unless newer ones
+// are known.
 func (a *Admitter) Update(key Key, shares Shares, measuredAt time.Time) {
 	a.store(key, shareEntry{shares: shares, measuredAt: measuredAt})
 }
 
-// UpdateLocal notes shares that this node has judged by its own requests alone. Recent ones of
-// an owner, who sees all, count before them.
+// UpdateLocal stores shares that this node has computed from its own requests alone. Recent shares
+// of an owner, which sees all requests, take precedence.
 func (a *Admitter) UpdateLocal(key Key, shares Shares, measuredAt time.Time) {
 	a.store(key, shareEntry{shares: shares, measuredAt: measuredAt, isLocal: true})
 }
 
-// take notes shares, unless what is known of the service is newer or, for partial ones, a recent
-// word of an owner. Full shares are noted too while any service is short of room, so that older
-// ones that come later are passed over.
+// store keeps an entry unless the known one is newer or, for a local entry, comes from an owner and
+// is not older than shareTTL. While any load is limited, full shares are stored too, so that older
+// shares that arrive later are ignored.
 func (a *Admitter) store(key Key, entry shareEntry) {
 	shares, measuredAt := entry.shares, entry.measuredAt
 	if shares.IsFull() && a.AdmitsAll() {
@@ -73,7 +74,7 @@
 	a.updateLimitedCount()
 }
 
-// updateLimitedCount counts the services that are short of room. The mutex is held.
+// updateLimitedCount recounts the limited loads. The mutex must be held.
 func (a *Admitter) updateLimitedCount() {
 	count := int64(0)
 	for _, known := range a.entries {
@@ -84,7 +85,7 @@
 	a.limitedCount.Store(count)
 }
 
-// ShareOf returns the part of the requests of a class that a service has room for.
+// ShareOf returns the part of the requests of a class that is admitted for a load, 0 to 1.
 func (a *Admitter) ShareOf(key Key, class Class, now time.Time) float64 {
 	if a.AdmitsAll() {
 		return 1
@@ -95,26 +96,28 @@
 	return share
 }
 
-// Decision is whether a request is let in.
+// Decision is the result of admission for one request.
 type Decision struct {
 	IsAdmitted bool
-	// Class is what it was judged by.
+	// Class is the class of the request.
 	Class Class
-	// Share is the part of the requests like this one that is let in.
+	// Share is the part of the requests like this one that is admitted, 0 to 1.
 	Share float64
-	// Behind is how far the request's lot is from those that are let in, 0 to 1.
+	// Shortfall is how far a refused request is from admission: 0 if it just missed it, 1 for the
+	// requests that are admitted last.
 	Shortfall float64
-	// Spared are the positions of services that are left to others, since the request can be
-	// answered without them; nil for none.
+	// Skipped holds the positions of limited services that the request leaves to others, since it
+	// can be answered without them; nil for none.
 	Skipped []int
-	// Scarcest is the service that decided Share, and Age how old its shares are.
+	// LimitingService is the service whose share became Share, and ShareAge the time since that
+	// share was measured; zero if nothing limits the request.
 	LimitingService string
 	ShareAge        time.Duration
 }
 
-// Admit decides about a request that needs some of the services, and is bound to the regions with
-// a key. The requests with the greatest lots are let in, so that all services and nodes let in
-// the same ones.
+// Admit decides whether a request is admitted. It needs answers of at least required of the services
+// and is bound to the regions with the key regions; sample is its value from a Sampler. The requests
+// with the greatest sampling values are admitted, so that all services and nodes admit the same ones.
 func (a *Admitter) Admit(
 	services []string, regions string, required int, class Class, sample uint64, now time.Time,
 ) Decision {
@@ -137,18 +140,19 @@
 	return decision
 }
 
-// maxSkippable bounds the services that a request leaves to others, so that the scarcest fit in
-// an array of Admit.
+// maxSkippable bounds the services that a request leaves to others, so that the scarcest ones fit in
+// the fixed-size array in Admit.
 const maxSkippable = 63
 
-// scarce is a service of which only a part of the requests is let in.
+// limitedService is a service that admits only a part of the requests.
 type limitedService struct {
 	index int
 	share float64
 	age   time.Duration
 }
 
-// insert keeps the scarcest services, the scarcest first, at most so many.
+// insertScarcest adds a service to the limit services with the smallest shares, which are in
+// ascending order of their shares.
 func insertScarcest(scarcest []limitedService, added limitedService, limit int) []limitedService {
 	position := len(scarcest)
 	for position > 0 && scarcest[position-1].share > added.share {
@@ -165,8 +169,7 @@
 	return scarcest
 }
 
-// decide lets a request in if enough services have room for it. Those that have none for it
-// are left to others.
+// decide admits a request if enough services admit it. Services that do not are skipped.
 func decide(services []string, scarcest []limitedService, skippable int, sample uint64) Decision {
 	quantile := 1 - float64(sample)/math.MaxUint64
 	decision := Decision{IsAdmitted: true, Share: 1}
@@ -187,8 +190,8 @@
 	return decision
 }
 
-// shareOf returns the share of a class at a service, 1 if nothing recent is known. The mutex
-// is held.
+// shareOf returns the share of a class for a load and its age, or 1 and 0 if nothing recent is
+// known. The mutex must be held.
 func (a *Admitter) shareOf(key Key, class Class, now time.Time) (float64, time.Duration) {
 	known, isKnown := a.entries[key]
 	if !isKnown {
@@ -201,7 +204,7 @@
 	return known.shares.Of(class), age
 }
 
-// Sweep forgets shares that are old. It is called every second or so.
+// Sweep removes expired shares. It has to be called about every second.
 func (a *Admitter) Sweep(now time.Time) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/pkg/loadshed/divide.go
+++ b/pkg/loadshed/divide.go
@@ -5,28 +5,31 @@
 	"slices"
 )
 
-// Constants of the division.
+// Constants for dividing the capacity.
 const (
-	// guaranteedPart of the rate at which all requests are served is what each kind and each
-	// tenant keeps, however urgent the others are: a caller that is served under a quarter
-	// as often as the others takes the service for down.
+	// guaranteedPart is the part of the common share that each priority and each tenant keeps,
+	// however urgent the other requests are: a caller that is served less than a quarter as often as
+	// the others takes the service to be down.
 	guaranteedPart = 0.25
-	// maxHeavyTenants bounds the tenants that are told apart for each rank, so that what is
-	// told does not grow with the number of callers. The others share what is left.
+	// maxHeavyTenants bounds the tenants that have a share of their own in each priority, so that
+	// the message to all nodes does not grow with the number of callers. The other tenants share
+	// the rest.
 	maxHeavyTenants = 8
-	// levelIterations halve the uncertainty of the fair level; 30 leave less than a billionth.
+	// levelIterations is the number of bisection steps for the fair level: 30 leave an error of less
+	// than a billionth.
 	levelIterations = 30
 )
 
-// Demand is the work a second that the requests of a class ask for.
+// Demand is the work that the requests of a class need, in server seconds a second.
 type Demand struct {
 	Class
 	Rate float64
 }
 
-// Divide divides the work a second that servers can do among what is asked of them. More
-// urgent ranks come first, within a rank tenants get equal rates as far as they ask for them,
-// and nobody gets less than guaranteedPart of the common share. demands is sorted by it.
+// Divide divides a capacity, in server seconds a second, among demands. More urgent priorities come
+// first. Within a priority, tenants get equal rates up to their demand. No class gets less than
+// guaranteedPart of the common share, which is the capacity divided by the sum of the demands. Divide
+// sorts demands in place.
 func Divide(capacity float64, demands []Demand) Shares {
 	total := sum(demands)
 	if total <= 0 || capacity >= total {
@@ -54,7 +57,8 @@
 	return shares
 }
 
-// add divides the capacity of one rank among its tenants, which are sorted by their rates.
+// addRank divides the capacity of one priority among its tenants, which are sorted by rate. No tenant
+// gets less than minShare.
 func (s *Shares) addRank(rank []Demand, capacity, minShare float64) {
 	level := fairLevel(rank, capacity, minShare)
 	heavy := len(rank)
@@ -71,8 +75,7 @@
 	s.Ranks = append(s.Ranks, RankShare{Priority: rank[0].Priority, Share: share})
 }
 
-// fairLevel returns the rate that each tenant gets at most, so that all together get the
-// capacity.
+// fairLevel returns the maximum rate of a tenant with which all tenants together use the capacity.
 func fairLevel(rank []Demand, capacity, minShare float64) float64 {
 	low, high := 0.0, rank[len(rank)-1].Rate
 	for range levelIterations {
@@ -89,7 +92,7 @@
 	return low
 }
 
-// sum returns the work a second of all demands.
+// sum returns the total rate of demands.
 func sum(demands []Demand) float64 {
 	total := 0.0
 	for _, each := range demands {
--- a/pkg/loadshed/export_test.go
+++ b/pkg/loadshed/export_test.go
@@ -1,4 +1,4 @@
 package loadshed
 
-// Slots returns how many counts are held.
+// Slots returns the number of counters.
 func (s *Sampler) Slots() int { return len(s.counts) }
--- a/pkg/loadshed/loadshed.go
+++ b/pkg/loadshed/loadshed.go
@@ -1,61 +1,61 @@
-// Package loadshed decides which requests are let in while servers have less room than is
-// asked of them.
+// Package loadshed decides which requests are admitted while the servers of a service have less
+// capacity than is requested of them.
 //
-// A Meter measures, where the load of a service comes together, what its servers do and what
-// is offered to them, and divides the one among the other: by urgency first, fairly among
-// tenants within it. What comes of it are Shares, small enough to be told to all nodes. A
-// Board holds the shares that a node was told and lets requests in by them, alike on all
-// nodes and without a message for each.
+// A Meter runs on the node where the requests for a service come together. It measures the work
+// that the servers do and the work that is requested of them, and divides the capacity among the
+// requests: by priority first, and fairly among tenants within a priority. The result are Shares,
+// which are small enough to be sent to all nodes. An Admitter holds the shares that a node has
+// received and admits requests by them. All nodes decide alike, without a message per request.
 //
-// Everything here is a function of what was noted and of a moment that is passed in; nothing
-// opens a connection or starts a goroutine. Meters and Board are safe for concurrent use, a
+// Results depend only on what was recorded and on the times that are passed in; nothing here opens
+// a connection or starts a goroutine. Meters, Admitter and Sampler are safe for concurrent use;
 // Meter and Shares are not.
 package loadshed
 
 import "math"
 
-// Class is what a request is judged by.
+// Class is the class of a request for admission.
 type Class struct {
-	// Priority ranks it; zero is the most urgent.
+	// Priority zero is the most urgent; greater values are less urgent.
 	Priority int
-	// Tenant is the name of the caller; empty where callers have no keys.
+	// Tenant is the name of the calling tenant; empty where callers have no keys.
 	Tenant string
 }
 
-// Key names the load on the servers of a service that some requests may use.
+// Key identifies a load: the requests for a service that may use the same of its servers.
 type Key struct {
 	Service string
-	// Regions is the key of the regions to which the requests are bound; empty for none.
+	// Regions is the key of the regions to which the requests are bound; empty if they are not bound.
 	Regions string
 }
 
-// Shares tells which part of the requests a service can take, by class. The zero value lets
-// everything in.
+// Shares are the parts of the requests for a service that are admitted, by class. The zero value
+// admits everything.
 type Shares struct {
-	// Ranks are ordered from the most urgent.
+	// Ranks holds one share per priority, the most urgent first.
 	Ranks []RankShare
-	// Tenants are those that ask more than their fair part of their rank, at most
-	// maxHeavyTenants for each rank.
+	// Tenants holds the shares of tenants that request more than their fair part of a priority, at
+	// most maxHeavyTenants for each priority.
 	Tenants []TenantShare
 }
 
-// RankShare is the part of the requests of a priority that is let in.
+// RankShare is the part of the requests of a priority that is admitted, 0 to 1.
 type RankShare struct {
 	Priority int     `json:"priority"`
 	Share    float64 `json:"share"`
 }
 
-// TenantShare is the part of one tenant's requests of a priority that is let in.
+// TenantShare is the part of one tenant's requests of a priority that is admitted, 0 to 1.
 type TenantShare struct {
 	Class
 	Share float64
 }
 
-// IsFull reports whether everything is let in.
+// IsFull reports whether everything is admitted.
 func (s Shares) IsFull() bool { return len(s.Ranks) == 0 }
 
-// Of returns the share of a class, 0 to 1. A priority that was not seen gets that of the
-// next more urgent one, and all if there is none.
+// Of returns the share of a class, 0 to 1. A priority without a share of its own gets that of the
+// next more urgent one, or 1 if there is none.
 func (s Shares) Of(class Class) float64 {
 	for _, heavy := range s.Tenants {
 		if heavy.Class == class {
@@ -72,12 +72,14 @@
 	return share
 }
 
-// differsFrom reports whether a share of any class has changed by more than a part of it.
+// differsFrom reports whether the share of any class differs by more than a part of the greater
+// share.
 func (s Shares) differsFrom(other Shares, part float64) bool {
 	return s.hasChangedIn(other, part) || other.hasChangedIn(s, part)
 }
 
-// hasChangedIn reports whether a share that is listed here has changed in other.
+// hasChangedIn reports whether a share that is listed in s differs in other by more than a part of
+// the greater one.
 func (s Shares) hasChangedIn(other Shares, part float64) bool {
 	for _, rank := range s.Ranks {
 		if differs(rank.Share, other.Of(Class{Priority: rank.Priority}), part) {
@@ -92,5 +94,5 @@
 	return false
 }
 
-// hasChangedIn reports whether two shares differ by more than a part of the greater one.
+// differs reports whether two shares differ by more than a part of the greater one.
 func differs(one, other, part float64) bool { return math.Abs(one-other) > part*max(one, other) }
--- a/pkg/loadshed/meter.go
+++ b/pkg/loadshed/meter.go
@@ -5,130 +5,138 @@
 	"time"
 )
 
-// Constants of the measurement.
+// Constants for the measurement.
 const (
-	// evaluationInterval is how often shares are judged anew: a few round trips between nodes, and a
-	// tenth of the second within which returned room is to be used.
+	// evaluationInterval is how often the shares are computed: a few round trips between nodes, and a
+	// tenth of the second within which returned capacity has to be used.
 	evaluationInterval = 100 * time.Millisecond
-	// rateWindow is the time over which rates are averaged: it has tens of requests also of a
-	// service with few servers, and is short against an overload.
+	// rateWindow is the time over which rates are averaged: it covers tens of requests even for a
+	// service with few servers, and is short compared to an overload.
 	rateWindow = 500 * time.Millisecond
-	// admittedWindow is the time over which what is let in is averaged: long enough for some
-	// requests at a time, and short against the growth of the shares.
+	// admittedWindow is the time over which the admitted work is averaged: long enough to cover
+	// several requests, and short compared to the growth of the shares.
 	admittedWindow = 200 * time.Millisecond
-	// minClassRate is the work a second, in seconds of a server, below which a class is
-	// forgotten.
+	// minClassRate is the rate, in server seconds a second, below which a class is removed.
 	minClassRate = 0.001
-	// maxClasses bounds the classes that are measured apart.
+	// maxClasses bounds the classes that are measured separately. The requests of further tenants
+	// count as requests without a tenant.
 	maxClasses = 512
 )
 
-// Constants that find a shortage of room.
+// Constants for detecting an overload.
 const (
-	// tolerableWaitPart is the part of the time to a request's target that it may wait for a
-	// server: the rest is for the server's work and for a second try.
+	// tolerableWaitPart is the part of its target time that a request may wait for a server: the
+	// rest is for the server's work and for a second try.
 	tolerableWaitPart = 0.25
-	// noticeableWaitPart is the part of it from which on the shares do not grow: the servers are full.
+	// noticeableWaitPart is the part of the target time from which on the shares do not grow, since
+	// the servers are fully used.
 	noticeableWaitPart = 0.05
-	// minQueueLength is how many requests make a queue: at low rates as many wait while one of a
-	// service's servers stands still or is found to be lost.
+	// minQueueLength is how many waiting requests count as an overlong queue: at low rates that many
+	// may wait while one server of a service pauses, or until it is found to be lost.
 	minQueueLength = 4
-	// minGrowingCount is how many judgements in a row have to find too long a queue that grows
-	// although servers work, and minOverlongCount how many too long a queue whatever servers do:
-	// one that stands still for some tenths of a second refuses nobody.
+	// minGrowingCount is how many evaluations have to find an overlong queue that grows although the
+	// servers work, and minOverlongCount how many in a row have to find an overlong queue whatever
+	// the servers do, before the load is limited: a pause of the servers for some tenths of a second
+	// must not cause refusals.
 	minGrowingCount  = 2
 	minOverlongCount = 5
 )
 
-// Constants of how the capacity is found out while there is a shortage.
+// Constants for estimating the capacity during an overload.
 const (
-	// drainPart of what the servers do is let in while the queue is too long, so that it is
-	// served.
+	// drainPart is the part of the estimated capacity that is admitted while the queue is overlong,
+	// so that the queue drains.
 	drainPart = 0.8
-	// minRetainedPart is the part of the estimated capacity that one judgement leaves at least:
-	// answers that a lost server still owes come from the others a little later.
+	// minRetainedPart is the least part of the estimated capacity that remains after one evaluation:
+	// when a server is lost, the answers that it still owed come from the other servers a little
+	// later, so that less work is done for a moment.
 	minRetainedPart = 0.9
-	// usedPart of the estimated capacity is let in before it grows: otherwise other services
-	// hold the requests back, and nothing is found out.
+	// usedPart is the part of the estimated capacity that has to be in use before the estimate grows:
+	// with less, other services hold the requests back, and the load shows nothing about the capacity.
 	usedPart = 0.6
-	// probeGrowth is by how much it grows with each of the first probeEvaluations judgements without
-	// a queue. After that room has most likely come back: growthStep is added to the growth
-	// each time, up to maxGrowth, which is fivefold in nine judgements.
+	// probeGrowth is the relative growth of the estimate in each of the first probeEvaluations
+	// evaluations without a queue. After that, capacity has most likely returned: growthStep is added
+	// to the growth each time, up to maxGrowth, which makes a factor of five in nine evaluations.
 	probeGrowth      = 0.03
 	probeEvaluations = 3
 	growthStep       = 0.15
 	maxGrowth        = 0.5
-	// starvedPart of what is asked is let in before the capacity grows slowly: servers that
-	// take less than that without a queue have mostly come back from an outage.
+	// starvedPart is the part of the demand below which the estimate grows by maxGrowth from the
+	// second evaluation without a queue on: servers that get so little and have no queue have mostly
+	// returned from an outage.
 	starvedPart = 0.25
-	// minAdmittedShare is let in at least, so that returned room is noticed, and minCountedShare is the
-	// least share by which a request of a less urgent kind is counted.
+	// minAdmittedShare is the part of the demand that is always admitted, so that returned capacity is
+	// noticed. minCountedShare is the least share by which the work of a request is divided to get
+	// the demand: less urgent requests may have this share.
 	minAdmittedShare = 0.05
 	minCountedShare  = minAdmittedShare * guaranteedPart
 )
 
-// Backlog is the requests that wait for a server of a service and could still be answered in
-// time by it.
+// Backlog describes the requests that wait for a server of a service and could still be answered
+// in time by it.
 type Backlog struct {
 	Waiting int
-	// Target is the mean time within which they are to be answered; zero for none.
+	// Target is the mean target time of these requests; zero if there is none.
 	Target time.Duration
 }
 
-// Meter measures the load of one service and what its servers do.
+// Meter measures one load and the work that the servers do for it. Work is counted in server seconds.
+// It is not safe for concurrent use.
 type Meter struct {
-	// classes are the rates at which work is asked for, as it would be without shares.
+	// classes holds the rates of requested work, including the requests that shares refused.
 	classes map[Class]*rate
-	// offered and served are the requests and the work since the last judgement; admittedWork
-	// is the work of those that were let in.
+	// admitted and admittedWork are the number and the work of the requests that were admitted since
+	// the last evaluation, and servedWork is the work that servers have done since then.
 	admitted                 int
 	admittedWork, servedWork float64
-	// lastServedWork is the work done before the last judgement, and queued the work in the queue then.
+	// lastServedWork is the work that was done in the interval before the last evaluation, and
+	// queuedWork the work in the queue at the last evaluation.
 	lastServedWork, queuedWork float64
-	// servedRate and admittedRate are averages a second.
+	// servedRate and admittedRate are averages, in work a second.
 	servedRate, admittedRate float64
-	// meanWork is the work of a request, averaged.
+	// meanWork is the average work of a request.
 	meanWork    float64
 	evaluatedAt time.Time
-	// behind counts judgements in a row that found too long a queue, outgrown those of them
-	// that found it growing although servers work. noQueueCount counts those since the last
-	// queue that found the estimated capacity in use.
+	// overlongCount counts the consecutive evaluations that found an overlong queue, growingCount
+	// those among them that found it growing although the servers work. noQueueCount counts the
+	// evaluations since the last queue that found the estimated capacity in use.
 	overlongCount, growingCount, noQueueCount int
-	// isLimited says that only a part is let in; capacity is what the servers are taken to
-	// bear then, and asked what is asked of them, in work a second.
+	// isLimited is set while only a part of the requests is admitted; capacity is then the estimated
+	// capacity of the servers, and totalDemand what is requested of them, in work a second.
 	isLimited             bool
 	capacity, totalDemand float64
 	shares                Shares
 	demands               []Demand
-	// judgements counts those since the service is asked for without a break of shareTTL.
+	// evaluations counts the evaluations since the service was last without requests for longer than
+	// shareTTL.
 	evaluations int
-	// wasForPeers says that this node has asked on behalf of others since the last judgement,
-	// and forPeersAt is the last judgement that found so.
+	// wasForPeers is set if this node has queried the servers on behalf of other nodes since the last
+	// evaluation, and forPeersAt is the time of the last evaluation that found it set.
 	wasForPeers bool
 	forPeersAt  time.Time
 }
 
-// rate is work a second, and the work since it was averaged last.
+// rate is an average in work a second, and the work since the average was last updated.
 type rate struct{ value, pending float64 }
 
-// NewMeter returns a meter that lets everything in.
+// NewMeter returns a meter whose shares admit everything.
 func NewMeter(now time.Time) *Meter {
 	return &Meter{classes: make(map[Class]*rate), evaluatedAt: now}
 }
 
-// Offered is a request that was let in.
+// AdmittedRequest describes a request that was admitted.
 type AdmittedRequest struct {
 	Class
-	// Work is what it takes of a server, and Share the part of the requests like it for which
-	// its node took the service to have room.
+	// Work is the server time that it needs, and Share the part of the requests like it that its
+	// node admitted for the service.
 	Work  time.Duration
 	Share float64
-	// ForPeers says that this node asks the servers on behalf of others, so that they are to
-	// know what it measures.
+	// ForPeers is set if this node queries the servers on behalf of other nodes, so that its
+	// measurements have to be sent to them.
 	ForPeers bool
 }
 
-// Offer notes a request that was let in.
+// RecordAdmitted records a request that was admitted.
 func (m *Meter) RecordAdmitted(request AdmittedRequest) {
 	class, work, share := request.Class, request.Work, request.Share
 	m.wasForPeers = m.wasForPeers || request.ForPeers
@@ -145,24 +153,25 @@
 	m.admittedWork += work.Seconds()
 }
 
-// Serve notes that a server has answered a request that took so much work.
+// RecordServed records that a server has answered a request that needed the given work.
 func (m *Meter) RecordServed(work time.Duration) { m.servedWork += work.Seconds() }
 
-// isForPeers reports whether this node has asked on behalf of others lately, so that it sees more
-// than its own requests.
+// isForPeers reports whether this node has recently queried the servers on behalf of other nodes, so
+// that it sees more than its own requests.
 func (m *Meter) isForPeers() bool {
 	return !m.forPeersAt.IsZero() && m.evaluatedAt.Sub(m.forPeersAt) <= shareTTL
 }
 
-// NeedsEvaluation reports whether the shares are to be judged anew.
+// NeedsEvaluation reports whether evaluationInterval has passed since the last evaluation.
 func (m *Meter) NeedsEvaluation(now time.Time) bool {
 	return now.Sub(m.evaluatedAt) >= evaluationInterval
 }
 
-// Shares returns what is let in by the last judgement, and when that was.
+// Shares returns the shares from the last evaluation and the time of that evaluation.
 func (m *Meter) Shares() (Shares, time.Time) { return m.shares, m.evaluatedAt }
 
-// Judge takes the queue of a moment and judges the shares anew.
+// Evaluate computes the shares from the backlog at now and from what was recorded since the last
+// evaluation.
 func (m *Meter) Evaluate(backlog Backlog, now time.Time) {
 	elapsed := now.Sub(m.evaluatedAt).Seconds()
 	if elapsed <= 0 {
@@ -196,11 +205,11 @@
 	m.updateShares(m.estimate(elapsed))
 }
 
-// hasMeasured reports whether the meter can tell if there is room: it has found a shortage, or
-// would have by now.
+// hasMeasured reports whether the shares are meaningful: the meter has detected an overload, or would
+// have done so by now.
 func (m *Meter) hasMeasured() bool { return m.isLimited || m.evaluations >= minOverlongCount }
 
-// average takes what was noted since the last judgement into the rates.
+// average updates the rates with what was recorded in the elapsed seconds since the last evaluation.
 func (m *Meter) average(elapsed float64) {
 	gain := 1 - math.Exp(-elapsed/rateWindow.Seconds())
 	for class, each := range m.classes {
@@ -219,17 +228,17 @@
 	m.admitted, m.admittedWork, m.servedWork = 0, 0, 0
 }
 
-// waitExceeds reports whether the last of the queue waits for longer than some seconds.
+// waitExceeds reports whether the last request in the queue has to wait longer than the given seconds.
 func (m *Meter) waitExceeds(queuedWork, seconds float64) bool {
 	return queuedWork > 0 && queuedWork > m.servedRate*seconds
 }
 
-// isCapacityUsed reports whether the estimated capacity is in use or is nearly what is asked for.
+// isCapacityUsed reports whether the estimated capacity is in use or is close to the demand.
 func (m *Meter) isCapacityUsed() bool {
 	return m.admittedRate >= usedPart*m.capacity || m.capacity >= usedPart*m.totalDemand
 }
 
-// growth returns by how much more is let in after a judgement without a queue.
+// growth returns the relative growth of the capacity estimate after an evaluation without a queue.
 func (m *Meter) growth() float64 {
 	if m.noQueueCount > 1 && m.isStarved() {
 		return maxGrowth
@@ -237,12 +246,12 @@
 	return min(maxGrowth, max(probeGrowth, growthStep*float64(m.noQueueCount-probeEvaluations)))
 }
 
-// isStarved reports whether so little is let in that servers have mostly come back from an outage
-// if there is no queue.
+// isStarved reports whether so little is admitted that servers without a queue have mostly returned
+// from an outage.
 func (m *Meter) isStarved() bool { return m.capacity < starvedPart*m.totalDemand }
 
-// minCapacity is what servers without a queue can do at least: what they do. One that is
-// starved grows faster by itself.
+// minCapacity returns a lower bound of the capacity of servers without a queue: the work that they do.
+// A starved service does without this bound, since its estimate grows faster anyway.
 func (m *Meter) minCapacity() float64 {
 	if m.isStarved() {
 		return minAdmittedShare * m.totalDemand
@@ -250,20 +259,20 @@
 	return max(m.servedRate, minAdmittedShare*m.totalDemand)
 }
 
-// estimate estimates the capacity from the queue, and returns the work a second that is to be
-// let in by it.
+// estimate updates the capacity estimate from the queue and returns the rate to admit, in work a
+// second.
 func (m *Meter) estimate(elapsed float64) float64 {
 	switch {
 	case m.growingCount >= minGrowingCount || m.overlongCount >= minOverlongCount || m.isLimited && m.overlongCount > 0:
 		if m.isLimited {
 			m.capacity = max(m.servedRate, minRetainedPart*m.capacity)
 		} else {
-			// The average is behind a load that has just begun.
+			// The average lags behind a load that has just begun.
 			m.isLimited, m.capacity = true, max(m.servedRate, m.lastServedWork/elapsed)
 		}
 		return drainPart * m.capacity
 	case m.isLimited && m.queuedWork > 0 && m.noQueueCount == 0:
-		// With a queue the servers are busy, so what they do is all that they can do.
+		// With a queue the servers are fully used, so that the work they do is their capacity.
 		m.capacity = min(m.capacity, max(m.servedRate, minRetainedPart*m.capacity))
 	case m.isLimited && m.noQueueCount > 0 && m.isCapacityUsed():
 		m.capacity = max(m.capacity, m.minCapacity()) * (1 + m.growth()*elapsed/evaluationInterval.Seconds())
@@ -271,7 +280,8 @@
 	return m.capacity
 }
 
-// limit sets the shares by the work a second that is to be let in, while there is a shortage.
+// updateShares computes the shares from the rate to admit, in work a second, while the load is
+// limited.
 func (m *Meter) updateShares(allowedRate float64) {
 	if !m.isLimited {
 		return
--- a/pkg/loadshed/meters.go
+++ b/pkg/loadshed/meters.go
@@ -5,59 +5,64 @@
 	"time"
 )
 
-// Constants of what is told.
+// Constants for the messages to all nodes.
 const (
-	// significantChange is the part by which a share has to change to be told before its time: less
-	// than that is within what a service can bear for a moment.
+	// significantChange is the relative change of a share that is published without waiting for
+	// republishInterval: a service can bear smaller differences for a moment.
 	significantChange = 0.2
-	// minPublishInterval is the least time between two messages to all nodes, so that they do not
-	// grow with the load; republishInterval is how often shares are told again while they matter.
+	// minPublishInterval is the least time between two messages to all nodes, so that their number
+	// does not grow with the load. republishInterval is how often shares are repeated while a load is
+	// limited.
 	minPublishInterval = 200 * time.Millisecond
 	republishInterval  = 500 * time.Millisecond
 )
 
-// Queues tells which requests wait for servers; *fleet.Fleet implements it.
+// Queues reports which requests wait for servers; *fleet.Fleet implements it.
 type Queues interface {
-	// Backlog returns those of a load that wait for a service at a moment.
+	// Backlog returns the requests of a load that wait for a server at now.
 	Backlog(key Key, now time.Time) Backlog
 }
 
-// Measured are the shares of one load.
+// Measurement holds the shares of one load and when they were computed.
 type Measurement struct {
 	Key
 	Shares     Shares
 	MeasuredAt time.Time
 }
 
-// Meters are the meters of the services whose servers this node asks, for itself or on behalf
-// of others. The requests that come drive them: without requests nothing changes.
+// Meters holds the meters of the loads whose servers this node queries, for itself or on behalf of
+// other nodes. Evaluations run when requests are recorded: without requests nothing changes. It is
+// safe for concurrent use.
 type Meters struct {
 	queues   Queues
 	admitter *Admitter
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
-	// tell takes what all nodes are to be told; nil where there are none.
+	// publish sends measurements to all nodes; nil if there are no others.
 	publish func([]Measurement)
 	meters  map[Key]*Meter
-	// lastPublished are the shares that all nodes were told last and publishedAt is when.
+	// lastPublished holds the shares that were last sent to all nodes, and publishedAt the time of the
+	// last message.
 	lastPublished map[Key]Shares
 	publishedAt   time.Time
 }
 
-// NewMeters returns meters that note what they find on this node's own board too.
+// NewMeters returns meters that also store their results in this node's own admitter.
 func NewMeters(queues Queues, admitter *Admitter) *Meters {
 	return &Meters{queues: queues, admitter: admitter, meters: make(map[Key]*Meter), lastPublished: make(map[Key]Shares)}
 }
 
-// Tell sets what takes what all nodes are to be told. It does not block.
+// SetPublisher sets the function that sends measurements to all nodes. It is called with a lock held
+// and must not block.
 func (m *Meters) SetPublisher(publish func([]Measurement)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.publish = publish
 }
 
-// Offer notes a request that was let in.
+// RecordAdmitted records a request that was admitted. It evaluates the load if that is necessary,
+// stores the result in the admitter and publishes changes.
 func (m *Meters) RecordAdmitted(key Key, request AdmittedRequest, now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -85,7 +90,7 @@
 	}
 }
 
-// Serve notes that a server of a service has answered.
+// RecordServed records that a server has answered a request of a load.
 func (m *Meters) RecordServed(key Key, work time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -94,8 +99,8 @@
 	}
 }
 
-// Of returns the shares of a service and when they were judged; full ones if it is not
-// measured here or was not asked for lately.
+// CurrentShares returns the shares of a load and when they were computed. They are full if the load is
+// not measured here or had no requests recently.
 func (m *Meters) CurrentShares(key Key, now time.Time) (Shares, time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -106,15 +111,15 @@
 	return meter.Shares()
 }
 
-// Measured returns the shares of a service, and whether this node has measured them lately. One that
-// has just begun to ask its servers has nothing to tell: others may know more.
+// Measurement returns the shares of a load, and whether this node has measured them recently. A node
+// that has just begun to query the servers has no measurement: other nodes may know more.
 func (m *Meters) Measurement(key Key, now time.Time) (Measurement, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.measurement(key, now)
 }
 
-// measured is Measured. The mutex is held.
+// measurement implements Measurement. The mutex must be held.
 func (m *Meters) measurement(key Key, now time.Time) (Measurement, bool) {
 	meter := m.meters[key]
 	if meter == nil || now.Sub(meter.evaluatedAt) > shareTTL || !meter.hasMeasured() {
@@ -124,8 +129,8 @@
 	return Measurement{Key: key, Shares: shares, MeasuredAt: at}, true
 }
 
-// publishIfChanged tells all nodes the shares if they have changed or matter still. The mutex is
-// held.
+// publishIfChanged publishes the shares if they have changed significantly, or if a load is limited
+// and republishInterval has passed. The mutex must be held.
 func (m *Meters) publishIfChanged(now time.Time) {
 	sinceLast := now.Sub(m.publishedAt)
 	if sinceLast < minPublishInterval {
@@ -135,7 +140,7 @@
 	for key, each := range m.meters {
 		measured, ok := m.measurement(key, now)
 		if !ok {
-			// What was told last is too old to be known.
+			// The shares that were last published have expired at the receivers.
 			delete(m.lastPublished, key)
 		}
 		if !ok || !each.isForPeers() {
@@ -160,7 +165,8 @@
 	m.publish(message)
 }
 
-// Sweep forgets services that are not asked for any more. It is called every second or so.
+// Sweep removes the meters of loads that have no requests any more. It has to be called about every
+// second.
 func (m *Meters) Sweep(now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/pkg/loadshed/sampler.go
+++ b/pkg/loadshed/sampler.go
@@ -6,40 +6,42 @@
 	"time"
 )
 
-// Constants of lots.
+// Constants for sampling.
 const (
-	// sampleSpan is how long a request's lot stays the same: the tries of one client fall into
-	// one span mostly, and nobody is unlucky for as long as an overload lasts.
+	// sampleSpan is how long the sampling value of the same content stays the same: the tries of one
+	// client mostly fall into one span, and no client is refused for as long as an overload lasts.
 	sampleSpan = 10 * time.Second
-	// maxTries is how many requests that ask the same are taken for tries of one client
-	// within a sampleSpan at one node.
+	// maxTries is how many requests with the same content count as tries of one client within a
+	// sampleSpan at one node.
 	maxTries = 2
-	// minSlots is how many counts a node holds: 1 KiB, since small nodes have few requests
+	// minSlots is the least number of one-byte counters: 1 KiB, since small nodes have few requests
 	// and little memory. maxSlots bounds them at 64 KiB.
 	minSlots = 1 << 10
 	maxSlots = 1 << 16
-	// slotGrowth times as many are taken at once when they are too few: each step forgets
-	// the counts, so that there are to be few.
+	// slotGrowth is the factor by which the number of counters grows. It is large, since each step
+	// resets the counters.
 	slotGrowth = 8
-	// slotsPerTry is how many there are for each counted request, so that few share a count
-	// with another one.
+	// slotsPerTry is the number of counters for each counted request, so that few requests share a
+	// counter with another one.
 	slotsPerTry = 8
 )
 
-// Lots draws the lots of requests. Tries of one client that ask the same draw the same, so
-// that nobody gains by repeating at once. Where many ask the same, each draws for itself:
-// otherwise all of them would be let in or none. It is safe for concurrent use.
+// Sampler assigns a pseudo-random sampling value to each request; Admitter admits the requests with
+// the greatest values. Tries of one client with the same content get the same value, so that an
+// immediate retry gains nothing. Where many requests have the same content, each gets a value of its
+// own: otherwise either all of them would be admitted or none. The zero value is ready for use. It is
+// safe for concurrent use.
 type Sampler struct {
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
-	// span numbers the current sampleSpan, seen counts the requests in it by what they ask, up to
-	// maxTries, and counted is how many were counted in it.
+	// spanNumber is the number of the current sampleSpan, counts are the requests in it by content,
+	// each up to maxTries, and counted is their total.
 	spanNumber uint64
 	counts     []uint8
 	counted    int
 }
 
-// Draw returns the lot of a request from hashes of what it asks and of its id.
+// Sample returns the sampling value of a request from the hashes of its content and of its id.
 func (s *Sampler) Sample(contentHash, requestHash uint64, now time.Time) uint64 {
 	spanNumber := uint64(now.UnixNano()) / uint64(sampleSpan)
 	s.mutex.Lock()
@@ -55,14 +57,14 @@
 	*count++
 	s.counted++
 	if needed := slotsFor(s.counted); needed > len(s.counts) {
-		// What was counted is forgotten: a client's next try draws the same lot all the more,
-		// and of many that ask the same maxTries more do.
+		// Resetting the counters is harmless: the next try of a client still gets the same value,
+		// and of many requests with the same content only maxTries more share it.
 		s.counts = make([]uint8, needed)
 	}
 	return mix(contentHash, spanNumber)
 }
 
-// slotsFor returns how many counts are held for a number of counted requests in a span.
+// slotsFor returns the number of counters for a number of counted requests in a span.
 func slotsFor(counted int) int {
 	slots := minSlots
 	for slots < maxSlots && slots < slotsPerTry*counted {
@@ -71,8 +73,9 @@
 	return slots
 }
 
-// mix spreads a hash and the number of a span over all lots: the finalizer of MurmurHash3, after
-// the number times 2^64 over the golden ratio, by which numbers that follow each other differ much.
+// mix spreads a hash and the number of a span over all sampling values. It is the finalizer of
+// MurmurHash3. The number is multiplied by 2^64 over the golden ratio first, so that consecutive
+// numbers differ in many bits.
 func mix(hash, spanNumber uint64) uint64 {
 	hash ^= spanNumber * 0x9e3779b97f4a7c15
 	hash ^= hash >> 33
@@ -82,18 +85,18 @@
 	return hash ^ hash>>33
 }
 
-// Constants of the order of waits.
+// Constants for the order in which requests wait.
 const (
-	// priorityShift is how many bits of its place in the order a priority costs: the first
-	// quarter of the less urgent requests waits among the more urgent ones, so that they keep a
-	// quarter of the rate.
+	// priorityShift is the number of bits by which the positions of adjacent priorities are shifted
+	// against each other: the first quarter of the less urgent requests is ordered among the more
+	// urgent ones, so that they keep a quarter of the rate.
 	priorityShift = 2
-	// lastDistinctPriority is the priority from which on all are alike.
+	// lastDistinctPriority is the priority from which on all priorities are treated alike.
 	lastDistinctPriority = 8
 )
 
-// WaitOrder returns the order in which a request waits for a server, the greatest first: by its
-// lot and its urgency.
+// WaitOrder returns the place of a request among those that wait for a server, by its sampling value
+// and its priority. The request with the greatest value is served first.
 func WaitOrder(sample uint64, priority int) uint64 {
 	position := math.MaxUint64 - sample
 	return math.MaxUint64 - position>>(priorityShift*(lastDistinctPriority-min(max(priority, 0), lastDistinctPriority)))
