--- a/pkg/quarantine/served_race_test.go
+++ b/pkg/quarantine/answers_race_test.go
@@ -13,12 +13,13 @@
 	"github.com/bramblemast/bramblemast/pkg/quarantine"
 )
 
-// TestAnAnswerAtTheMomentOfNewsClears: whichever comes first, a request that was answered is not
-// suspect, though the guard was idle when the answer came.
+// An answer that comes at the same time as a crash must clear the request, whichever is recorded
+// first. Since RecordAnswer skips the mutex while the guard is idle, it could miss a record that is
+// just being added.
 func TestAnAnswerAtTheMomentOfNewsClears(t *testing.T) {
 	const rounds = 3000
 	servers := []fleet.Incarnation{{ID: "a"}, {ID: "b"}, {ID: "c"}}
-	ways := map[string]func(*quarantine.Guard, exchange.Fingerprint, fleet.Incarnation){
+	sources := map[string]func(*quarantine.Guard, exchange.Fingerprint, fleet.Incarnation){
 		"owner": func(guard *quarantine.Guard, request exchange.Fingerprint, server fleet.Incarnation) {
 			guard.RecordCrashes(request, []fleet.Incarnation{server}, time.Now())
 		},
@@ -29,7 +30,7 @@
 			guard.ApplyUpdate(quarantine.Update{Note: quarantine.Note{Fingerprint: request, Server: server}, DetectedAt: time.Now()}, time.Now())
 		},
 	}
-	for name, note := range ways {
+	for name, report := range sources {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			guard := quarantine.New(quarantine.Options{
@@ -40,7 +41,7 @@
 				var both sync.WaitGroup
 				both.Go(func() {
 					for _, server := range servers {
-						note(guard, request, server)
+						report(guard, request, server)
 					}
 				})
 				both.Go(func() { guard.RecordAnswer(request, time.Now()) })
--- a/pkg/quarantine/bench_test.go
+++ b/pkg/quarantine/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/bramblemast/bramblemast/pkg/quarantine"
 )
 
-// BenchmarkAnAnsweredRequest is what the quarantine costs each request that is answered while
-// no request is suspect.
+// BenchmarkAnAnsweredRequest measures what the quarantine adds to each answered request while no
+// request is suspect.
 func BenchmarkAnAnsweredRequest(b *testing.B) {
 	guard := quarantine.New(quarantine.Options{})
 	request := exchange.Request{
--- a/pkg/quarantine/world_test.go
+++ b/pkg/quarantine/helpers_test.go
@@ -18,31 +18,31 @@
 	"github.com/bramblemast/bramblemast/pkg/quarantine"
 )
 
-// ledger is a store that all guards of a test share and hear of at once. It is safe for
-// concurrent use.
+// ledger is a store that all guards of a test share. It passes each change to all of them at once.
+// It is safe for concurrent use.
 type ledger struct {
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
-	notes  map[quarantine.Note]bool
-	guards []*quarantine.Guard
-	broken bool
-	calls  int
+	notes   map[quarantine.Note]bool
+	guards  []*quarantine.Guard
+	failing bool
+	calls   int
 }
 
-var errBroken = errors.New("the ledger is broken")
+var errFailing = errors.New("the ledger is failing")
 
-func (l *ledger) change(apply func() []quarantine.Note, isGone bool) error {
+func (l *ledger) change(apply func() []quarantine.Note, isDeleted bool) error {
 	l.mutex.Lock()
 	l.calls++
-	if l.broken {
+	if l.failing {
 		l.mutex.Unlock()
-		return errBroken
+		return errFailing
 	}
-	changed, told := apply(), l.guards
+	changed, notified := apply(), l.guards
 	l.mutex.Unlock()
-	for _, guard := range told {
+	for _, guard := range notified {
 		for _, note := range changed {
-			guard.ApplyNote(note, isGone, time.Now())
+			guard.ApplyNote(note, isDeleted, time.Now())
 		}
 	}
 	return nil
@@ -78,79 +78,80 @@
 	}, true)
 }
 
-func (l *ledger) held() map[quarantine.Note]bool {
+func (l *ledger) stored() map[quarantine.Note]bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return maps.Clone(l.notes)
 }
 
-func (l *ledger) count() int {
+func (l *ledger) callCount() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.calls
 }
 
-func (l *ledger) setBroken(broken bool) {
+func (l *ledger) setFailing(failing bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.broken = broken
+	l.failing = failing
 }
 
-// recorder keeps the standings that guards told.
+// recorder keeps the states that guards reported.
 type recorder struct {
 	mutex sync.Mutex
-	// told is guarded by mutex.
-	told []quarantine.State
+	// states is guarded by mutex.
+	states []quarantine.State
 }
 
-func (r *recorder) StateChanged(_ exchange.Fingerprint, standing quarantine.State, _ []fleet.Incarnation) {
+func (r *recorder) StateChanged(_ exchange.Fingerprint, state quarantine.State, _ []fleet.Incarnation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.told = append(r.told, standing)
+	r.states = append(r.states, state)
 }
 
 func (r *recorder) LedgerFailed(string, error) {}
 
-// world is some guards with one ledger, and servers that they can reach.
-type world struct {
-	ledger  *ledger
-	network *exchangetest.Network
-	events  *recorder
-	guards  []*quarantine.Guard
-	lost    atomic.Bool
+// cluster holds the guards of a test with their common ledger, and the servers that they can reach.
+type cluster struct {
+	ledger            *ledger
+	network           *exchangetest.Network
+	events            *recorder
+	guards            []*quarantine.Guard
+	ledgerUnavailable atomic.Bool
 }
 
-// in runs a test with guards in virtual time.
-func in(t *testing.T, count int, test func(g *WithT, w *world)) {
+// withGuards runs a test with guards, in virtual time.
+func withGuards(t *testing.T, count int, test func(g *WithT, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{ledger: &ledger{notes: make(map[quarantine.Note]bool)}, network: exchangetest.NewNetwork(), events: &recorder{}}
+		c := &cluster{ledger: &ledger{notes: make(map[quarantine.Note]bool)}, network: exchangetest.NewNetwork(), events: &recorder{}}
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
 		for range count {
 			guard := quarantine.New(quarantine.Options{
-				Ledger: w.ledger, LedgerUnavailable: w.lost.Load, Dialer: w.network, Events: w.events,
+				Ledger: c.ledger, LedgerUnavailable: c.ledgerUnavailable.Load, Dialer: c.network, Events: c.events,
 			})
-			w.guards = append(w.guards, guard)
+			c.guards = append(c.guards, guard)
 			running.Go(func() { _ = guard.Run(ctx) })
 		}
-		w.ledger.guards = w.guards
-		test(NewWithT(t), w)
+		c.ledger.guards = c.guards
+		test(NewWithT(t), c)
 		cancel()
 		running.Wait()
 	})
 }
 
-// end lets servers end under a request at one node.
-func (w *world) end(guard *quarantine.Guard, request exchange.Fingerprint, servers ...string) {
+// crash reports broken connections of a request to one guard. Probes find that the servers crashed,
+// unless they were added to the network.
+func (c *cluster) crash(guard *quarantine.Guard, request exchange.Fingerprint, servers ...string) {
 	for _, server := range servers {
 		guard.RecordBrokenConnection(request, fleet.Incarnation{ID: server}, server, time.Now())
 	}
 	synctest.Wait()
 }
 
-// noteMany notes servers that ended under many requests in the ledger, as other nodes do.
-func (w *world) noteMany(requests, servers int) {
+// addNotes writes crashes of servers under many requests to the ledger, as other nodes do.
+func (c *cluster) addNotes(requests, servers int) {
 	for number := range requests {
 		var notes []quarantine.Note
 		for server := range servers {
@@ -158,11 +159,11 @@
 				Fingerprint: exchange.Fingerprint{7, byte(number), byte(number >> 8)}, Server: fleet.Incarnation{ID: string(rune('a' + server))},
 			})
 		}
-		_ = w.ledger.AddNotes(context.Background(), notes)
+		_ = c.ledger.AddNotes(context.Background(), notes)
 	}
 }
 
 var deadly, other = exchange.Fingerprint{1}, exchange.Fingerprint{2}
 
-// news is longer than a node takes to write what it found.
-const news = 1500 * time.Millisecond
+// storeDelay is longer than it takes until what a node detects is in the ledger.
+const storeDelay = 1500 * time.Millisecond
--- a/pkg/quarantine/note.go
+++ b/pkg/quarantine/note.go
@@ -7,22 +7,22 @@
 	"github.com/bramblemast/bramblemast/pkg/fleet"
 )
 
-// Note is what nodes tell each other of a request: that a server ended while it had the
-// request, or that a trial was made.
+// Note is a fact about a request that nodes share: a server crashed while it was processing the
+// request, or a trial was made.
 type Note struct {
 	Fingerprint exchange.Fingerprint
-	// Server is the incarnation that ended; empty for a trial.
+	// Server is the incarnation that crashed; empty for a trial.
 	Server fleet.Incarnation
-	// Trial is the number of the trial, from 1; zero for a server.
+	// Trial is the number of the trial, from 1; zero for a crash.
 	Trial int
 }
 
-// Ledger keeps notes where all nodes find them. It is safe for concurrent use.
+// Ledger stores notes where all nodes can read them. It is safe for concurrent use.
 type Ledger interface {
-	// AddNotes writes notes; those that exist stay.
+	// AddNotes writes notes. Notes that exist already are left as they are.
 	AddNotes(ctx context.Context, notes []Note) error
-	// ClaimNote writes a note that must not exist; false if it does.
+	// ClaimNote writes a note that must not exist yet, and returns false if it does.
 	ClaimNote(ctx context.Context, note Note) (bool, error)
-	// RemoveNotes removes notes, as far as they exist.
+	// RemoveNotes removes those of the notes that exist.
 	RemoveNotes(ctx context.Context, notes []Note) error
 }
--- a/pkg/quarantine/probe.go
+++ b/pkg/quarantine/probe.go
@@ -10,77 +10,77 @@
 	"github.com/bramblemast/bramblemast/pkg/fleet"
 )
 
-// Times of finding out whether a server has ended.
+// Times of probing servers.
 const (
-	// probeTimeout bounds the connection that tells whether a server has ended. A server
-	// that has ended refuses within a round trip.
+	// probeTimeout bounds the connection attempt that shows whether a server has crashed. A crashed
+	// server refuses the connection within a round trip.
 	probeTimeout = time.Second
-	// probeAgain is when a server that took the connection is probed once more: a process
-	// that ends may close its connections some milliseconds before it ceases to listen.
-	probeAgain = 100 * time.Millisecond
-	// endedSpan is for how long a server that has ended is known to have.
-	endedSpan = 30 * time.Second
+	// probeRepeatDelay is when a server that accepted the connection is probed once more: a process
+	// that ends may close its connections some milliseconds before it stops listening.
+	probeRepeatDelay = 100 * time.Millisecond
+	// crashRetention is how long it is remembered that a server has crashed.
+	crashRetention = 30 * time.Second
 )
 
-// probeAll finds out which of the servers that seem to have ended under a request have. The
-// mutex is held.
-func (g *Guard) probeAll(known *record) {
-	for server, each := range known.ends {
-		if !each.isConfirmed && !g.probed[server] {
-			g.probed[server] = true
-			go g.probe(server, each.address)
+// probeServers probes the servers that may have crashed under a request. The mutex is held.
+func (g *Guard) probeServers(rec *record) {
+	for server, crash := range rec.crashes {
+		if !crash.isConfirmed && !g.probing[server] {
+			g.probing[server] = true
+			go g.probe(server, crash.address)
 		}
 	}
 }
 
-// probeUnsettled does so for all requests that have not been answered meanwhile.
-func (g *Guard) probeUnsettled() {
+// probeUnconfirmed probes the servers that may have crashed under requests which have not been
+// answered meanwhile.
+func (g *Guard) probeUnconfirmed() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for _, known := range g.records {
-		g.probeAll(known)
+	for _, rec := range g.records {
+		g.probeServers(rec)
 	}
 }
 
-// probe finds out whether a server has ended: its address refuses connections then.
+// probe determines whether a server has crashed: its address then refuses connections.
 func (g *Guard) probe(server fleet.Incarnation, address string) {
 	err := g.connect(address)
 	if err == nil {
-		time.Sleep(probeAgain)
+		time.Sleep(probeRepeatDelay)
 		err = g.connect(address)
 	}
-	g.settle(server, errors.Is(err, syscall.ECONNREFUSED), time.Now())
+	g.resolve(server, errors.Is(err, syscall.ECONNREFUSED), time.Now())
 }
 
 // connect opens a connection to a server and closes it.
 func (g *Guard) connect(address string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	opened, err := g.options.Dialer.DialContext(ctx, "tcp", address)
+	connection, err := g.options.Dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return err
 	}
-	return opened.Close()
+	return connection.Close()
 }
 
-// settle takes whether a server has ended that broke connections.
-func (g *Guard) settle(server fleet.Incarnation, hasEnded bool, now time.Time) {
+// resolve records whether a server that broke connections has crashed.
+func (g *Guard) resolve(server fleet.Incarnation, hasCrashed bool, now time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	delete(g.probed, server)
-	if hasEnded {
-		g.ended[server] = now
+	delete(g.probing, server)
+	if hasCrashed {
+		g.crashed[server] = now
 	}
-	for fingerprint, known := range g.records {
-		before := known.standing(now)
-		if known.settle(server, hasEnded) {
-			g.changed(fingerprint, before, now)
+	for fingerprint, rec := range g.records {
+		before := rec.state(now)
+		if rec.resolve(server, hasCrashed) {
+			g.reportChange(fingerprint, before, now)
 		}
 	}
 }
 
-// RecordReplacement notes that an incarnation has ended, since another process of its server has taken
-// its place. A connection would not show that: the later process accepts it.
+// RecordReplacement records that an incarnation has ended, since another process of its server has
+// taken its place. A probe would not show that: the new process accepts connections.
 func (g *Guard) RecordReplacement(server fleet.Incarnation, now time.Time) {
-	g.settle(server, true, now)
+	g.resolve(server, true, now)
 }
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -1,15 +1,18 @@
-// Package quarantine keeps requests from servers that end when they run them.
+// Package quarantine protects servers from requests that crash them.
 //
-// A request is suspect once several servers have ended while they had it and none has
-// answered it. From then on it reaches servers only in trials: each asks one server at
-// first, and all nodes together make a bounded number of them, which the platform's store
-// counts. An answer clears the request; when the trials are used up without one, it is
-// refused at once. So a request that shared a server with a deadly one is served by its
-// trial, and the deadly one ends a few servers rather than all.
+// A request becomes suspect once several servers have crashed while processing it and none has
+// answered it. From then on it is sent only in trials: a trial goes to one server at first, and all
+// nodes together make a bounded number of trials, which are counted in the platform's store. An
+// answer clears the request. Once the trials are used up without an answer, the request is
+// quarantined: it is rejected immediately. A request that merely shared a server with a deadly one
+// is thus answered by its trial, and the deadly one crashes a few servers rather than all of them.
 //
-// Nodes keep notes in the store: one for each server that ended and one for each trial, so that
-// notes of different nodes add up without a conflict. They also tell each other directly, since
-// a request that comes again meanwhile ends as many servers once more; see Gossiper.
+// A server counts as crashed if its address refuses connections, or if another process has replaced
+// it.
+//
+// Nodes write one note to the store for each crashed server and one for each trial, so that notes
+// of different nodes add up without conflicts. They also notify each other directly, because each
+// repetition of the request in the meantime crashes as many servers again; see Gossiper.
 package quarantine
 
 import (
@@ -21,38 +24,39 @@
 	"github.com/bramblemast/bramblemast/pkg/fleet"
 )
 
-// Bounds and times of suspicion.
+// Thresholds and times of suspicion.
 const (
-	// SuspectAfter is how many servers end under a request before it is suspect. Two end
-	// under an ordinary request that meets two crashes in a row; the third makes it worth
-	// the time of a trial.
+	// SuspectAfter is the number of servers that crash under a request before it is suspect. Two
+	// crash under an ordinary request that meets two unrelated crashes in a row; a third one
+	// justifies the delay of a trial.
 	SuspectAfter = 3
-	// ImmediateTrials is how many trials all nodes together make at once: one that fails may
-	// have met the crash of another request's server, two in a row hardly do.
+	// ImmediateTrials is the number of trials that all nodes together make without delay. One trial
+	// may fail because another request crashed its server; two in a row hardly ever do.
 	ImmediateTrials = 2
-	// laterTrial is when a further trial is made after those, and each later one twice as
-	// long after the one before: an ordinary request that lost its trials too is cleared,
-	// and a deadly one ends three servers more in ten minutes.
-	laterTrial = time.Minute
-	// lifetime is for how long a request is remembered after its last note: long enough
-	// that its clients have given up, short enough that a mended server gets it again.
+	// laterTrialDelay is the wait before the first trial after the immediate ones; each further
+	// trial waits twice as long as the one before. This clears an ordinary request that lost its
+	// immediate trials too, and a deadly one crashes only three more servers in ten minutes.
+	laterTrialDelay = time.Minute
+	// lifetime is how long a request is remembered after its last recorded crash: long enough that
+	// its clients have given up, short enough that a repaired server receives it again.
 	lifetime = 10 * time.Minute
-	// lifetimeSpread keeps nodes from removing the same old notes at once.
+	// lifetimeSpread is the maximum random addition to lifetime. It keeps nodes from removing the
+	// same expired notes at once.
 	lifetimeSpread = time.Minute
-	// noteDelay is how long a server's end is kept back from the store, since most requests
-	// that met one are answered by another server within a few tenths of a second.
+	// noteDelay is how long a possible crash is held back from probes and from the store, since
+	// most requests that meet one are answered by another server within a few tenths of a second.
 	noteDelay = 300 * time.Millisecond
 )
 
-// State is what is known of a request.
+// State says whether and how a request may be sent.
 type State int
 
-// The standings.
+// The states of a request.
 const (
-	// Clear requests are sent as any other.
+	// Clear requests are sent without restrictions.
 	Clear State = iota
-	// Doubtful means that connections to enough servers broke, and that it is being found
-	// out whether the servers ended.
+	// Doubtful means that connections to at least SuspectAfter servers broke, and that the servers
+	// are being probed to see whether they crashed.
 	Doubtful
 	// Suspect requests are sent in trials only.
 	Suspect
@@ -65,275 +69,285 @@
 	return [...]string{"clear", "doubtful", "suspect", "quarantined"}[s]
 }
 
-// Events takes what a Guard finds out. It does not block.
+// Events receives what a Guard detects. Its methods must not block.
 type Events interface {
-	// StateChanged tells of a new standing of a request, and of the servers that ended under it.
-	StateChanged(fingerprint exchange.Fingerprint, standing State, servers []fleet.Incarnation)
-	// LedgerFailed tells that a call to the ledger failed; notes are written later, a trial
-	// is not made.
+	// StateChanged reports the new state of a request and the servers that crashed under it, in the
+	// order of the crashes.
+	StateChanged(fingerprint exchange.Fingerprint, state State, servers []fleet.Incarnation)
+	// LedgerFailed reports that a call to the ledger failed. Notes are written later; a trial is
+	// not made.
 	LedgerFailed(call string, err error)
 }
 
-// Options are the parts of a Guard.
+// Options configures a Guard.
 type Options struct {
 	Ledger Ledger
-	// LedgerUnavailable reports whether the ledger has been out of reach for a while. Each node
-	// then makes trials on its own.
+	// LedgerUnavailable reports whether the ledger has been unreachable for a while. Each node then
+	// makes trials on its own.
 	LedgerUnavailable func() bool
 	Dialer            exchange.Dialer
 	Events            Events
 }
 
-// Guard is what one node knows of deadly requests. It is safe for concurrent use.
+// Guard tracks the requests of one node that may crash servers. It is safe for concurrent use.
 type Guard struct {
 	options Options
-	// served are the requests that were answered lately.
-	served *served
-	// known is the number of records, and one more while one may be made, so that nothing is spent
-	// while there are none.
-	known atomic.Int64
-	// hinted is the number of hints.
-	hinted atomic.Int64
-	// work has an element while there is something to write.
+	// answers holds the requests that were answered recently.
+	answers *recentAnswers
+	// recordCount is the number of records, plus one while another may be added, so that requests
+	// cost nothing extra while there are none.
+	recordCount atomic.Int64
+	// hintCount is the number of hints.
+	hintCount atomic.Int64
+	// work holds an element while Run has something to do.
 	work chan struct{}
-	// tell takes what other nodes are told directly, false if it has no room; nil if there is no way
-	// to them.
-	tell func(Update) bool
+	// notify sends an update to other nodes directly, and returns false if its queue is full. It is
+	// nil if there is no way to reach other nodes directly.
+	notify func(Update) bool
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
 	records map[exchange.Fingerprint]*record
-	// ended are the servers that were found to have ended, and when.
-	ended map[fleet.Incarnation]time.Time
-	// probed are the servers that are being looked at.
-	probed map[fleet.Incarnation]bool
-	// removals are notes that are to be removed from the store, and disputed those that will be
-	// unless another node removes them first.
-	removals []Note
-	disputed map[Note]bool
-	// leftover are notes in the store of requests that were forgotten for want of memory, and
-	// when they are removed.
-	leftover map[Note]time.Time
-	// hints are first broken connections of requests at one of their services.
+	// crashed maps servers that were found to have crashed to the time when this was found.
+	crashed map[fleet.Incarnation]time.Time
+	// probing holds the servers that are being probed.
+	probing map[fleet.Incarnation]bool
+	// removals are notes to be removed from the store. delayedRemovals are notes that will be
+	// removed unless another node removes them first.
+	removals        []Note
+	delayedRemovals map[Note]bool
+	// orphans are notes in the store whose requests were evicted from records, with the times when
+	// they expire.
+	orphans map[Note]time.Time
+	// hints holds the first broken connection of requests at one of their services.
 	hints map[exchange.Fingerprint]hint
 }
 
-// New returns a Guard that knows of no request.
+// New returns a Guard without any records.
 func New(options Options) *Guard {
 	return &Guard{
-		options: options, served: newServed(), work: make(chan struct{}, 1), records: make(map[exchange.Fingerprint]*record),
-		ended: make(map[fleet.Incarnation]time.Time), probed: make(map[fleet.Incarnation]bool), disputed: make(map[Note]bool),
-		leftover: make(map[Note]time.Time), hints: make(map[exchange.Fingerprint]hint),
+		options: options, answers: newRecentAnswers(), work: make(chan struct{}, 1), records: make(map[exchange.Fingerprint]*record),
+		crashed: make(map[fleet.Incarnation]time.Time), probing: make(map[fleet.Incarnation]bool), delayedRemovals: make(map[Note]bool),
+		orphans: make(map[Note]time.Time), hints: make(map[exchange.Fingerprint]hint),
 	}
 }
 
-// IsIdle reports whether no request is remembered, so that all are clear.
-func (g *Guard) IsIdle() bool { return g.known.Load() == 0 }
+// IsIdle reports whether there are no records, so that all requests are clear.
+func (g *Guard) IsIdle() bool { return g.recordCount.Load() == 0 }
 
-// State returns what is known of a request.
+// State returns the state of a request.
 func (g *Guard) State(fingerprint exchange.Fingerprint) State {
 	if g.IsIdle() {
 		return Clear
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.standing(fingerprint, time.Now())
+	return g.state(fingerprint, time.Now())
 }
 
-// Until returns the time until a quarantined request may be tried again.
+// RetryAfter returns the time until a quarantined request may be tried again, or zero if nothing is
+// known of the request.
 func (g *Guard) RetryAfter(fingerprint exchange.Fingerprint, now time.Time) time.Duration {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if known := g.records[fingerprint]; known != nil {
-		return max(0, min(known.nextTrialAt.Sub(now), known.expiresAt.Sub(now)))
+	if rec := g.records[fingerprint]; rec != nil {
+		return max(0, min(rec.nextTrialAt.Sub(now), rec.expiresAt.Sub(now)))
 	}
 	return 0
 }
 
-// Servers returns the servers that ended under a request, as far as it is known.
+// CrashedServers returns the servers known to have crashed under a request, in the order of the
+// crashes.
 func (g *Guard) CrashedServers(fingerprint exchange.Fingerprint) []fleet.Incarnation {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if known := g.records[fingerprint]; known != nil {
-		return known.servers()
+	if rec := g.records[fingerprint]; rec != nil {
+		return rec.crashedServers()
 	}
 	return nil
 }
 
-// RecordBrokenConnection takes that a server ended its connection while it had a request that no server
-// has answered. Whether the server itself ended is found out by a connection to it: at once
-// if the request would be suspect, else after noteDelay, when most have been answered. A
-// request that was answered lately is not what ends servers.
+// RecordBrokenConnection records that a server broke the connection of a request that no server has
+// answered. Whether the server crashed is then determined by connecting to it: immediately if the
+// crash would make the request suspect, otherwise after noteDelay, by which time most requests have
+// been answered. A request that was answered recently does not crash servers, so nothing is
+// recorded for it.
 func (g *Guard) RecordBrokenConnection(fingerprint exchange.Fingerprint, server fleet.Incarnation, address string, now time.Time) {
-	isServed := g.lock(fingerprint, now)
+	isAnswered := g.lock(fingerprint, now)
 	defer g.unlock()
-	if isServed {
+	if isAnswered {
 		return
 	}
-	_, hasEnded := g.ended[server]
-	before := g.standing(fingerprint, now)
-	known := g.record(fingerprint, now)
-	known.add(server, hasEnded, now).address = address
-	if len(known.ends) >= SuspectAfter {
-		g.probeAll(known)
+	_, hasCrashed := g.crashed[server]
+	before := g.state(fingerprint, now)
+	rec := g.ensureRecord(fingerprint, now)
+	rec.addCrash(server, hasCrashed, now).address = address
+	if len(rec.crashes) >= SuspectAfter {
+		g.probeServers(rec)
 	}
-	g.changed(fingerprint, before, now)
+	g.reportChange(fingerprint, before, now)
 	g.signal()
 }
 
-// RecordCrashes takes the servers that another node has seen end under a request.
+// RecordCrashes records the servers that another node has seen crash under a request.
 func (g *Guard) RecordCrashes(fingerprint exchange.Fingerprint, servers []fleet.Incarnation, now time.Time) {
 	if len(servers) == 0 {
 		return
 	}
-	isServed := g.lock(fingerprint, now)
+	isAnswered := g.lock(fingerprint, now)
 	defer g.unlock()
-	if isServed {
+	if isAnswered {
 		return
 	}
-	before := g.standing(fingerprint, now)
-	known := g.record(fingerprint, now)
+	before := g.state(fingerprint, now)
+	rec := g.ensureRecord(fingerprint, now)
 	for _, server := range servers {
-		known.add(server, true, now)
+		rec.addCrash(server, true, now)
 	}
-	g.changed(fingerprint, before, now)
+	g.reportChange(fingerprint, before, now)
 }
 
-// RecordAnswer takes that a server has answered a request: it is not what ends servers.
+// RecordAnswer records that a server has answered a request, which shows that the request does not
+// crash servers.
 func (g *Guard) RecordAnswer(fingerprint exchange.Fingerprint, now time.Time) {
-	g.served.add(fingerprint, now)
+	g.answers.add(fingerprint, now)
 	if g.IsIdle() {
 		return
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if known := g.records[fingerprint]; known != nil && known.count((*end).isKnownToOthers) > 0 {
-		g.tellOther(Update{Note: Note{Fingerprint: fingerprint}, DetectedAt: now})
+	if rec := g.records[fingerprint]; rec != nil && rec.countCrashes((*serverCrash).isKnownToOthers) > 0 {
+		g.announce(Update{Note: Note{Fingerprint: fingerprint}, DetectedAt: now})
 	}
 	g.clear(fingerprint, now)
 }
 
-// clear forgets a request that a server has answered, also in the store. The mutex is held.
+// clear deletes the record of a request that a server has answered, and its notes in the store. The
+// mutex is held.
 func (g *Guard) clear(fingerprint exchange.Fingerprint, now time.Time) {
-	known := g.records[fingerprint]
-	if known == nil {
+	rec := g.records[fingerprint]
+	if rec == nil {
 		return
 	}
-	before := known.standing(now)
-	g.removals = append(g.removals, known.written(fingerprint)...)
-	g.drop(fingerprint)
+	before := rec.state(now)
+	g.removals = append(g.removals, rec.storedNotes(fingerprint)...)
+	g.deleteRecord(fingerprint)
 	if before == Suspect || before == Quarantined {
-		g.options.Events.StateChanged(fingerprint, Clear, known.servers())
+		g.options.Events.StateChanged(fingerprint, Clear, rec.crashedServers())
 	}
 	g.signal()
 }
 
-// Learn takes a note of the store, or that it is gone. One on a request that was answered
-// here lately is removed: the node that wrote it had not seen that.
-func (g *Guard) ApplyNote(note Note, isGone bool, now time.Time) {
-	isServed := g.lock(note.Fingerprint, now)
+// ApplyNote applies a note that was added to the store, or that was deleted from it. An added note
+// for a request that was answered here recently is removed from the store: the node that wrote it
+// did not know of the answer.
+func (g *Guard) ApplyNote(note Note, isDeleted bool, now time.Time) {
+	isAnswered := g.lock(note.Fingerprint, now)
 	defer g.unlock()
-	if isServed && !isGone {
-		g.dispute(note)
+	if isAnswered && !isDeleted {
+		g.removeLater(note)
 		return
 	}
-	if isGone {
-		delete(g.disputed, note)
-		delete(g.leftover, note)
+	if isDeleted {
+		delete(g.delayedRemovals, note)
+		delete(g.orphans, note)
 	}
-	if isGone && g.records[note.Fingerprint] == nil {
+	if isDeleted && g.records[note.Fingerprint] == nil {
 		return
 	}
-	before := g.standing(note.Fingerprint, now)
-	known := g.record(note.Fingerprint, now)
-	if isGone {
-		known.forget(note)
+	before := g.state(note.Fingerprint, now)
+	rec := g.ensureRecord(note.Fingerprint, now)
+	if isDeleted {
+		rec.removeNote(note)
 	} else {
-		known.learn(note, now)
+		rec.applyNote(note, now)
 	}
-	g.changed(note.Fingerprint, before, now)
+	g.reportChange(note.Fingerprint, before, now)
 }
 
-// lock takes the mutex to record something of a request, and reports whether it was answered
-// lately. The guard is not idle from before that look on, so that RecordAnswer, which looks at both the
-// other way round, waits and clears what is recorded.
-func (g *Guard) lock(fingerprint exchange.Fingerprint, now time.Time) (isServed bool) {
+// lock takes the mutex to record something for a request, and reports whether the request was
+// answered recently. It raises recordCount before it reads answers, while RecordAnswer writes
+// answers before it reads recordCount. RecordAnswer therefore never misses a record that is being
+// added: it waits for the mutex and clears the record.
+func (g *Guard) lock(fingerprint exchange.Fingerprint, now time.Time) (isAnswered bool) {
 	g.mutex.Lock()
-	g.known.Add(1)
-	return g.served.has(fingerprint, now)
+	g.recordCount.Add(1)
+	return g.answers.has(fingerprint, now)
 }
 
-// unlock ends what lock began.
+// unlock reverses lock.
 func (g *Guard) unlock() {
-	g.known.Add(-1)
+	g.recordCount.Add(-1)
 	g.mutex.Unlock()
 }
 
-// Sweep forgets what is old. It is called every second or so.
+// Sweep removes expired entries. It must be called about once a second.
 func (g *Guard) Sweep(now time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for server, at := range g.ended {
-		if now.Sub(at) > endedSpan {
-			delete(g.ended, server)
+	for server, at := range g.crashed {
+		if now.Sub(at) > crashRetention {
+			delete(g.crashed, server)
 		}
 	}
-	for fingerprint, known := range g.records {
-		if now.After(known.expiresAt) {
-			g.removals = append(g.removals, known.written(fingerprint)...)
-			g.drop(fingerprint)
+	for fingerprint, rec := range g.records {
+		if now.After(rec.expiresAt) {
+			g.removals = append(g.removals, rec.storedNotes(fingerprint)...)
+			g.deleteRecord(fingerprint)
 			g.signal()
 		}
 	}
-	g.sweepLeftover(now)
+	g.sweepOrphans(now)
 	g.sweepHints(now)
 }
 
-// record returns the record of a request, and makes it if there is none. The mutex is held.
-func (g *Guard) record(fingerprint exchange.Fingerprint, now time.Time) *record {
-	known := g.records[fingerprint]
-	if known == nil {
-		g.makeRoom(now)
-		known = newRecord(now)
-		g.records[fingerprint] = known
-		g.known.Add(1)
+// ensureRecord returns the record of a request, and adds it if there is none. The mutex is held.
+func (g *Guard) ensureRecord(fingerprint exchange.Fingerprint, now time.Time) *record {
+	rec := g.records[fingerprint]
+	if rec == nil {
+		g.evictRecord(now)
+		rec = newRecord(now)
+		g.records[fingerprint] = rec
+		g.recordCount.Add(1)
 	}
-	return known
+	return rec
 }
 
-// drop forgets a request. The mutex is held.
-func (g *Guard) drop(fingerprint exchange.Fingerprint) {
+// deleteRecord deletes the record of a request. The mutex is held.
+func (g *Guard) deleteRecord(fingerprint exchange.Fingerprint) {
 	delete(g.records, fingerprint)
-	g.known.Add(-1)
+	g.recordCount.Add(-1)
 }
 
-// standing is State. The mutex is held.
-func (g *Guard) standing(fingerprint exchange.Fingerprint, now time.Time) State {
-	if known := g.records[fingerprint]; known != nil {
-		return known.standing(now)
+// state is State for callers that hold the mutex.
+func (g *Guard) state(fingerprint exchange.Fingerprint, now time.Time) State {
+	if rec := g.records[fingerprint]; rec != nil {
+		return rec.state(now)
 	}
 	return Clear
 }
 
-// changed tells of a request's new standing, and of work for Run. The mutex is held.
-func (g *Guard) changed(fingerprint exchange.Fingerprint, before State, now time.Time) {
-	known := g.records[fingerprint]
-	if known.isEmpty() {
-		g.drop(fingerprint)
+// reportChange acts on a change of a request's record: it deletes an empty record, reports a new
+// state, announces the crashes of a suspect request and wakes Run if the store lacks notes. The
+// mutex is held.
+func (g *Guard) reportChange(fingerprint exchange.Fingerprint, before State, now time.Time) {
+	rec := g.records[fingerprint]
+	if rec.isEmpty() {
+		g.deleteRecord(fingerprint)
 	}
-	after := known.standing(now)
+	after := rec.state(now)
 	if after != before && max(after, before) > Doubtful {
-		g.options.Events.StateChanged(fingerprint, after, known.servers())
+		g.options.Events.StateChanged(fingerprint, after, rec.crashedServers())
 	}
 	if after > Doubtful {
-		g.tellEnded(fingerprint, known)
+		g.announceCrashes(fingerprint, rec)
 	}
-	if known.hasUnwritten() {
+	if rec.hasMissingNotes() {
 		g.signal()
 	}
 }
 
-// signal tells Run that there is work.
+// signal wakes Run.
 func (g *Guard) signal() {
 	select {
 	case g.work <- struct{}{}:
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -11,117 +11,124 @@
 
 // record is what is known of one request. It is guarded by the mutex of its Guard.
 type record struct {
-	// ends are the servers that ended, or seem to have ended, while they had the request.
-	ends map[fleet.Incarnation]*end
-	// trials are the numbers of the trials that were made.
+	// crashes are the servers that crashed, or may have crashed, while processing the request.
+	crashes map[fleet.Incarnation]*serverCrash
+	// trials holds the numbers of the trials that were made.
 	trials map[int]bool
-	// nextTrialAt is when a further trial is made after the prompt ones.
+	// nextTrialAt is when the next trial after the immediate ones is allowed.
 	nextTrialAt time.Time
-	// hasTriedAlone says that this node made a trial without the ledger.
-	hasTriedAlone bool
-	// isAwaitingWriters says that the nodes that told of ends are given time to write them.
-	isAwaitingWriters bool
-	// expiresAt is put off by every server that ends.
+	// hasMadeLocalTrial says that this node made a trial without the ledger.
+	hasMadeLocalTrial bool
+	// isAwaitingPeerWrite says that the nodes that announced crashes are being given time to write
+	// them to the store.
+	isAwaitingPeerWrite bool
+	// expiresAt is moved forward by each crash.
 	expiresAt time.Time
 }
 
-// end is one server that ended, or seems to have.
-type end struct {
+// serverCrash is a crash, or possible crash, of one server.
+type serverCrash struct {
 	at time.Time
-	// address is where the server is looked for; empty if another node told of it.
+	// address is where the server is probed; empty if another node reported the crash.
 	address string
-	// isConfirmed says that the server itself ended, isWritten that the store holds it.
+	// isConfirmed says that the server itself crashed, isWritten that the store holds the crash.
 	isConfirmed bool
 	isWritten   bool
-	// isTold says that other nodes know it directly, from this node or another one. isHeard says
-	// that another one told it first, and writes it to the store unless that holds enough ends.
-	isTold  bool
-	isHeard bool
+	// isAnnounced says that other nodes were told of the crash directly, by this node or another
+	// one. isFromPeer says that another node announced it first; that node writes it to the store
+	// unless the store already holds enough crashes.
+	isAnnounced bool
+	isFromPeer  bool
 }
 
-// hasEnded reports whether the server itself ended, rather than its connection alone.
-func (e *end) hasEnded() bool { return e.isConfirmed }
+// hasCrashed reports whether the server itself crashed, rather than only its connection broke.
+func (c *serverCrash) hasCrashed() bool { return c.isConfirmed }
 
-// isStored reports whether the store holds it.
-func (e *end) isStored() bool { return e.isWritten }
+// isStored reports whether the store holds the crash.
+func (c *serverCrash) isStored() bool { return c.isWritten }
 
-// isKnownToOthers reports whether other nodes were told of it directly.
-func (e *end) isKnownToOthers() bool { return e.isTold }
+// isKnownToOthers reports whether other nodes were told of the crash directly.
+func (c *serverCrash) isKnownToOthers() bool { return c.isAnnounced }
 
-// isKept reports whether the store holds an end, or another node is given time to see to that.
-func (r *record) isKept(e *end) bool { return e.isWritten || e.isHeard && r.isAwaitingWriters }
+// isStoredOrExpected reports whether the store holds a crash, or another node is being given time
+// to write it.
+func (r *record) isStoredOrExpected(c *serverCrash) bool {
+	return c.isWritten || c.isFromPeer && r.isAwaitingPeerWrite
+}
 
-// newRecord returns the record of a request of which nothing is known.
+// newRecord returns an empty record.
 func newRecord(now time.Time) *record {
-	return &record{ends: make(map[fleet.Incarnation]*end), trials: make(map[int]bool), expiresAt: now.Add(lifetime)}
+	return &record{crashes: make(map[fleet.Incarnation]*serverCrash), trials: make(map[int]bool), expiresAt: now.Add(lifetime)}
 }
 
-// add takes that a server seems to have ended, or has if that is confirmed.
-func (r *record) add(server fleet.Incarnation, isConfirmed bool, now time.Time) *end {
-	known := r.ends[server]
-	if known == nil {
-		known = &end{at: now}
-		r.ends[server] = known
+// addCrash records a crash of a server, which is only a possible one unless isConfirmed.
+func (r *record) addCrash(server fleet.Incarnation, isConfirmed bool, now time.Time) *serverCrash {
+	crash := r.crashes[server]
+	if crash == nil {
+		crash = &serverCrash{at: now}
+		r.crashes[server] = crash
 		r.expiresAt = now.Add(lifetime + rand.N(lifetimeSpread))
 	}
-	known.isConfirmed = known.isConfirmed || isConfirmed
-	return known
+	crash.isConfirmed = crash.isConfirmed || isConfirmed
+	return crash
 }
 
-// settle takes whether a server ended, and reports whether that is news here.
-func (r *record) settle(server fleet.Incarnation, hasEnded bool) bool {
-	known := r.ends[server]
-	if known == nil || known.isConfirmed {
+// resolve records whether a server crashed, and reports whether this was unknown before.
+func (r *record) resolve(server fleet.Incarnation, hasCrashed bool) bool {
+	crash := r.crashes[server]
+	if crash == nil || crash.isConfirmed {
 		return false
 	}
-	known.isConfirmed = hasEnded
-	if !hasEnded {
-		delete(r.ends, server)
+	crash.isConfirmed = hasCrashed
+	if !hasCrashed {
+		delete(r.crashes, server)
 	}
 	return true
 }
 
-// learn takes a note that the store holds.
-func (r *record) learn(note Note, now time.Time) {
+// applyNote applies a note that the store holds.
+func (r *record) applyNote(note Note, now time.Time) {
 	if note.Trial > 0 {
-		r.noteTrial(note.Trial, now)
+		r.recordTrial(note.Trial, now)
 		return
 	}
-	r.add(note.Server, true, now).isWritten = true
+	r.addCrash(note.Server, true, now).isWritten = true
 }
 
-// forget takes that a note is gone from the store. Its ends go when a request was answered or is too
-// old, which holds for those too that the store was not told: with the last one all are forgotten.
-func (r *record) forget(note Note) {
+// removeNote applies the deletion of a note from the store. Crashes are deleted there when the
+// request was answered or has expired, which applies to crashes that were never written too. All
+// crashes are therefore dropped along with the last stored one.
+func (r *record) removeNote(note Note) {
 	if note.Trial > 0 {
 		delete(r.trials, note.Trial)
 		return
 	}
-	if known := r.ends[note.Server]; known == nil || !known.isWritten {
+	if crash := r.crashes[note.Server]; crash == nil || !crash.isWritten {
 		return
 	}
-	delete(r.ends, note.Server)
-	if r.count((*end).isStored) == 0 {
-		clear(r.ends)
+	delete(r.crashes, note.Server)
+	if r.countCrashes((*serverCrash).isStored) == 0 {
+		clear(r.crashes)
 	}
 }
 
-// standing returns what is known of the request.
-func (r *record) standing(now time.Time) State {
-	confirmed := r.count((*end).hasEnded)
+// state returns the state of the request.
+func (r *record) state(now time.Time) State {
+	confirmed := r.countCrashes((*serverCrash).hasCrashed)
 	switch {
-	case confirmed >= SuspectAfter && r.mayTry(now):
+	case confirmed >= SuspectAfter && r.allowsTrial(now):
 		return Suspect
 	case confirmed >= SuspectAfter:
 		return Quarantined
-	case len(r.ends) >= SuspectAfter:
+	case len(r.crashes) >= SuspectAfter:
 		return Doubtful
 	}
 	return Clear
 }
 
-// mayTry reports whether a trial may be made now: two at once, then one now and then.
-func (r *record) mayTry(now time.Time) bool {
+// allowsTrial reports whether a trial may be made now: ImmediateTrials without delay, then one at a
+// time at growing intervals.
+func (r *record) allowsTrial(now time.Time) bool {
 	return len(r.trials) < ImmediateTrials || !now.Before(r.nextTrialAt)
 }
 
@@ -134,70 +141,71 @@
 	return number
 }
 
-// noteTrial takes that a trial was made.
-func (r *record) noteTrial(number int, now time.Time) {
+// recordTrial records that a trial was made.
+func (r *record) recordTrial(number int, now time.Time) {
 	if r.trials[number] {
 		return
 	}
 	r.trials[number] = true
-	r.nextTrialAt = now.Add(laterTrial << max(0, len(r.trials)-ImmediateTrials))
+	r.nextTrialAt = now.Add(laterTrialDelay << max(0, len(r.trials)-ImmediateTrials))
 }
 
-// count returns for how many servers something holds.
-func (r *record) count(holds func(*end) bool) int {
+// countCrashes returns the number of crashes that match.
+func (r *record) countCrashes(matches func(*serverCrash) bool) int {
 	count := 0
-	for _, each := range r.ends {
-		if holds(each) {
+	for _, crash := range r.crashes {
+		if matches(crash) {
 			count++
 		}
 	}
 	return count
 }
 
-// isEmpty reports whether nothing is known of the request.
-func (r *record) isEmpty() bool { return len(r.ends) == 0 && len(r.trials) == 0 }
+// isEmpty reports whether there are neither crashes nor trials.
+func (r *record) isEmpty() bool { return len(r.crashes) == 0 && len(r.trials) == 0 }
 
-// servers returns the servers that ended, in their order.
-func (r *record) servers() []fleet.Incarnation {
-	var names []fleet.Incarnation
-	for name, each := range r.ends {
-		if each.isConfirmed {
-			names = append(names, name)
+// crashedServers returns the servers known to have crashed, in the order of the crashes.
+func (r *record) crashedServers() []fleet.Incarnation {
+	var servers []fleet.Incarnation
+	for server, crash := range r.crashes {
+		if crash.isConfirmed {
+			servers = append(servers, server)
 		}
 	}
-	slices.SortFunc(names, func(a, b fleet.Incarnation) int { return r.ends[a].at.Compare(r.ends[b].at) })
-	return names
+	slices.SortFunc(servers, func(a, b fleet.Incarnation) int { return r.crashes[a].at.Compare(r.crashes[b].at) })
+	return servers
 }
 
-// unwritten returns the servers that the store lacks, as many as it needs to know.
-func (r *record) unwritten(fingerprint exchange.Fingerprint) []Note {
+// missingNotes returns notes for confirmed crashes that the store lacks, up to the SuspectAfter
+// that it needs.
+func (r *record) missingNotes(fingerprint exchange.Fingerprint) []Note {
 	var notes []Note
-	for _, name := range r.servers() {
-		if r.count(r.isKept)+len(notes) >= SuspectAfter {
+	for _, server := range r.crashedServers() {
+		if r.countCrashes(r.isStoredOrExpected)+len(notes) >= SuspectAfter {
 			break
 		}
-		if !r.isKept(r.ends[name]) {
-			notes = append(notes, Note{Fingerprint: fingerprint, Server: name})
+		if !r.isStoredOrExpected(r.crashes[server]) {
+			notes = append(notes, Note{Fingerprint: fingerprint, Server: server})
 		}
 	}
 	return notes
 }
 
-// hasUnwritten reports whether the store lacks a server that it needs to know.
-func (r *record) hasUnwritten() bool { return len(r.unwritten(exchange.Fingerprint{})) > 0 }
+// hasMissingNotes reports whether the store lacks crashes that it needs.
+func (r *record) hasMissingNotes() bool { return len(r.missingNotes(exchange.Fingerprint{})) > 0 }
 
 // holds reports whether a note is among those that the store holds.
 func (r *record) holds(note Note) bool {
-	known := r.ends[note.Server]
-	return r.trials[note.Trial] || known != nil && known.isWritten
+	crash := r.crashes[note.Server]
+	return r.trials[note.Trial] || crash != nil && crash.isWritten
 }
 
-// written returns the notes that the store holds.
-func (r *record) written(fingerprint exchange.Fingerprint) []Note {
+// storedNotes returns the notes that the store holds.
+func (r *record) storedNotes(fingerprint exchange.Fingerprint) []Note {
 	var notes []Note
-	for name, each := range r.ends {
-		if each.isWritten {
-			notes = append(notes, Note{Fingerprint: fingerprint, Server: name})
+	for server, crash := range r.crashes {
+		if crash.isWritten {
+			notes = append(notes, Note{Fingerprint: fingerprint, Server: server})
 		}
 	}
 	for number := range r.trials {
--- a/pkg/quarantine/write.go
+++ b/pkg/quarantine/write.go
@@ -10,24 +10,25 @@
 
 // Times and bounds of writing.
 const (
-	// maxNotes is how many notes are written by one call, within the 32 that a
-	// transaction of the store may hold.
-	maxNotes = 30
-	// writeTimeout bounds a call; leastRetry and greatestRetry the wait after one that
-	// failed, so that a store that is back knows what was found meanwhile within a second.
+	// maxNotesPerCall is the maximum number of notes written by one call, within the 32 operations
+	// that a transaction of the store may hold.
+	maxNotesPerCall = 30
+	// writeTimeout bounds a call. minRetryDelay and maxRetryDelay bound the wait after a failed
+	// one, so that a store that is available again holds within a second what was detected
+	// meanwhile.
 	writeTimeout  = time.Second
-	leastRetry    = 200 * time.Millisecond
-	greatestRetry = time.Second
-	// lostRetry is the wait between two looks at whether the ledger is in reach again; it
-	// is not called meanwhile.
-	lostRetry = 250 * time.Millisecond
-	// disputeSpread is within which time nodes remove a note that they know to be wrong, so
-	// that one of them does it for all.
-	disputeSpread = time.Second
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = time.Second
+	// unavailableRetryDelay is the interval of checks whether the ledger is available again; the
+	// ledger is not called meanwhile.
+	unavailableRetryDelay = 250 * time.Millisecond
+	// delayedRemovalSpread is the maximum random delay before a node removes a note that it knows
+	// to be wrong, so that one node does so for all.
+	delayedRemovalSpread = time.Second
 )
 
-// Run finds out whether servers ended that seem to have, tells the other nodes of those that did, and
-// writes notes to the ledger, until ctx ends.
+// Run probes servers that may have crashed, announces those that did to the other nodes, and writes
+// notes to the ledger, until ctx ends. It always returns nil.
 func (g *Guard) Run(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
@@ -39,15 +40,15 @@
 		if !g.isUrgent() {
 			pause.For(ctx, noteDelay)
 		}
-		g.probeUnsettled()
-		g.tellSettled()
+		g.probeUnconfirmed()
+		g.announceAllCrashes()
 		if g.options.LedgerUnavailable() {
-			pause.For(ctx, lostRetry)
+			pause.For(ctx, unavailableRetryDelay)
 			g.signal()
 			continue
 		}
 		if err := g.write(ctx); err != nil {
-			pause.For(ctx, pause.Doubled(leastRetry, greatestRetry, failures))
+			pause.For(ctx, pause.Doubled(minRetryDelay, maxRetryDelay, failures))
 			failures++
 			g.signal()
 			continue
@@ -57,21 +58,21 @@
 	return nil
 }
 
-// isUrgent reports whether a suspect request has notes to write, which are not kept back for
-// noteDelay: the other nodes send it to all its shards until they know.
+// isUrgent reports whether a suspect request has notes to write. These are not held back for
+// noteDelay, since the other nodes send the request to all its shards until they know.
 func (g *Guard) isUrgent() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
-	for _, known := range g.records {
-		if known.standing(now) > Doubtful && known.hasUnwritten() {
+	for _, rec := range g.records {
+		if rec.state(now) > Doubtful && rec.hasMissingNotes() {
 			return true
 		}
 	}
 	return false
 }
 
-// write makes at most one call for what is to be added and one for what is to be removed.
+// write makes at most one call to remove notes and one to add notes.
 func (g *Guard) write(ctx context.Context) error {
 	limited, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -88,10 +89,10 @@
 	}
 	if err := g.options.Ledger.AddNotes(limited, additions); err != nil {
 		g.options.Events.LedgerFailed("add notes", err)
-		g.awaitWritersAgain(additions)
+		g.awaitPeerWriteAgain(additions)
 		return err
 	}
-	g.noteWritten(additions)
+	g.markWritten(additions)
 	return nil
 }
 
@@ -101,60 +102,60 @@
 	defer g.mutex.Unlock()
 	now := time.Now()
 	var suspects, others []Note
-	for fingerprint, known := range g.records {
-		notes := known.unwritten(fingerprint)
-		if known.standing(now) > Doubtful {
+	for fingerprint, rec := range g.records {
+		notes := rec.missingNotes(fingerprint)
+		if rec.state(now) > Doubtful {
 			suspects = append(suspects, notes...)
 		} else {
 			others = append(others, notes...)
 		}
 	}
 	all := append(suspects, others...)
-	if len(all) > maxNotes {
+	if len(all) > maxNotesPerCall {
 		g.signal()
 	}
-	return all[:min(len(all), maxNotes)]
+	return all[:min(len(all), maxNotesPerCall)]
 }
 
-// noteWritten takes that the store holds notes.
-func (g *Guard) noteWritten(notes []Note) {
+// markWritten records that the store holds notes.
+func (g *Guard) markWritten(notes []Note) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for _, note := range notes {
-		known := g.records[note.Fingerprint]
-		if known == nil || known.ends[note.Server] == nil {
-			// It was cleared while the note was being written.
+		rec := g.records[note.Fingerprint]
+		if rec == nil || rec.crashes[note.Server] == nil {
+			// The request was cleared while the note was being written.
 			g.removals = append(g.removals, note)
 			g.signal()
 			continue
 		}
-		known.ends[note.Server].isWritten = true
+		rec.crashes[note.Server].isWritten = true
 	}
 }
 
-// dispute removes a note that this node knows to be wrong, unless another one has done so by
-// then. The mutex is held.
-func (g *Guard) dispute(note Note) {
-	if g.disputed[note] {
+// removeLater removes a note that this node knows to be wrong after a random delay, unless another
+// node has removed it by then. The mutex is held.
+func (g *Guard) removeLater(note Note) {
+	if g.delayedRemovals[note] {
 		return
 	}
-	g.disputed[note] = true
-	time.AfterFunc(rand.N(disputeSpread), func() {
+	g.delayedRemovals[note] = true
+	time.AfterFunc(rand.N(delayedRemovalSpread), func() {
 		g.mutex.Lock()
 		defer g.mutex.Unlock()
-		if g.disputed[note] {
-			delete(g.disputed, note)
+		if g.delayedRemovals[note] {
+			delete(g.delayedRemovals, note)
 			g.removals = append(g.removals, note)
 			g.signal()
 		}
 	})
 }
 
-// takeRemovals takes as many notes that are to be removed as one call may hold.
+// takeRemovals takes as many of the notes to be removed as one call may hold.
 func (g *Guard) takeRemovals() []Note {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	count := min(len(g.removals), maxNotes)
+	count := min(len(g.removals), maxNotesPerCall)
 	taken := g.removals[:count:count]
 	g.removals = g.removals[count:]
 	if len(g.removals) > 0 {
