--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -9,97 +9,103 @@
 
 // Constants of a coordinator's decisions.
 const (
-	// requestRateSpan is the span of the estimate of what is asked: short, since a tenant that
-	// begins to ask many times its limit spends its burst within a few tenths of a second.
+	// requestRateSpan is the averaging span of the request rate. It is short because a tenant that
+	// starts to send many times its limit spends its burst within a few tenths of a second.
 	requestRateSpan = 300 * time.Millisecond
-	// horizon is the time in which the level of the bucket is to be used up or made up for.
-	// It is several times the age of what is known of far nodes, so that the share settles.
+	// bucketHorizon is the time in which the tokens of the bucket are to be spent, or its debt paid
+	// back. It is several times the age of reports from distant nodes, so that the share converges.
 	bucketHorizon = 500 * time.Millisecond
-	// targetTolerance is the part of the room beyond the limit that is aimed at: what is refused
-	// below the limit is lost for callers, and lots scatter. The rest of the room is for what
-	// is admitted before a lower share is known.
+	// targetTolerance is the part of the tolerance that coordinators aim to use, because requests
+	// refused below the limit are lost for callers and the admitted number varies by chance. The
+	// rest covers requests that are admitted before nodes receive a lower share.
 	targetTolerance = 0.3
-	// minShare keeps a few requests coming, by which the share is found again.
+	// minShare keeps a few requests coming, from which the right share is found again.
 	minShare = 0.01
-	// reportRetention is for how long a node is remembered that has reported nothing.
+	// reportRetention is how long a node is remembered after its last report.
 	reportRetention = 10 * time.Second
-	// standInReportSpan is for how long a report shows a stand-in that the node has no better
-	// coordinator: nodes with few requests report every few seconds.
+	// standInReportSpan is how long a report proves to a stand-in that the node has no better
+	// coordinator. Nodes with few requests report only every few seconds.
 	standInReportSpan = 5 * time.Second
-	// minPartialTolerance is the part of the room beyond the limit which a coordinator of a part of the nodes may have
-	// at least, as its burst and again over a window: small tenants send two or three requests
-	// together, and few of their nodes have reported lately. There are two such coordinators
-	// as a rule.
+	// minPartialTolerance is the minimum part of the tolerance that a coordinator of only a part of
+	// the nodes may grant, once as its burst and again over each window: small tenants send two or
+	// three requests together, and few of their nodes have reported recently. Usually there are two
+	// such coordinators.
 	minPartialTolerance = 0.12
-	// settlingFraction is the part of the limit that a first coordinator holds while lists of nodes differ: there are two
-	// at once as a rule, and of the smallest tenants the first requests at each of some more.
+	// settlingFraction is the part of the limit that a first coordinator grants while node lists
+	// differ. Usually two nodes act as first coordinator at the same time then; for the smallest
+	// tenants the first requests at each of a few more such nodes add to that.
 	settlingFraction = 0.12
-	// steadyRateSpan is the span of the estimate by which a tenant counts as beyond its limit
-	// rather than as one that sent some requests together.
+	// steadyRateSpan is the averaging span of the rate that decides whether a tenant exceeds its
+	// limit or only sent some requests together.
 	steadyRateSpan = 2 * time.Second
-	// highUsageVerdicts is the part of its limit that a tenant uses when all nodes are to know of it.
+	// highUsageFraction is the part of its limit from which on a tenant's usage is announced to all
+	// nodes.
 	highUsageFraction = 0.25
-	// extraRateInterval is how often the unused part of the limit is summed up anew.
+	// extraRateInterval is how often the unused part of the limit is recomputed.
 	extraRateInterval = 500 * time.Millisecond
 )
 
-// Contact is what a coordinator knows of the nodes at a moment.
+// DeploymentView is what a coordinator knows about the nodes at one time.
 type DeploymentView struct {
-	// IsFirst says that the coordinator is the tenant's first: it holds the limit of the
-	// whole deployment less the entitlements of nodes out of touch. A stand-in holds only
-	// the entitlements of the nodes that report to it.
+	// IsFirst is set if the coordinator is the tenant's first: it grants the limit of the whole
+	// deployment less the entitlements of silent nodes. A stand-in grants only the entitlements of
+	// the nodes that report to it.
 	IsFirst bool
-	// IsSettling says that nodes may take another one for the first coordinator, since their lists of nodes differ.
+	// IsSettling is set while other nodes may regard another node as the first coordinator because
+	// their node lists differ.
 	IsSettling bool
-	// Nodes is the number of nodes of the deployment, Silent those that did not answer.
+	// Nodes is the number of nodes of the deployment; Silent holds those that did not answer.
 	Nodes  int
 	Silent map[string]bool
 }
 
-// Account is a coordinator's view of one tenant over all nodes that report to it.
+// Account is a coordinator's state of one tenant, over all nodes that report to it. It is not safe
+// for concurrent use.
 type Account struct {
 	limit  route.RateLimit
 	bounds Bounds
 	bucket tokenBucket
-	// asked and steady are the rates of requests over requestRateSpan and over steadyRateSpan.
+	// requestRate and steadyRate are the rates of requests over requestRateSpan and steadyRateSpan.
 	requestRate movingRate
 	steadyRate  movingRate
 	reports     map[string]*nodeReport
 	extraRate   float64
-	// extraRateAt is when spare was summed up.
+	// extraRateAt is when extraRate was computed.
 	extraRateAt time.Time
-	// isUnsettled says that the account was never settled.
+	// isUnsettled is set until the account is settled for the first time.
 	isUnsettled bool
-	// lastReportAt is when something was last reported.
+	// lastReportAt is when a node last reported the tenant.
 	lastReportAt time.Time
-	// cautious is the share by which nodes acted before this account was opened; it bounds
-	// the share until inheritedShareUntil, since what is asked is not known yet.
+	// inheritedShare is the share that nodes applied before this account was opened. It bounds the
+	// share until inheritedShareUntil, since the request rate is not known yet.
 	inheritedShare      float64
 	inheritedShareUntil time.Time
-	// starting is what the tenant may use in the first window after the coordinator's start.
+	// startup is what the tenant may use in the first window after the coordinator's process
+	// started.
 	startup startupWindow
-	// reserved is what was taken from the bucket for the first requests of silent nodes, last
-	// at isolationReserveAt.
+	// isolationReserve is the number of tokens taken from the bucket for what silent nodes may
+	// admit beyond their entitlements; isolationReserveAt is when it was last raised.
 	isolationReserve   float64
 	isolationReserveAt time.Time
-	// reservedRate is the part of the limit's rate that was left to silent nodes when the account was last
-	// settled; zero if that was as a stand-in. Nothing is decided by it.
+	// reservedRate is the part of the limit's rate that was left to silent nodes when the account
+	// was last settled; zero for a stand-in. It is for snapshots only and affects no decision.
 	reservedRate float64
 }
 
-// inheritedShareSpan is how long a new account keeps to the share that nodes had: the time until
-// all nodes with traffic have reported.
+// inheritedShareSpan is how long a new account applies the share that nodes had before: the time
+// until all nodes with traffic have reported.
 const inheritedShareSpan = 3 * requestRateSpan
 
-// reported is what a coordinator last heard from a node.
+// nodeReport is the last report of a node.
 type nodeReport struct {
 	usage Usage
 	at    time.Time
 }
 
-// NewAccount returns an account of a tenant of which nothing was reported since a moment. What
-// was spent before is unknown, so that a first coordinator has no burst to give at that moment,
-// while the rate serves every tenant within its limit. A stand-in begins with its part.
+// NewAccount returns an account of a tenant for which nothing was reported since the given time.
+// What was spent before is unknown, so a first coordinator starts without a burst at that time,
+// while the rate serves every tenant within its limit. A stand-in starts with the burst of its part
+// of the limit.
 func NewAccount(limit route.RateLimit, bounds Bounds, since, now time.Time) *Account {
 	return &Account{
 		limit: limit, bounds: bounds, bucket: tokenBucket{at: since}, requestRate: movingRate{span: requestRateSpan},
@@ -108,12 +114,12 @@
 	}
 }
 
-// Take counts a report of a node. Told twice, it counts once.
+// AddReport counts a report of a node. A report that arrives twice counts once.
 func (a *Account) AddReport(node string, usage Usage, view DeploymentView, now time.Time) {
 	a.lastReportAt = now
 	a.settle(view, now)
 	requests, admitted := usage.NewRequests, usage.NewAdmitted
-	// granted is how many of them this coordinator has granted at most.
+	// granted is the maximum number of those requests that this coordinator granted.
 	granted := float64(requests)
 	previous := a.reports[node]
 	if previous == nil && a.isInStartup() {
@@ -124,7 +130,7 @@
 		if usage.Requests < previous.usage.Requests {
 			return
 		}
-		// The answer to a report may have been lost.
+		// The answer to an earlier report may have been lost.
 		requests = min(requests, usage.Requests-previous.usage.Requests)
 		admitted = min(admitted, usage.Admitted-previous.usage.Admitted)
 		a.spendBurst(float64(usage.Admitted - previous.usage.Admitted - admitted))
@@ -138,26 +144,26 @@
 	}
 }
 
-// spendBurst takes what was admitted while the node was out of touch: by another coordinator
-// or by its entitlement. It was within the limit, but the burst is spent.
+// spendBurst takes tokens for requests that the node admitted without this coordinator: by another
+// coordinator or by its entitlement. They were within the limit, but the burst is spent.
 func (a *Account) spendBurst(count float64) {
 	if a.bucket.level > 0 {
 		a.bucket.level = max(0, a.bucket.level-max(0, count))
 	}
 }
 
-// debt returns how far the bucket may fall below zero: what goes beyond the limit in a window
-// must be made up for in it, but not for longer.
+// maxDebt returns how far the bucket may fall below zero: what exceeds the limit in a window is
+// compensated within that window, but not for longer.
 func (a *Account) maxDebt() float64 { return a.bounds.tolerance(a.limit) + a.limit.Burst }
 
 // SetLimit puts a limit into force.
 func (a *Account) SetLimit(limit route.RateLimit) { a.limit = limit }
 
-// DropSavedTokens gives up the tokens that were saved, since requests that nobody reported may have
-// spent them, as after the coordinator stood still.
+// DropSavedTokens removes the saved tokens, since requests that were not reported here may have
+// spent them, as after the coordinator was suspended.
 func (a *Account) DropSavedTokens() { a.bucket.level = min(a.bucket.level, 0) }
 
-// settle brings the bucket up to a moment.
+// settle brings the bucket up to the given time.
 func (a *Account) settle(view DeploymentView, now time.Time) {
 	if a.extraRateAt.IsZero() || now.Sub(a.extraRateAt) >= extraRateInterval {
 		a.updateExtraRate(view, now)
@@ -188,7 +194,8 @@
 	a.settleStartup(now)
 }
 
-// updateExtraRate forgets nodes that are silent for long and sums up what nobody used lately.
+// updateExtraRate forgets nodes that have not reported for reportRetention and recomputes the
+// unused rate.
 func (a *Account) updateExtraRate(view DeploymentView, now time.Time) {
 	a.extraRateAt = now
 	used := 0.0
@@ -200,13 +207,13 @@
 		}
 		used += report.usage.RecentRate * math.Exp(-age.Seconds()/recentRateSpan.Seconds())
 	}
-	// What was used lately falls behind what is asked while that grows. The request that has just
-	// been reported is no part of a rate.
+	// While the demand grows, the admitted rate lags behind the request rate. The request that was
+	// just reported is not part of a rate.
 	used = max(used, a.steadyRate.read(now)-1/steadyRateSpan.Seconds())
 	a.extraRate = max(0, a.limit.PerSecond-used) / float64(max(1, view.Nodes))
 }
 
-// pooled returns the rate that the nodes in touch with this coordinator have together.
+// pooledRate returns the rate that the nodes in contact with this coordinator have together.
 func (a *Account) pooledRate(view DeploymentView, now time.Time) float64 {
 	if !view.IsFirst {
 		entitled := 0.0
@@ -222,7 +229,7 @@
 		if node := a.reports[name]; node != nil {
 			reserved += node.usage.EntitledRate
 		} else {
-			// A coordinator that is new has not heard of it: an equal part is the mean.
+			// A new coordinator has no report of that node: an equal part is the mean.
 			reserved += a.limit.PerSecond / float64(max(1, view.Nodes))
 		}
 	}
@@ -233,7 +240,7 @@
 	return pooled
 }
 
-// Verdict returns what nodes are to do at a moment.
+// Verdict returns what nodes may admit from the given time on.
 func (a *Account) Verdict(view DeploymentView, now time.Time) Verdict {
 	a.settle(view, now)
 	if a.steadyRate.read(now) > a.limit.PerSecond {
@@ -247,15 +254,15 @@
 	return verdict
 }
 
-// isHighUsage reports whether the tenant uses so much of its limit that nodes must know of it: those
-// that have not heard of it would take an equal part of all for unused.
+// isHighUsage reports whether the tenant uses so much of its limit that nodes must know of it: a
+// node that does not would regard an equal part of the whole limit as unused.
 func (a *Account) isHighUsage(now time.Time) bool {
 	return a.steadyRate.read(now) >= highUsageFraction*a.limit.PerSecond
 }
 
-// reserve keeps back what silent nodes may admit in a window beside their entitlements. A tenant
-// within its limit is not held back for it, and when the nodes are back for longer than those
-// requests count, neither are the others.
+// updateIsolationReserve reserves what silent nodes may admit in a window in addition to their
+// entitlements. A tenant within its limit is not restricted for it. Once the nodes have been back
+// for longer than those requests count, the other nodes are not restricted either.
 func (a *Account) updateIsolationReserve(view DeploymentView, now time.Time) {
 	needed := 0.0
 	isCutOff := 2*len(view.Silent) > view.Nodes
@@ -274,8 +281,8 @@
 	a.isolationReserve = needed
 }
 
-// share returns the part of the requests by which the bucket is used up, or made up for,
-// within the horizon.
+// share returns the part of the requests that spends the tokens of the bucket, or pays back its
+// debt, within bucketHorizon.
 func (a *Account) share(now time.Time) float64 {
 	grantedRate := a.grantedRate()
 	requestRate := a.requestRate.read(now)
@@ -289,17 +296,18 @@
 	return share
 }
 
-// Figures of an account, for logs and metrics.
+// AccountStats are figures of an account for logs and metrics.
 type AccountStats struct {
 	Limit route.RateLimit
-	// Asked is the rate of requests over all nodes, Level the tokens that are left.
+	// RequestRate is the rate over all nodes in requests a second; Tokens are those left in the
+	// bucket, below zero for a debt.
 	RequestRate float64
 	Tokens      float64
-	// Nodes is the number of nodes that reported lately.
+	// Nodes is the number of nodes that reported recently.
 	Nodes int
 }
 
-// Figures returns the state of the account.
+// Stats returns the figures of the account.
 func (a *Account) Stats(now time.Time) AccountStats {
 	return AccountStats{Limit: a.limit, RequestRate: a.requestRate.read(now), Tokens: a.bucket.level, Nodes: len(a.reports)}
 }
--- a/pkg/quota/coordinators.go
+++ b/pkg/quota/coordinators.go
@@ -11,30 +11,32 @@
 	"github.com/bramblemast/bramblemast/pkg/rendezvous"
 )
 
-// Number and choice of the coordinators of a deployment, and how long its lists of nodes may differ.
+// Number and choice of the coordinators of a deployment, and how long node lists may differ.
 const (
-	// minCoordinators is the least number of nodes that coordinate limits.
+	// minCoordinators is the minimum number of nodes that coordinate limits.
 	minCoordinators = 4
-	// rankedCoordinators is the number of coordinators of the whole deployment that a node
-	// turns to for one tenant. The next is one of its own zone, so that a zone that is cut off
-	// holds its part of the limit together.
+	// rankedCoordinators is the number of coordinators of the whole deployment that a node uses for
+	// one tenant. The next one is a coordinator of its own zone, so that a zone that is cut off
+	// shares its part of the limit.
 	rankedCoordinators = 2
 	// zoneCoordinatorCount is the number of nodes of a zone that coordinate limits within it.
 	zoneCoordinatorCount = 4
-	// coordinatorsKey is what the coordinators are ranked by.
+	// coordinatorsKey is the rendezvous key that ranks the coordinators.
 	coordinatorsKey = "quota"
-	// assumedNodes stands for the number of nodes until the list of nodes is known. It is large, so
-	// that a node's equal part of a limit is small until then.
+	// assumedNodes is the number of nodes assumed until the node list is known. It is large, so
+	// that the node's equal part of a limit is small until then.
 	assumedNodes = 100
-	// departedSpan is for how long a node that has left the list of nodes counts as cut off rather than
+	// departedSpan is how long a node that has left the node list counts as cut off and not as
 	// ended. A node that is cut off leaves the list some seconds later and may still admit requests
-	// at its entitlement; if it has ended, its part of limits stays unused for departedSpan.
+	// by its entitlement. If it has ended, its part of the limits is unused for departedSpan.
 	departedSpan = 20 * time.Second
-	// listFillSpan is for how long after its start a process that the list did not hold before takes the lists of
-	// nodes to be incomplete, as after a loss of power in which the entries of all nodes lapsed.
+	// listFillSpan is how long after its start a process that was not in the node list before
+	// regards node lists as incomplete, as after a power loss in which the entries of all nodes
+	// expired.
 	listFillSpan = 10 * time.Second
-	// coordinatorSettleSpan is for how long, within listFillSpan, the coordinators must stay the same before they are relied
-	// on: until then several nodes may take themselves for the first coordinator of a tenant.
+	// coordinatorSettleSpan is how long, within listFillSpan, the set of coordinators must be
+	// unchanged before it is relied on. Until then several nodes may regard themselves as the first
+	// coordinator of a tenant.
 	coordinatorSettleSpan = 2 * time.Second
 )
 
@@ -45,7 +47,7 @@
 	Address peer.Address
 }
 
-// SetNodes takes the nodes of the deployment, this one included. Nodes without an address are left
+// SetNodes sets the nodes of the deployment, including this one. Nodes without an address are left
 // out, since nothing can be sent to them.
 func (l *Limiter) SetNodes(nodes []Node) {
 	now := time.Now()
@@ -78,8 +80,8 @@
 	l.requestReport()
 }
 
-// chooseCoordinators ranks the coordinators of the deployment and those of this node's zone. The caller
-// holds the mutex.
+// chooseCoordinators ranks the coordinators of the deployment and those of this node's zone. The
+// caller holds the mutex.
 func (l *Limiter) chooseCoordinators(names, inZone []string, now time.Time) {
 	current := l.coordinators.Top(coordinatorsKey, l.coordinators.Len())
 	chosen := rendezvous.Top(coordinatorsKey, names, coordinatorCount(len(names)))
@@ -92,9 +94,9 @@
 	l.zoneCoordinators = rendezvous.NewSet(rendezvous.Top(coordinatorsKey, inZone, zoneCoordinatorCount))
 }
 
-// noteDeparted compares the list of nodes with the one before it. A node that has left it may be cut off
-// and still admit requests at its entitlement, so that it counts as silent for departedSpan. One that is
-// listed again counts as silent until it reports or answers. The caller holds the mutex.
+// noteDeparted compares the node list with the one before. A node that has left the list may be cut
+// off and still admit requests by its entitlement, so it counts as silent for departedSpan. A node
+// that is listed again counts as silent until it reports or answers. The caller holds the mutex.
 func (l *Limiter) noteDeparted(before, after map[string]peer.Address, now time.Time) {
 	for name := range before {
 		if after[name] == "" && name != l.options.Local {
@@ -107,7 +109,8 @@
 	}
 }
 
-// forgetDeparted forgets nodes that left the list more than departedSpan ago. The caller holds the mutex.
+// forgetDeparted removes nodes that left the list more than departedSpan ago. The caller holds the
+// mutex.
 func (l *Limiter) forgetDeparted(now time.Time) {
 	for name, until := range l.departed {
 		if now.After(until) {
@@ -117,14 +120,15 @@
 	}
 }
 
-// isSettling reports whether other nodes may have another list of nodes than this one. The caller holds the mutex.
+// isSettling reports whether other nodes may have a different node list. The caller holds the
+// mutex.
 func (l *Limiter) isSettling(now time.Time) bool {
 	return now.Sub(l.startedAt) < listFillSpan && now.Sub(l.coordinatorsSince) < coordinatorSettleSpan && l.options.WasListed != nil && !l.options.WasListed()
 }
 
-// coordinatorCount returns how many of a number of nodes coordinate limits. It grows with the square
-// root of that number, so that each node has few connections to coordinators, and
-// a coordinator few to the others.
+// coordinatorCount returns how many of the given number of nodes coordinate limits. It grows with
+// the square root of that number, so that each node has few connections to coordinators and a
+// coordinator has few to the others.
 func coordinatorCount(nodes int) int {
 	count := minCoordinators
 	for count*count < nodes {
@@ -145,16 +149,18 @@
 	return found
 }
 
-// place returns this node's place for a tenant (see Meter.SetRoundingOffset), 0 to below 1. Multiples of the golden
-// ratio, taken by rank, spread any number of nodes evenly; an offset by the hash of the tenant's name
-// keeps one node from being first for all tenants. The caller holds the mutex.
+// roundingOffset returns this node's offset for a tenant (see Meter.SetRoundingOffset), from 0 to
+// below 1. Multiples of the golden ratio, taken by rank, spread any number of nodes evenly;
+// starting at a hash of the tenant's name prevents one node from being preferred for all tenants.
+// The caller holds the mutex.
 func (l *Limiter) roundingOffset(tenant string) float64 {
 	start := float64(xxhash.Sum64String(tenant)>>11) / (1 << 53)
 	_, offset := math.Modf(start + float64(l.rank)/math.Phi)
 	return offset
 }
 
-// nodeCount returns the number of nodes. The caller holds the mutex.
+// nodeCount returns the number of nodes, or assumedNodes while it is unknown. The caller holds the
+// mutex.
 func (l *Limiter) nodeCount() int {
 	if len(l.addresses) == 0 {
 		return assumedNodes
--- a/pkg/quota/draw.go
+++ b/pkg/quota/draw.go
@@ -7,20 +7,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// drawSpan is for how long a request that was refused is refused again: one that is repeated
-// at once gets no further, and one that waits has a new chance.
+// drawSpan is how long the decision about a refused request stays the same: repeating it at once
+// does not help, waiting gives it a new chance.
 const drawSpan = 500 * time.Millisecond
 
-// lot is the draw of one request: a number from 0 to 1 that stays the same for drawSpan.
+// draw is the pseudo-random number of one request, from 0 to 1. It stays the same for drawSpan.
 type draw struct {
 	hash uint64
-	// ends is when the request gets another draw.
+	// expiresIn is the time until the request gets another draw.
 	expiresIn time.Duration
 }
 
-// drawFor returns the lot of a request. All nodes draw alike, so that trying another node
-// does not help. The spans of different requests end at different moments, so that refused
-// clients do not return together.
+// drawFor returns the draw of a request. All nodes compute the same one, so that trying another
+// node does not help. The spans of different requests end at different times, so that refused
+// clients do not all return together.
 func drawFor(tenant, requestID string, now time.Time) draw {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -36,7 +36,7 @@
 	return draw{hash: digest.Sum64(), expiresIn: drawSpan - time.Duration(since%int64(drawSpan))}
 }
 
-// isWithin reports whether the lot is among a share of all.
+// isWithin reports whether the draw falls into the given share.
 func (d draw) isWithin(share float64) bool {
 	const scale = 1 << 53
 	return float64(d.hash>>(64-53)) < share*scale
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -10,74 +10,75 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// Times of a Limiter.
+// Timing of a Limiter.
 const (
-	// reportDelay is how long counts wait for others, so that one message carries them: a
-	// tenant at many times its limit must be seen before its burst is spent.
+	// reportDelay is how long a report waits for further counts, so that one message carries them.
+	// It is short because a tenant at many times its limit must be seen before its burst is spent.
 	reportDelay = 25 * time.Millisecond
-	// callTimeout is after how long a coordinator counts as silent, and until when a node
-	// has taken a verdict: several times the way to a far region and back.
+	// callTimeout is the timeout of a report to a coordinator and of a verdict to a node: several
+	// times the round trip to a distant region.
 	callTimeout = 200 * time.Millisecond
-	// tick is the time between two checks which verdicts, probes and sweeps are due.
+	// tickInterval is the time between two checks whether verdicts, probes or a sweep are due.
 	tickInterval = 100 * time.Millisecond
-	// verdictInterval is how often a share below 1 is told again.
+	// verdictInterval is how often a share below 1 is sent again.
 	verdictInterval = 300 * time.Millisecond
-	// silentNodeInterval is how often nodes that took no verdict are told one.
+	// silentNodeInterval is how often verdicts are sent to nodes that did not take the last ones.
 	silentNodeInterval = time.Second
-	// sweepInterval is how often unused meters and accounts are looked for, and idleTimeout the
-	// time without use after which they are forgotten.
+	// sweepInterval is how often idle meters and accounts are removed; idleTimeout is the time
+	// without use after which they are idle.
 	sweepInterval = 5 * time.Second
 	idleTimeout   = time.Minute
-	// standstill is the time between two ticks beyond which others may have stood in for this
-	// node as coordinator, so that it has missed what they granted.
+	// maxTickGap is the time between two ticks beyond which other nodes may have stood in for this
+	// coordinator, so that it does not know what they granted.
 	maxTickGap = time.Second
 )
 
-// Events takes what an operator wants to know. Its methods do not block.
+// Events receives what an operator wants to know. Its methods must not block.
 type Events interface {
-	// TenantsAtLimit tells that a tenant that this node coordinates has come to its limit.
+	// AtLimit is called when a tenant that this node coordinates has reached its limit.
 	AtLimit(tenant string, verdict Verdict, stats AccountStats)
-	// BelowLimit tells that it is within its limit again, after a span; also if it has lost the
-	// limit that the figures name.
+	// BelowLimit is called when the tenant is within its limit again, with the time that it was at
+	// the limit; also when the tenant has lost the limit given in stats.
 	BelowLimit(tenant string, stats AccountStats, span time.Duration)
-	// CoordinatorLost and CoordinatorRegained tell of nodes that this one reports to.
+	// CoordinatorLost and CoordinatorRegained are called when a coordinator that this node reports
+	// to stops answering and answers again.
 	CoordinatorLost(name string, cause error)
 	CoordinatorRegained(name string)
 }
 
-// Options of a Limiter.
+// Options configures a Limiter.
 type Options struct {
-	// Local is the name of this node, Zone where it is.
+	// Local is the name of this node, Zone its zone.
 	Local     string
 	Zone      string
 	Bounds    Bounds
 	Transport peer.Transport
-	// LimitOf returns the limit of a tenant by the configuration in force; false if it has
-	// none.
+	// LimitOf returns the limit of a tenant in the configuration in force; false if it has no such
+	// tenant.
 	LimitOf func(tenant string) (route.RateLimit, bool)
 	Events  Events
-	// KnowsTenants reports whether the configuration in force has tenants.
+	// KnowsTenants reports whether the node has a configuration in force that contains tenants.
 	KnowsTenants func() bool
-	// Start names this run of the process, differently each time.
+	// Incarnation identifies this run of the process; it differs for each run.
 	Incarnation uint64
-	// WasListed reports whether the list of nodes held this one already when the process began, so that it holds
-	// all of them. Nil for always.
+	// WasListed reports whether the node list already contained this node when the process started;
+	// the list then contains all nodes. Nil means always.
 	WasListed func() bool
 }
 
-// Limiter holds the tenants of one node to their limits, and coordinates those for which the
-// node is a coordinator.
+// Limiter enforces the limits of the tenants of one node and coordinates the tenants for which the
+// node is a coordinator. It is safe for concurrent use.
 type Limiter struct {
 	options Options
-	// wake tells Run that there is something to report, urgent that a share has fallen.
+	// wake signals Run that there is something to report, urgent that a share has fallen.
 	wake   chan struct{}
 	urgent chan struct{}
-	// context ends with Run; the calls that answers of others lead to belong to it.
+	// context ends with Run. Calls that result from the answers of other nodes use it.
 	context context.Context
 	cancel  context.CancelFunc
-	// startedAt is when the process began, as far as this package knows.
+	// startedAt is when the Limiter was created, which stands for the start of the process.
 	startedAt time.Time
-	// group counts the calls under way.
+	// group counts the calls in progress.
 	group sync.WaitGroup
 
 	mutex sync.Mutex
@@ -85,82 +86,85 @@
 	addresses     map[string]peer.Address
 	coordinators  *rendezvous.Set[string]
 	isCoordinator map[string]bool
-	// rank is the number of this node among the sorted names of all.
+	// rank is the index of this node among the sorted names of all nodes.
 	rank int
-	// zoneCoordinators are those of this node's zone.
+	// zoneCoordinators are the coordinators of this node's zone.
 	zoneCoordinators *rendezvous.Set[string]
-	// coordinatorsSince is since when the coordinators are the same: before it other nodes may
+	// coordinatorsSince is when the set of coordinators last changed. Before that, other nodes may
 	// have kept the accounts.
 	coordinatorsSince time.Time
 	links             map[string]*link
-	meters            map[string]*meterFor
+	meters            map[string]*tenantMeter
 	accounts          map[string]*tenantAccount
 	// silent holds the nodes that did not take the last verdicts.
 	silent map[string]bool
-	// gone holds until when nodes that have left the list count as silent.
+	// departed holds nodes that have left the node list and until when they count as silent.
 	departed map[string]time.Time
-	// spreading and probing say that verdicts are on their way to nodes in touch and to
-	// silent ones.
+	// isBroadcasting and isProbingSilent are set while verdicts are being sent to nodes in contact
+	// and to silent nodes.
 	isBroadcasting  bool
 	isProbingSilent bool
-	// lastReportAt is when another node last reported, and receivesReports says that it was a moment ago.
+	// lastReportAt is when another node last reported; receivesReports is set while that is at most
+	// reportingSpan ago.
 	lastReportAt    time.Time
 	receivesReports bool
-	// isStopped says that Run has ended, so that nothing waits for further calls.
+	// isStopped is set when Run has ended: no further calls may start, since nothing waits for
+	// them.
 	isStopped bool
-	// answeredAt is when a coordinator answered last, and isInDoubt says that one has not
-	// since.
+	// answeredAt is when a coordinator last answered; isInDoubt is set after a call to a
+	// coordinator has failed until one answers.
 	answeredAt time.Time
 	isInDoubt  bool
-	// asked counts the times that keepInTouch asked a coordinator; it takes them in turn.
+	// contactAttempts counts the calls of keepInTouch, which calls the coordinators in turn.
 	contactAttempts int
-	// hasHadContact says that a coordinator has answered since the start.
+	// hasHadContact is set once a coordinator has answered since the process started.
 	hasHadContact bool
 	broadcastAt   time.Time
 	silentProbeAt time.Time
 	sweptAt       time.Time
 	tickAt        time.Time
 	messagesSent  MessageCounts
-	// tallies hold what was decided for each tenant since the start.
+	// tallies count the decisions for each tenant since the process started.
 	tallies map[string]*tally
 }
 
-// Sent counts the messages of a Limiter.
+// MessageCounts counts the messages that a Limiter has sent.
 type MessageCounts struct {
 	Reports, Verdicts uint64
 }
 
-// metered is a tenant at this node.
-type meterFor struct {
+// tenantMeter is a tenant that this node serves.
+type tenantMeter struct {
 	meter *Meter
-	// ranked are its coordinators, best first.
+	// ranked are the tenant's coordinators, best first.
 	ranked []string
 	usedAt time.Time
 	tally  *tally
-	// standInVerdict is what a coordinator said to which this node does not turn yet.
+	// standInVerdict is the last verdict of a coordinator that this node does not report to.
 	standInVerdict receivedVerdict
 }
 
-// hint is a verdict of a coordinator that stands in for a better one.
+// receivedVerdict is a verdict with its sender and its time of arrival.
 type receivedVerdict struct {
 	from    string
 	verdict Verdict
 	at      time.Time
 }
 
-// coordinated is a tenant whose account this node keeps.
+// tenantAccount is a tenant whose account this node keeps.
 type tenantAccount struct {
 	account *Account
 	isFirst bool
-	// told is the share that was last told to all nodes.
+	// sentShare is the share that was last sent to all nodes.
 	sentShare float64
-	// limitedAt is when the tenant came to its limit, withinLimitSince when its share was 1 again;
-	// zero if it is not.
+	// limitedAt is when the tenant reached its limit, withinLimitSince when its share became 1
+	// again; zero if neither applies.
 	limitedAt        time.Time
 	withinLimitSince time.Time
 }
 
-// New returns a Limiter that knows no other node yet.
+// New returns a Limiter that does not know any other node yet. It registers its handlers at the
+// transport.
 func New(options Options) *Limiter {
 	ctx, cancel := context.WithCancel(context.Background())
 	limiter := &Limiter{
@@ -168,7 +172,7 @@
 		wake: make(chan struct{}, 1), urgent: make(chan struct{}, 1),
 		addresses:    make(map[string]peer.Address),
 		coordinators: rendezvous.NewSet[string](nil), zoneCoordinators: rendezvous.NewSet[string](nil),
-		links: make(map[string]*link), meters: make(map[string]*meterFor), accounts: make(map[string]*tenantAccount),
+		links: make(map[string]*link), meters: make(map[string]*tenantMeter), accounts: make(map[string]*tenantAccount),
 		silent: make(map[string]bool), departed: make(map[string]time.Time),
 		tallies: make(map[string]*tally),
 	}
@@ -177,7 +181,7 @@
 	return limiter
 }
 
-// Admit decides about one request of a tenant, at once.
+// Admit decides about one request of a tenant without waiting for other nodes.
 func (l *Limiter) Admit(tenant string, limit route.RateLimit, requestID string, now time.Time) Decision {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -190,7 +194,7 @@
 	return decision
 }
 
-// Refund gives back a request that was admitted and did not run.
+// Refund takes back a request that was admitted and did not run.
 func (l *Limiter) Refund(tenant string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -201,7 +205,7 @@
 	}
 }
 
-// Coordinator returns the node to which this one reports a tenant; empty if none answers.
+// Coordinator returns the coordinator to which this node reports a tenant; empty if none answers.
 func (l *Limiter) Coordinator(tenant string) string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -221,11 +225,12 @@
 	return count
 }
 
-// metered returns a tenant's meter with its limit in force. The caller holds the mutex.
-func (l *Limiter) meterFor(tenant string, limit route.RateLimit, now time.Time) *meterFor {
+// meterFor returns a tenant's meter with the given limit and creates it if there is none. The
+// caller holds the mutex.
+func (l *Limiter) meterFor(tenant string, limit route.RateLimit, now time.Time) *tenantMeter {
 	entry := l.meters[tenant]
 	if entry == nil {
-		entry = &meterFor{meter: NewMeter(tenant, limit, l.options.Bounds, l.nodeCount(), l.hasHadContact, now), ranked: l.ranked(tenant)}
+		entry = &tenantMeter{meter: NewMeter(tenant, limit, l.options.Bounds, l.nodeCount(), l.hasHadContact, now), ranked: l.ranked(tenant)}
 		entry.meter.SetProcessStart(l.startedAt)
 		entry.meter.SetRoundingOffset(l.roundingOffset(tenant))
 		entry.meter.SetMode(l.mode(entry.ranked), now)
@@ -239,20 +244,20 @@
 // requestReport makes Run report after reportDelay.
 func (l *Limiter) requestReport() { signal(l.wake) }
 
-// signal wakes the reader of a channel that holds one signal.
+// signal wakes the reader of a channel that buffers one signal.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
 	default:
-		// It has a signal already.
+		// A signal is already buffered.
 	}
 }
 
-// Run reports and tells until ctx ends.
+// Run reports to coordinators and sends verdicts to nodes until ctx ends. It returns nil.
 //
-// Its timers call functions that signal channels. In a bubble of testing/synctest a goroutine
-// that selects on the channel of a due timer runs that timer itself, at the same time as
-// others do theirs, and the race detector of Go 1.26 does not survive that.
+// Its timers call functions that signal channels. In a bubble of testing/synctest, a goroutine that
+// selects on the channel of a timer that has fired runs that timer itself, at the same time as
+// others run theirs, and the race detector of Go 1.26 does not survive that.
 func (l *Limiter) Run(ctx context.Context) error {
 	defer l.stop()
 	ticks, reportDue := make(chan struct{}, 1), make(chan struct{}, 1)
@@ -283,7 +288,7 @@
 	}
 }
 
-// stop ends the calls under way and waits for them; none begins any more.
+// stop cancels the calls in progress and waits for them; no new ones start.
 func (l *Limiter) stop() {
 	l.mutex.Lock()
 	l.isStopped = true
@@ -292,7 +297,7 @@
 	l.group.Wait()
 }
 
-// onTick does what is due by time; a span without ticks counts as a suspension of the process.
+// onTick does the periodic work. A long gap between ticks counts as a suspension of the process.
 func (l *Limiter) onTick(ctx context.Context, now time.Time) {
 	l.mutex.Lock()
 	if !l.tickAt.IsZero() && now.Sub(l.tickAt) > maxTickGap {
@@ -311,8 +316,8 @@
 	l.broadcast(ctx, now)
 }
 
-// Resumed makes up for a suspension of the machine: what others told is old, and what they
-// granted meanwhile is unknown.
+// Resumed must be called after the machine was suspended: the verdicts received are outdated, and
+// what other coordinators granted meanwhile is unknown.
 func (l *Limiter) Resumed() {
 	now := time.Now()
 	l.mutex.Lock()
@@ -330,7 +335,7 @@
 	l.requestReport()
 }
 
-// dropSavedTokens takes the saved tokens from all accounts. The caller holds the mutex.
+// dropSavedTokens removes the saved tokens of all accounts. The caller holds the mutex.
 func (l *Limiter) dropSavedTokens() {
 	l.coordinatorsSince = time.Now()
 	for _, entry := range l.accounts {
@@ -338,7 +343,7 @@
 	}
 }
 
-// sweep forgets meters and accounts that were not used for idleTimeout. The caller holds the mutex.
+// sweep removes meters and accounts that were not used for idleTimeout. The caller holds the mutex.
 func (l *Limiter) sweep(now time.Time) {
 	l.sweptAt = now
 	for tenant, entry := range l.meters {
@@ -354,14 +359,14 @@
 	}
 }
 
-// Tenants returns the number of tenants that this node remembers.
+// TenantCount returns the number of tenants that this node has a meter for.
 func (l *Limiter) TenantCount() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return len(l.meters)
 }
 
-// Sent returns how many messages were sent so far.
+// MessagesSent returns how many messages were sent since the Limiter was created.
 func (l *Limiter) MessagesSent() MessageCounts {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/pkg/quota/links.go
+++ b/pkg/quota/links.go
@@ -7,45 +7,46 @@
 	"github.com/bramblemast/bramblemast/pkg/quota/quotapb"
 )
 
-// coordinatorInterval is how often coordinators ask each other whether they answer: one that is
-// cut off must know of it also while no tenant is at its limit, since others stand in for it.
+// coordinatorInterval is how often coordinators check whether the others answer. A coordinator that
+// is cut off must detect it even while no tenant is at its limit, since others stand in for it.
 const coordinatorInterval = 500 * time.Millisecond
 
-// contactInterval is after how long without an answer of any coordinator a node asks one. What the
-// node admits until it knows that it is cut off comes beside the part of limits that it has alone.
+// contactInterval is the time without an answer of any coordinator after which a node calls one.
+// What the node admits until it detects that it is cut off adds to its entitlement while isolated.
 const contactInterval = 450 * time.Millisecond
 
-// lateCallAge is after how long a call is late: more than the way to a far region and back.
+// lateCallAge is the age at which a call counts as late: more than the round trip to a distant
+// region.
 const lateCallAge = 90 * time.Millisecond
 
-// reportingSpan is for how long a report of another node shows that this one stands in for a
-// coordinator. Other coordinators ask it several times in it.
+// reportingSpan is how long a report of another node proves that this node stands in for a
+// coordinator. Other coordinators call it several times in that span.
 const reportingSpan = 1500 * time.Millisecond
 
-// Waits between the questions whether a silent coordinator answers again.
+// Backoff between probes of a silent coordinator.
 const (
 	firstProbeWait = 500 * time.Millisecond
 	maxProbeWait   = 2 * time.Second
 )
 
-// link is what a node knows of a coordinator.
+// link is the state of the connection to one coordinator.
 type link struct {
 	isLocal bool
-	// answers says that the last call was answered.
+	// answers is set if the last call was answered.
 	answers bool
-	// calling says that a call is under way.
+	// isCalling is set while a call is in progress.
 	isCalling bool
 	wait      time.Duration
 	nextProbe time.Time
-	// calledAt is when the last call began.
+	// calledAt is when the last call started.
 	calledAt time.Time
-	// checkedAt is when it was last asked because another one stands in for it.
+	// checkedAt is when the coordinator was last checked because another one stands in for it.
 	checkedAt time.Time
-	// lost says that Events was told of its loss and not yet of its return.
+	// isReportedLost is set between the CoordinatorLost and CoordinatorRegained events.
 	isReportedLost bool
 }
 
-// lose notes that the coordinator did not answer.
+// markFailed records that the coordinator did not answer.
 func (k *link) markFailed(now time.Time) {
 	if k.isLocal {
 		return
@@ -55,13 +56,13 @@
 	k.nextProbe = now.Add(k.wait)
 }
 
-// hasFailed reports whether the coordinator did not answer when it was last called.
+// hasFailed reports whether the coordinator did not answer the last call.
 func (k *link) hasFailed() bool { return k.wait > 0 }
 
-// regain notes that the coordinator answered.
+// markAnswered records that the coordinator answered.
 func (k *link) markAnswered() { k.answers, k.wait = true, 0 }
 
-// openLinks keeps a link to each coordinator. The caller holds the mutex.
+// openLinks keeps one link for each coordinator. The caller holds the mutex.
 func (l *Limiter) openLinks(now time.Time) {
 	links := make(map[string]*link, l.coordinators.Len())
 	names := append(l.coordinators.Top(coordinatorsKey, l.coordinators.Len()), l.zoneCoordinators.Top(coordinatorsKey, l.zoneCoordinators.Len())...)
@@ -78,7 +79,8 @@
 	l.links = links
 }
 
-// standing returns how the node stands to some coordinators. The caller holds the mutex.
+// mode returns the node's mode for a tenant with the given coordinators. The caller holds the
+// mutex.
 func (l *Limiter) mode(ranked []string) Mode {
 	switch l.coordinator(ranked) {
 	case "":
@@ -89,12 +91,12 @@
 	return WithStandIn
 }
 
-// coordinator returns the best coordinator that answers; empty if none does. The caller holds
-// the mutex.
+// coordinator returns the best coordinator that answers; empty if none does. The caller holds the
+// mutex.
 func (l *Limiter) coordinator(ranked []string) string {
 	for _, name := range ranked {
-		// A node to which no other turns is no stand-in, but alone; and so is a first coordinator that has
-		// not been in touch with any other since its start.
+		// A node to which no other node reports is not a stand-in, but isolated; so is a first
+		// coordinator that has had no contact with any other coordinator since its start.
 		hasNoReporters := name == l.options.Local && !l.receivesReports && (name != ranked[0] || !l.hasHadContact && l.coordinators.Len() > 1)
 		if found := l.links[name]; found != nil && found.answers && !hasNoReporters {
 			return name
@@ -103,7 +105,7 @@
 	return ""
 }
 
-// updateReceivesReports follows whether other nodes report to this one. The caller holds the mutex.
+// updateReceivesReports updates whether other nodes report to this one. The caller holds the mutex.
 func (l *Limiter) updateReceivesReports(now time.Time) {
 	receivesReports := !l.lastReportAt.IsZero() && now.Sub(l.lastReportAt) <= reportingSpan
 	if receivesReports != l.receivesReports {
@@ -112,7 +114,7 @@
 	}
 }
 
-// updateModes tells the meters which coordinators answer. The caller holds the mutex.
+// updateModes sets the mode of all meters by which coordinators answer. The caller holds the mutex.
 func (l *Limiter) updateModes(now time.Time) {
 	for _, entry := range l.meters {
 		mode := l.mode(entry.ranked)
@@ -124,14 +126,13 @@
 	}
 }
 
-// checkInterval is how often a coordinator that seems to answer is asked because another one
+// checkInterval is how often a coordinator that seems to answer is called because another one
 // stands in for it.
 const checkInterval = time.Second
 
-// checkCoordinator asks the coordinator to which this node turns whether it answers, since
-// another one stands in for it at other nodes: a node with few requests would not notice until
-// its next.
-// The caller holds the mutex.
+// checkCoordinator calls the coordinator that this node reports to because another one stands in
+// for it at other nodes. A node with few requests would otherwise not detect the failure until its
+// next request. The caller holds the mutex.
 func (l *Limiter) checkCoordinator(ctx context.Context, name string, now time.Time) {
 	found := l.links[name]
 	if found == nil || found.isLocal || found.isCalling || now.Sub(found.checkedAt) < checkInterval {
@@ -141,7 +142,7 @@
 	l.call(ctx, name, &quotapb.Report{Start: l.options.Incarnation}, nil)
 }
 
-// probeLinks asks coordinators that did not answer whether they do.
+// probeLinks calls coordinators that did not answer.
 func (l *Limiter) probeLinks(ctx context.Context, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -157,8 +158,8 @@
 	}
 }
 
-// seekFirstContact asks the coordinators at once, not with the next tick, if none has answered since the start: until
-// then the node admits next to nothing.
+// seekFirstContact calls the coordinators at once, without waiting for the next tick, if none has
+// answered since the start: until then the node admits next to nothing.
 func (l *Limiter) seekFirstContact(ctx context.Context, now time.Time) {
 	l.mutex.Lock()
 	hasHadContact := l.hasHadContact
@@ -168,17 +169,17 @@
 	}
 }
 
-// keepInTouch asks a coordinator whether it answers if none has lately, so that a node that is cut
-// off knows of it before its next request; and another one while a call is late, so that one
-// silent coordinator leaves no doubt. In doubt it asks those of its zone too. The caller holds
-// the mutex.
+// keepInTouch calls a coordinator if none has answered recently, so that a node that is cut off
+// detects it before its next request. While a call is late it calls another one, so that a single
+// silent coordinator leaves no doubt. In doubt it also calls the coordinators of its zone. The
+// caller holds the mutex.
 func (l *Limiter) keepInTouch(ctx context.Context, now time.Time) {
 	if !l.isInDoubt && !l.waitsForAnswer(now) && now.Sub(l.answeredAt) < contactInterval {
 		return
 	}
 	contacted := make([]string, 0, 1+zoneCoordinatorCount)
 	if names := l.coordinators.Top(coordinatorsKey, l.coordinators.Len()); len(names) > 0 {
-		// Nodes begin with different ones, so that no coordinator is asked by all at once.
+		// Nodes start with different coordinators, so that none is called by all nodes at once.
 		l.contactAttempts++
 		contacted = append(contacted, names[(l.rank+l.contactAttempts)%len(names)])
 	}
@@ -193,8 +194,8 @@
 	}
 }
 
-// waitsForAnswer reports whether a coordinator lets this node wait for longer than others take,
-// and none has answered since. The caller holds the mutex.
+// waitsForAnswer reports whether a call to a coordinator is late and none has answered since it
+// started. The caller holds the mutex.
 func (l *Limiter) waitsForAnswer(now time.Time) bool {
 	for _, found := range l.links {
 		if found.isCalling && now.Sub(found.calledAt) >= lateCallAge && l.answeredAt.Before(found.calledAt) {
@@ -211,7 +212,7 @@
 }
 
 // missesCoordinator reports whether this node coordinates limits and another coordinator does not
-// answer, so that nodes may be out of touch. The caller holds the mutex.
+// answer, so that nodes may be isolated. The caller holds the mutex.
 func (l *Limiter) missesCoordinator() bool {
 	if !l.coordinates(l.options.Local) {
 		return false
@@ -224,7 +225,7 @@
 	return false
 }
 
-// noteAnswer notes whether a coordinator answered a call. The caller holds the mutex.
+// noteAnswer records whether a coordinator answered a call. The caller holds the mutex.
 func (l *Limiter) noteAnswer(name string, err error, now time.Time) {
 	found := l.links[name]
 	if found == nil {
--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -10,66 +10,67 @@
 
 // Constants of a node's decisions.
 const (
-	// recentRateSpan is the span of the estimate of what a node admitted lately. Clients keep
-	// their connections, so that it holds for a while when the node is cut off.
+	// recentRateSpan is the averaging span of the rate that a node admitted recently. Clients keep
+	// their connections, so the rate stays valid for a while when the node becomes isolated.
 	recentRateSpan = 5 * time.Second
-	// maxShareAge is how old a share below 1 may be: coordinators repeat it several times in it.
+	// maxShareAge is the maximum age of a share below 1; coordinators repeat it several times in
+	// that time.
 	maxShareAge = 1500 * time.Millisecond
-	// unacknowledgedFraction of a tenant's burst and of a second's rate may be admitted by one
-	// node before its coordinator has acknowledged it, a tenth of a second later as a rule:
-	// so much is lost to the sum when the node is cut off.
+	// unacknowledgedFraction is the part of a tenant's burst and of a second's rate that one node
+	// may admit before its coordinator has acknowledged it, usually a tenth of a second later. The
+	// coordinator does not see that much if the node is cut off.
 	unacknowledgedFraction = 0.2
-	// refusedDrawCount is the number of refused requests that are remembered, so that those that
+	// refusedDrawCount is the number of refused requests that are remembered, so that requests that
 	// are repeated at once count once.
 	refusedDrawCount = 32
-	// isolatedSavingSpan is the span of its entitlement that a node out of touch may save up while the
-	// tenant is at its limit, since requests come unevenly.
+	// isolatedSavingSpan is the span of its entitlement that an isolated node may save up while the
+	// tenant is at its limit, since requests arrive unevenly.
 	isolatedSavingSpan = 1500 * time.Millisecond
-	// maxIsolatedWait bounds the wait that is told by a node out of touch, which lasts for
-	// seconds mostly, while other nodes are in touch.
+	// maxIsolatedWait bounds the retry delay that an isolated node returns: isolation mostly lasts
+	// for seconds, and other nodes are in contact meanwhile.
 	maxIsolatedWait = 2 * time.Second
-	// startupWait is the wait that is told by a process that has just started and is out of touch. Callers come
-	// back once or twice: after a loss of all power the coordinators have started by then.
+	// startupWait is the retry delay returned by a process that has just started and is isolated.
+	// Callers retry once or twice; after a power loss of the whole deployment the coordinators have
+	// started by then.
 	startupWait = time.Second
 )
 
-// maxShareWait is for how long a node that was alone waits for a share at most: by then the coordinators have heard of
-// all nodes that returned with it.
+// maxShareWait is how long a node that was isolated waits for a share: by then the coordinators
+// have received reports of all nodes that reconnected with it.
 const maxShareWait = 2 * time.Second
 
-// Standing is how a node stands to a tenant's coordinators.
+// Mode states which coordinator of a tenant a node decides with.
 type Mode int
 
-// Standings, from a node's start on.
+// Modes of a node for one tenant, from the node's start on.
 const (
-	// Alone: no coordinator answers, or none was reached yet.
+	// Isolated means that no coordinator answers, or that none was reached yet.
 	Isolated Mode = iota
-	// WithStandIn: the first coordinator does not answer, another one does.
+	// WithStandIn means that the first coordinator does not answer, but another one does.
 	WithStandIn
-	// WithFirst: the first coordinator answers.
+	// WithFirst means that the first coordinator answers.
 	WithFirst
 )
 
-// String returns the word for logs.
+// String returns the name used in logs and messages.
 func (s Mode) String() string {
 	return [...]string{Isolated: "alone", WithStandIn: "stand-in", WithFirst: "first"}[s]
 }
 
-// Decision is what a node decided about a request.
+// Decision is a node's decision about one request.
 type Decision struct {
 	IsAdmitted bool
-	// Refusal is why the request was refused.
+	// Refusal is the reason if the request was refused.
 	Refusal Refusal
-	// RetryAfter is when the tenant's next request is expected to be within its limit.
+	// RetryAfter is the time until the tenant's next request is expected to be within its limit.
 	RetryAfter time.Duration
-	// Share is the admitted share by which it was decided, and Age the time since it was
-	// told; zero if it was never told.
+	// Share is the share in force at the decision, ShareAge its age; zero if none was received yet.
 	Share    float64
 	ShareAge time.Duration
 	Mode     Mode
 }
 
-// Meter is a node's view of one tenant.
+// Meter is a node's state of one tenant. It is not safe for concurrent use.
 type Meter struct {
 	tenant string
 	limit  route.RateLimit
@@ -80,57 +81,64 @@
 
 	requests uint64
 	admitted int64
-	// acknowledgedRequests and acknowledgedAdmitted are what a coordinator has counted.
+	// acknowledgedRequests and acknowledgedAdmitted are the counts that a coordinator has
+	// acknowledged.
 	acknowledgedRequests uint64
 	acknowledgedAdmitted int64
-	// owned is the part of what is not acknowledged that the node admitted by its entitlement.
+	// admittedByEntitlement is the part of the unacknowledged requests that the node admitted by
+	// its entitlement.
 	admittedByEntitlement int64
-	// isolatedRequests is the part of what is not acknowledged that was asked while the node was out of
-	// touch: it says nothing of what is asked now.
+	// isolatedRequests is the part of the unacknowledged requests that arrived while the node was
+	// isolated. It says nothing about the current demand.
 	isolatedRequests uint64
-	// recent is the rate that coordinators acknowledged: what was admitted in the moment of a
-	// failure entitles to nothing.
+	// acknowledgedRate is the rate of admitted requests that coordinators acknowledged. Requests
+	// admitted at the time of a failure do not raise the entitlement.
 	acknowledgedRate movingRate
-	// countingSince is since when the node counts.
+	// countingSince is when the node started to count the tenant.
 	countingSince time.Time
 
-	// share is the part of the requests to admit as it was told last, at verdictAt; 1 if it never was.
+	// share is the part of the requests to admit, as received last at verdictAt; 1 if none was
+	// received.
 	share     float64
 	verdictAt time.Time
-	// limitedAt is when a share below 1 was told last: the tenant was at its limit.
+	// limitedAt is when a share below 1 was last received: the tenant was at its limit then.
 	limitedAt time.Time
 	wait      time.Duration
 	extraRate float64
-	// isInDoubt says that a coordinator, of this tenant or of another one, has fallen silent and
-	// none has answered since.
+	// isInDoubt is set when a coordinator, of this tenant or of another one, has stopped answering
+	// and none has answered since.
 	isInDoubt bool
-	// awaitsShare says that a coordinator answers again since reconnectedAt and has not told a share that holds: the
-	// tenant may have come to its limit meanwhile, and a stand-in must hear first of all nodes that return at once.
+	// awaitsShare is set when a coordinator answers again, since reconnectedAt, and has not sent a
+	// reliable share yet: the tenant may have reached its limit meanwhile, and a stand-in must
+	// first receive reports of all nodes that reconnect at the same time.
 	awaitsShare   bool
 	reconnectedAt time.Time
-	// hasExtraRate says that the first coordinator has told spare.
+	// hasExtraRate is set once the first coordinator has sent extraRate.
 	hasExtraRate bool
-	// entitled is the rate while out of touch with the first coordinator.
+	// frozenEntitlement is the entitlement at the time when contact with the first coordinator was
+	// lost.
 	frozenEntitlement float64
-	// hasHadContact says that the node has been in touch with coordinators since its start, so
-	// that other nodes cannot all have begun with it.
+	// hasHadContact is set if the node has been in contact with coordinators since its start. Not
+	// all nodes can then have started together with it.
 	hasHadContact bool
-	// startupUntil is until when the window may hold what an earlier process of the node admitted.
+	// startupUntil is until when the window may contain requests that an earlier process of the
+	// node admitted.
 	startupUntil time.Time
-	// alone is the bucket while there is no coordinator or its word is too old.
+	// ownBucket is used while no coordinator answers, or while its share is too old or awaited.
 	ownBucket tokenBucket
-	// lately are the requests that were admitted in the last window.
+	// admittedInWindow counts the requests that were admitted in the last window.
 	admittedInWindow windowCount
-	// place is where the node stands among all, 0 to below 1: which part of a request it
-	// needs so that it may admit a whole one.
-	offset float64
-	// refused are the lots of the last refused requests, a ring; it is made at the first.
+	// roundingOffset decides which nodes may admit a whole request where each one may admit only a
+	// part of it; 0 to below 1.
+	roundingOffset float64
+	// refusedDraws is a ring of the draws of the last refused requests, allocated with the first
+	// one.
 	refusedDraws    []uint64
 	nextRefusedDraw int
 }
 
-// NewMeter returns the view of a node that has heard nothing of a tenant; hasHadContact says that
-// it has heard of others since its start.
+// NewMeter returns the meter of a node that has received no verdict about a tenant. hasHadContact
+// tells whether any coordinator has answered the node since its start.
 func NewMeter(tenant string, limit route.RateLimit, bounds Bounds, nodes int, hasHadContact bool, now time.Time) *Meter {
 	meter := &Meter{
 		tenant: tenant, limit: limit, bounds: bounds, nodes: nodes, hasHadContact: hasHadContact,
@@ -146,20 +154,20 @@
 // SetNodes takes the number of nodes of the deployment.
 func (m *Meter) SetNodes(nodes int) { m.nodes = nodes }
 
-// SetRoundingOffset takes where the node stands among all nodes for this tenant, 0 to below 1. The places
-// of all nodes are spread evenly, so that together they admit no more whole requests than there
-// are parts of one.
-func (m *Meter) SetRoundingOffset(offset float64) { m.offset = offset }
+// SetRoundingOffset sets the offset, from 0 to below 1, that is added before the number of allowed
+// requests is rounded down. The offsets of all nodes are spread evenly, so that together they admit
+// no more whole requests than their fractions add up to.
+func (m *Meter) SetRoundingOffset(offset float64) { m.roundingOffset = offset }
 
-// SetProcessStart takes when the node's process began. What an earlier one admitted in the window before is
-// not known, and it may have been all that the node may admit in a window: until that has passed
-// the node admits nothing while it is out of touch.
+// SetProcessStart sets when the node's process started. What an earlier process admitted in the
+// window before is unknown and may be all that the node may admit in a window. The node therefore
+// admits nothing while isolated until a window has passed.
 func (m *Meter) SetProcessStart(startedAt time.Time) { m.startupUntil = startedAt.Add(m.bounds.Window) }
 
-// SetInDoubt takes whether the node may be cut off and has not found out yet.
+// SetInDoubt sets whether the node may be cut off without having detected it yet.
 func (m *Meter) SetInDoubt(isInDoubt bool) { m.isInDoubt = isInDoubt }
 
-// SetMode takes which coordinator answers from now on.
+// SetMode sets which coordinator answers from now on.
 func (m *Meter) SetMode(mode Mode, now time.Time) {
 	if mode == m.mode {
 		return
@@ -176,36 +184,37 @@
 	}
 }
 
-// enterIsolation begins to decide without a coordinator.
+// enterIsolation starts to decide without a coordinator.
 func (m *Meter) enterIsolation(now time.Time) {
 	rate := m.entitlement(now)
 	m.ownBucket = tokenBucket{rate: rate, cap: m.isolatedCapacity(rate, now), at: now}
 	switch {
 	case m.verdictAt.IsZero() && !m.hasHadContact:
-		// All nodes may have started together, after one burst was spent already.
+		// All nodes may have started together, after one burst was already spent.
 		m.ownBucket.level = min(1, (m.limit.Burst+m.bounds.tolerance(m.limit)/2)/float64(max(1, m.nodes)))
 	case m.isWithinLimit(now):
-		// A node that has counted for a part of a window has that part of what it may save up.
+		// A node that has counted for a part of a window may have saved up that part of its
+		// capacity.
 		age := now.Sub(m.countingSince).Seconds() / m.bounds.Window.Seconds()
 		m.ownBucket.level = min(m.ownBucket.cap, 1+m.ownBucket.cap*age)
 	}
-	// What no coordinator has counted counts here.
+	// Requests that no coordinator has counted are charged to the node's own bucket.
 	unacknowledged := m.admitted - m.acknowledgedAdmitted - m.admittedByEntitlement
 	m.admittedByEntitlement += unacknowledged
 	m.isolatedRequests = m.requests - m.acknowledgedRequests
 	m.ownBucket.level = max(m.ownBucket.level-float64(unacknowledged), -rate*m.bounds.Window.Seconds())
 }
 
-// recentRate returns the rate that was admitted lately. A node that counts for a few seconds only
-// has seen a part of what it would count by then; for less than recentRateSpan it is not made up for
-// fully, since chance weighs too much.
+// recentRate returns the rate that was admitted recently. A node that has counted for a few seconds
+// only has seen only a part of its traffic, which is scaled up. For less than recentRateSpan it is
+// not scaled up fully, since chance would have too much weight.
 func (m *Meter) recentRate(now time.Time) float64 {
 	age := max(now.Sub(m.countingSince), recentRateSpan)
 	return m.acknowledgedRate.read(now) / (1 - math.Exp(-age.Seconds()/recentRateSpan.Seconds()))
 }
 
-// isolatedCapacity returns how many requests the node may save up at a rate while it is out of touch. Within
-// the limit it is what a window allows: nobody has spent the burst.
+// isolatedCapacity returns how many requests the node may save up at a rate while isolated. Within
+// the limit it is the allowance of a window, since nobody has spent the burst.
 func (m *Meter) isolatedCapacity(rate float64, now time.Time) float64 {
 	if !m.isWithinLimit(now) {
 		return max(1, rate*isolatedSavingSpan.Seconds())
@@ -213,15 +222,16 @@
 	return max(1, m.isolatedWindowAllowance(rate, now))
 }
 
-// isWithinLimit reports whether the tenant has been within its limit for a window: before that
-// nodes may have spent the burst and the room in the same window. A coordinator that has just
-// taken over may say so too early, since few nodes have reported to it.
+// isWithinLimit reports whether the tenant has been within its limit for a whole window. Before
+// that, nodes may have spent the burst and the tolerance in the same window. A coordinator that has
+// just taken over may report the tenant as within its limit too early, since few nodes have
+// reported to it.
 func (m *Meter) isWithinLimit(now time.Time) bool {
 	return m.share >= 1 && (m.limitedAt.IsZero() || now.Sub(m.limitedAt) > m.bounds.Window)
 }
 
-// isolatedWindowAllowance returns how many requests the node may admit in a window while it is out of touch. All
-// nodes together stay within the bound then, also if each of them is alone.
+// isolatedWindowAllowance returns how many requests the node may admit in a window while isolated.
+// All nodes together then stay within the bound, even if each of them is isolated.
 func (m *Meter) isolatedWindowAllowance(rate float64, now time.Time) float64 {
 	allowed := rate * m.bounds.Window.Seconds()
 	if m.isWithinLimit(now) {
@@ -230,9 +240,10 @@
 	return allowed
 }
 
-// maxIsolatedRequests returns the whole requests of isolatedWindowAllowance, by the node's place.
+// maxIsolatedRequests returns isolatedWindowAllowance as a number of whole requests, rounded with
+// the node's rounding offset.
 func (m *Meter) maxIsolatedRequests(rate float64, now time.Time) int {
-	return int(m.isolatedWindowAllowance(rate, now) + m.offset)
+	return int(m.isolatedWindowAllowance(rate, now) + m.roundingOffset)
 }
 
 // hasIsolatedAllowance reports whether one more request is within isolatedWindowAllowance.
@@ -240,7 +251,8 @@
 	return m.admittedInWindow.read(now)+1 <= float64(m.maxIsolatedRequests(rate, now))
 }
 
-// entitlement returns the rate that the node may admit without the first coordinator.
+// entitlement returns the rate, in requests a second, that the node may admit without the first
+// coordinator.
 func (m *Meter) entitlement(now time.Time) float64 {
 	if !m.hasExtraRate {
 		return m.limit.PerSecond / float64(max(1, m.nodes))
@@ -251,7 +263,7 @@
 	return min(m.recentRate(now)+m.extraRate, m.limit.PerSecond)
 }
 
-// Admit decides about one request.
+// Admit decides about one request and counts it.
 func (m *Meter) Admit(requestID string, now time.Time) Decision {
 	drawn := drawFor(m.tenant, requestID, now)
 	decision := Decision{Share: m.share, Mode: m.mode}
@@ -290,13 +302,14 @@
 	return decision
 }
 
-// isAwaitingShare reports whether the node has returned a moment ago and has not been told a share that holds. It ends
-// by itself: of a tenant that is asked for seldom nothing is told until its next request.
+// isAwaitingShare reports whether the node has reconnected a moment ago and has not received a
+// reliable share yet. It ends by itself, since nothing is sent about a tenant with few requests
+// until its next request.
 func (m *Meter) isAwaitingShare(now time.Time) bool {
 	return m.awaitsShare && now.Sub(m.reconnectedAt) < maxShareWait
 }
 
-// refusalByEntitlement returns why admitByEntitlement refuses.
+// refusalByEntitlement returns why admitByEntitlement refuses a request.
 func (m *Meter) refusalByEntitlement(now time.Time) Refusal {
 	switch {
 	case now.Before(m.startupUntil):
@@ -307,7 +320,8 @@
 	return ShareTooOld
 }
 
-// admitByEntitlement takes a token of the node's own bucket, if its window has room.
+// admitByEntitlement takes a token of the node's own bucket if the window allows it. Otherwise it
+// returns the time until the next attempt.
 func (m *Meter) admitByEntitlement(now time.Time) (bool, time.Duration) {
 	if now.Before(m.startupUntil) {
 		return false, min(startupWait, m.startupUntil.Sub(now))
@@ -331,8 +345,8 @@
 	return false, wait
 }
 
-// isNewRefusal reports whether a request was not refused a moment ago, and notes it: one that
-// is repeated at once is no further demand, and must not lower the share of others.
+// isNewRefusal reports whether a request was not among the last refused ones, and records it. A
+// request that is repeated at once is not additional demand and must not lower the share of others.
 func (m *Meter) isNewRefusal(hash uint64) bool {
 	if slices.Contains(m.refusedDraws, hash) {
 		return false
@@ -352,7 +366,7 @@
 	m.admittedInWindow.add(-1, now)
 }
 
-// Report returns what is to be told to a coordinator, and whether there is anything new.
+// Report returns the usage to report to a coordinator and whether any of it is new.
 func (m *Meter) Report(incarnation uint64, now time.Time) (Usage, bool) {
 	usage := Usage{
 		Incarnation: incarnation, Requests: m.requests, Admitted: m.admitted,
@@ -360,28 +374,31 @@
 		RecentRate: m.recentRate(now), EntitledRate: m.entitlement(now), Share: m.share,
 	}
 	if now.Before(m.startupUntil) {
-		// Coordinators follow each other while processes start: each counts what is new to it.
+		// Coordinators may replace each other while processes start: each one counts what is new to
+		// it.
 		usage.NewAdmitted = m.admitted
 	}
 	return usage, m.requests != m.acknowledgedRequests || m.admitted != m.acknowledgedAdmitted
 }
 
-// Acknowledge takes the answer to a report.
+// Acknowledge applies the answer to a report.
 func (m *Meter) Acknowledge(usage Usage, verdict Verdict, now time.Time) {
 	if usage.Requests >= m.acknowledgedRequests {
 		m.acknowledgedRate.add(float64(max(0, usage.Admitted-m.acknowledgedAdmitted)), now)
-		// Of a process that has just started NewAdmitted may hold what was acknowledged before.
+		// For a process that has just started, NewAdmitted may contain requests that were
+		// acknowledged before.
 		m.admittedByEntitlement -= min(m.admittedByEntitlement, max(0, usage.Admitted-m.acknowledgedAdmitted-usage.NewAdmitted))
 		m.isolatedRequests -= min(m.isolatedRequests, usage.Requests-m.acknowledgedRequests-usage.NewRequests)
 		m.acknowledgedRequests, m.acknowledgedAdmitted = usage.Requests, usage.Admitted
-		// The node may have gone out of touch since it reported, and counted all of this as its own.
+		// The node may have become isolated since it reported and counted all of this as admitted
+		// by its entitlement.
 		m.admittedByEntitlement = min(m.admittedByEntitlement, max(0, m.admitted-m.acknowledgedAdmitted))
 		m.isolatedRequests = min(m.isolatedRequests, m.requests-m.acknowledgedRequests)
 	}
 	m.ApplyVerdict(verdict, now)
 }
 
-// Tell takes what the coordinator says.
+// ApplyVerdict applies a verdict of the coordinator.
 func (m *Meter) ApplyVerdict(verdict Verdict, now time.Time) {
 	m.share, m.wait, m.verdictAt = verdict.Share, verdict.Wait, now
 	if verdict.IsFirst || now.Sub(m.reconnectedAt) >= inheritedShareSpan {
@@ -395,8 +412,8 @@
 	}
 }
 
-// Forget treats what coordinators told as out of date, as after a suspension of the machine: the
-// node is alone until one answers, and has no saved tokens.
+// InvalidateVerdicts treats all verdicts as outdated, as after a suspension of the machine: the
+// node is isolated until a coordinator answers, and has no saved tokens.
 func (m *Meter) InvalidateVerdicts(now time.Time) {
 	m.SetMode(Isolated, now)
 	m.ownBucket.level = min(m.ownBucket.level, 0)
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -124,7 +124,7 @@
 	for tenant, entry := range l.accounts {
 		if len(verdicts) < maxHighUsageVerdicts && l.isFirst(tenant) && entry.account.isHighUsage(now) {
 			entry.isFirst = true
-			verdicts[tenant] = entry.account.Verdict(l.view(entry), now)
+			verdicts[tenant] = entry.account.Verdict(l.deploymentView(entry), now)
 		}
 	}
 	return verdicts
@@ -161,7 +161,7 @@
 			l.accounts[tenant] = entry
 		}
 		entry.isFirst = isFirst
-		view := l.view(entry)
+		view := l.deploymentView(entry)
 		entry.account.SetLimit(limit)
 		entry.account.AddReport(from, usage, view, now)
 		verdicts[tenant] = entry.account.Verdict(view, now)
@@ -181,7 +181,7 @@
 }
 
 // contact returns what this node knows of the others. The caller holds the mutex.
-func (l *Limiter) view(entry *tenantAccount) DeploymentView {
+func (l *Limiter) deploymentView(entry *tenantAccount) DeploymentView {
 	return DeploymentView{IsFirst: entry.isFirst, IsSettling: l.isSettling(time.Now()), Nodes: l.nodeCount() + len(l.departed), Silent: l.silent}
 }
 
--- a/pkg/quota/startup.go
+++ b/pkg/quota/startup.go
@@ -2,30 +2,33 @@
 
 import "time"
 
-// startupWindow is what a tenant may use in the first window after its coordinator's process started, granted by
-// whatever coordinator. While processes start, as after a loss of all power, one coordinator may follow the other within
-// moments: accounts that counted only what they granted themselves would grant the same again.
+// startupWindow is what a tenant may use in the first window after its coordinator's process
+// started, no matter which coordinator granted it. While processes start, as after a power loss of
+// the whole deployment, coordinators may replace each other within moments. Accounts that counted
+// only their own grants would grant the same tokens again.
 type startupWindow struct {
 	startedAt time.Time
-	// level is what is left at a moment. It has no greatest value, since the window bounds it.
+	// level is the number of tokens left at the time at. It has no upper bound, since the window
+	// bounds it.
 	level float64
 	at    time.Time
 }
 
-// SetProcessStart takes when the process of the coordinator started, if that was within a window.
+// SetProcessStart sets when the process of the coordinator started. Callers set it only within the
+// first window after that.
 func (a *Account) SetProcessStart(startedAt time.Time) {
 	a.startup = startupWindow{startedAt: startedAt, at: startedAt}
 }
 
-// isInStartup reports whether the window after the coordinator's start has not passed.
+// isInStartup reports whether the first window after the coordinator's start is still running.
 func (a *Account) isInStartup() bool { return !a.startup.startedAt.IsZero() }
 
-// startupRate returns the rate that makes the limit of a window within it.
+// startupRate returns the rate that adds up to the limit of a window within the window.
 func (a *Account) startupRate() float64 {
 	return a.limit.PerSecond + (a.limit.Burst+targetTolerance*a.bounds.tolerance(a.limit))/a.bounds.Window.Seconds()
 }
 
-// settleStartup brings the startupWindow up to a moment. When it has passed, the bucket keeps no more of its
+// settleStartup brings the startupWindow up to the given time. At its end, the bucket keeps no more
 // burst than the window has left.
 func (a *Account) settleStartup(now time.Time) {
 	if !a.isInStartup() {
@@ -41,9 +44,10 @@
 	}
 }
 
-// expect takes what a node was asked under earlier coordinators for its rate from now on. Otherwise a new account
-// would admit all requests until it has heard of enough of them itself. Only a process that has just started reports more
-// as newly admitted than as newly asked, and counts from about the same moment as this one.
+// seedRequestRate derives the tenant's request rate from the requests that a node received under
+// earlier coordinators. Otherwise a new account would admit all requests until enough of them have
+// been reported to it. Only a process that has just started reports a higher NewAdmitted than
+// NewRequests, and it counts from about the same time as this coordinator.
 func (a *Account) seedRequestRate(usage Usage, now time.Time) {
 	if usage.NewAdmitted <= int64(usage.NewRequests) {
 		return
@@ -52,7 +56,8 @@
 	a.requestRate.add(float64(usage.Requests-usage.NewRequests)*requestRateSpan.Seconds()/age.Seconds(), now)
 }
 
-// spend takes requests that were admitted, at most granted of them by this coordinator.
+// spend takes tokens for admitted requests, of which this coordinator granted at most the given
+// number.
 func (a *Account) spend(admitted, granted float64) {
 	granted = min(admitted, granted)
 	a.spendBurst(admitted - granted)
@@ -60,7 +65,8 @@
 	a.startup.level -= admitted
 }
 
-// granted returns the rate by which what is left is used up, or made up for, within the horizon.
+// grantedRate returns the rate that spends the remaining tokens, or pays back the debt, within
+// bucketHorizon.
 func (a *Account) grantedRate() float64 {
 	perSecond := a.bucket.rate + a.bucket.level/bucketHorizon.Seconds()
 	if !a.isInStartup() {
--- a/pkg/quota/tally.go
+++ b/pkg/quota/tally.go
@@ -1,13 +1,13 @@
 package quota
 
-// tally counts what a node decided about the requests of one tenant since its start. It outlives the
-// tenant's meter, so that an operator can ask for it after the tenant has become idle.
+// tally counts what a node decided about the requests of one tenant since its start. It outlives
+// the tenant's meter, so that operators can read it after the tenant has become idle.
 type tally struct {
 	admitted int64
 	refused  [refusalCount]uint64
 }
 
-// count takes one decision.
+// count records one decision.
 func (t *tally) count(decision Decision) {
 	if decision.IsAdmitted {
 		t.admitted++
@@ -16,7 +16,8 @@
 	t.refused[decision.Refusal]++
 }
 
-// tallyOf returns the tally of a tenant, a new one if there is none. The caller holds the mutex.
+// tallyOf returns the tally of a tenant and creates it if there is none. The caller holds the
+// mutex.
 func (l *Limiter) tallyOf(tenant string) *tally {
 	found := l.tallies[tenant]
 	if found == nil {
@@ -26,8 +27,8 @@
 	return found
 }
 
-// forgetTallies forgets the counts of tenants that are in no configuration any more. The caller holds
-// the mutex.
+// forgetTallies deletes the tallies of tenants that are no longer in the configuration. The caller
+// holds the mutex.
 func (l *Limiter) forgetTallies() {
 	for tenant := range l.tallies {
 		if l.meters[tenant] != nil {
--- a/pkg/quota/verdicts.go
+++ b/pkg/quota/verdicts.go
@@ -78,7 +78,7 @@
 		}
 		entry.isFirst = l.isFirst(tenant)
 		entry.account.SetLimit(limit)
-		verdict := entry.account.Verdict(l.view(entry), now)
+		verdict := entry.account.Verdict(l.deploymentView(entry), now)
 		l.trackLimit(tenant, entry, verdict, now)
 		verdicts[tenant] = verdict
 		isUrgent = isUrgent || verdict.Share < urgentShareRatio*entry.sentShare
