--- a/pkg/directory/changes.go
+++ b/pkg/directory/changes.go
@@ -60,7 +60,7 @@
 func (p *Peers) decode(item *directorypb.Item) Entry {
 	entry := p.follower.source.Decode(item.Key, item.Value, item.Revision)
 	if item.Gone {
-		return entry.gone(item.Revision)
+		return entry.asGone(item.Revision)
 	}
 	return entry
 }
--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -49,7 +49,7 @@
 }
 
 // end returns the state of the entry's key once it is gone at a revision.
-func (e Entry) gone(revision uint64) Entry {
+func (e Entry) asGone(revision uint64) Entry {
 	return Entry{Key: e.Key, Era: e.Era, Revision: revision, Gone: true, ServerID: e.ServerID, EvacuatedZone: e.EvacuatedZone, Note: e.Note}
 }
 
--- a/pkg/directory/retained.go
+++ b/pkg/directory/era_retained.go
@@ -313,7 +313,7 @@
 		case exists:
 			changed = append(changed, current)
 		case !state.entry.Gone:
-			gone := state.entry.gone(r.completeUpTo)
+			gone := state.entry.asGone(r.completeUpTo)
 			gone.Era = r.era
 			changed = append(changed, gone)
 		}
--- a/pkg/directory/era_test.go
+++ b/pkg/directory/era_test.go
@@ -41,7 +41,7 @@
 		tested := newReplica(&observer{state: make(map[string]uint64)})
 		tested.apply(Batch{Era: 1, Revision: 50, Entries: []Entry{entry("same", 10, "a"), entry("ended", 11, "a"), entry("changed", 12, "a")}}, wholeState, now)
 		tested.apply(Batch{Era: 1, Revision: 90, Entries: []Entry{
-			entry("ended", 60, "").gone(60), entry("changed", 61, "b"), entry("added", 62, "a"), entry("passing", 63, "a"), entry("passing", 64, "").gone(64),
+			entry("ended", 60, "").asGone(60), entry("changed", 61, "b"), entry("added", 62, "a"), entry("passing", 63, "a"), entry("passing", 64, "").asGone(64),
 		}}, allChanges, now)
 		return tested
 	}
@@ -59,7 +59,7 @@
 	tested = before()
 	tested.apply(copied, wholeState, now)
 	tested.apply(Batch{Era: 2, Revision: 54, Entries: []Entry{
-		entry("changed", 51, "b"), entry("added", 52, "c"), entry("ended", 53, "").gone(53), entry("same", 54, "").gone(54),
+		entry("changed", 51, "b"), entry("added", 52, "c"), entry("ended", 53, "").asGone(53), entry("same", 54, "").asGone(54),
 	}}, allChanges, now)
 	g.Expect(revisionsInForce(tested)).To(Equal(map[string]uint64{"changed": 51, "added": 52}), "each was written again")
 	g.Expect(tested.retainedKeys()).To(BeEmpty())
--- a/pkg/directory/replica.go
+++ b/pkg/directory/replica.go
@@ -170,7 +170,7 @@
 	var deletions []Entry
 	for _, entry := range missing {
 		if entry.Revision > after && entry.Revision <= batch.Revision {
-			deletions = append(deletions, entry.gone(batch.Revision))
+			deletions = append(deletions, entry.asGone(batch.Revision))
 		}
 	}
 	return deletions
--- a/pkg/directory/server_start_test.go
+++ b/pkg/directory/server_start_test.go
@@ -41,8 +41,8 @@
 	}
 	g.Expect(listener.starts).To(Equal([]fleet.Start{100, 50}), "the later start tells an earlier time, since its clock was set back")
 
-	tested.apply(Batch{Revision: 22, Entries: []Entry{entry(21, 0).gone(21), entry(22, 200)}}, allChanges, now)
-	tested.apply(Batch{Revision: 22, Entries: []Entry{entry(21, 0).gone(21)}}, allChanges, now)
+	tested.apply(Batch{Revision: 22, Entries: []Entry{entry(21, 0).asGone(21), entry(22, 200)}}, allChanges, now)
+	tested.apply(Batch{Revision: 22, Entries: []Entry{entry(21, 0).asGone(21)}}, allChanges, now)
 	g.Expect(listener.starts).To(Equal([]fleet.Start{100, 50, 200}), "a key that was deleted is written again")
 	g.Expect(tested.entries["servers/i"].Server.Start).To(Equal(fleet.Start(200)))
 }
