--- a/pkg/directory/changes.go
+++ b/pkg/directory/changes.go
@@ -11,10 +11,9 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// learnTimes takes the moments in an answer to a question that was asked at a
-// moment, and returns when the other node knew all that the store held; zero if
-// it does not tell. A node that learns from others what has gone must know, like
-// them, whether the store has been away.
+// learnTimes records the outage that a reply to a request sent at askedAt reports, and returns when
+// the other node was known to be up to date with the store; zero if the reply does not say. A node
+// that learns of deletions from others needs to know, as they do, whether the store was lost.
 func (p *Peers) learnTimes(reply *directorypb.ChangesReply, askedAt time.Time) time.Time {
 	if reply.RegainedAgeMs != nil && p.follower.Role() == PeerPoller {
 		p.follower.learnOutage(outageFrom(reply, askedAt))
@@ -25,8 +24,8 @@
 	return timeFromAge(askedAt, reply.KnownAgeMs)
 }
 
-// outageFrom returns the outage that an answer to a question tells of; one that began too
-// long ago to be told began longer ago than anything that this node remembers.
+// outageFrom returns the outage that a reply reports. One that began too long ago to be reported
+// began before anything that this node remembers.
 func outageFrom(reply *directorypb.ChangesReply, askedAt time.Time) outage {
 	reported := outage{from: askedAt.Add(-maxReportedAge), to: timeFromAge(askedAt, reply.RegainedAgeMs)}
 	if reply.LostAgeMs != nil {
@@ -35,12 +34,12 @@
 	return reported
 }
 
-// timeFromAge returns the moment that an answer to a question tells as an age.
+// timeFromAge returns the time that a reply reports as an age.
 func timeFromAge(askedAt time.Time, ageMillis *uint32) time.Time {
 	return askedAt.Add(-time.Duration(*ageMillis) * time.Millisecond)
 }
 
-// coverageOf returns what the last answer tells.
+// coverageOf returns what the last reply covers.
 func (p *Peers) coverageOf(reply *directorypb.ChangesReply) coverage {
 	switch {
 	case p.incomplete:
@@ -51,8 +50,8 @@
 	return allChanges
 }
 
-// isNewerOnly reports whether an answer cannot tell which keys have gone: it is
-// marked as full, but has the revision of the question.
+// isNewerOnly reports whether a reply cannot tell which keys were deleted: it is marked as full,
+// but has the revision of the request.
 func isNewerOnly(reply *directorypb.ChangesReply, after uint64) bool {
 	return reply.Full && after > 0 && reply.Revision == after
 }
@@ -65,13 +64,13 @@
 	return entry
 }
 
-// answer tells another node what it does not know.
+// handleChanges answers another node's request with the changes that it lacks.
 func (p *Peers) handleChanges(_ context.Context, from target.NodeID, body []byte) (proto.Message, error) {
 	request := &directorypb.ChangesRequest{}
 	if err := request.UnmarshalVT(body); err != nil {
-		return nil, errors.Wrap(err, "decode question for changes")
+		return nil, errors.Wrap(err, "decode changes request")
 	}
-	// Read before the replica, which may know more by then.
+	// This is read before the replica, which may be newer by then.
 	confirmedAt := p.follower.ConfirmedAt()
 	batch, covered, continues := p.changesFor(request)
 	isAhead := request.Era > batch.Era || request.Era == batch.Era && request.After > batch.Revision
@@ -98,8 +97,8 @@
 	return reply, nil
 }
 
-// changesFor returns what another node does not know, what that covers, and whether it is only what
-// differs from the era before.
+// changesFor returns the changes that another node lacks, what they cover, and whether they are
+// only the differences from the previous era.
 func (p *Peers) changesFor(request *directorypb.ChangesRequest) (batch Batch, covered coverage, continues bool) {
 	position := p.follower.replica.position()
 	after := request.After
@@ -116,7 +115,7 @@
 	return batch, covered, false
 }
 
-// addRetained adds the states from before the era that the other node does not hold.
+// addRetained adds the retained states of earlier eras that the other node does not hold.
 func (p *Peers) addRetained(request *directorypb.ChangesRequest, reply *directorypb.ChangesReply) {
 	reply.EraAgeMs = ageMillis(p.follower.replica.eraStartedAt())
 	if request.EarlierDigest == p.follower.replica.retainedDigest() && request.Era <= reply.Era {
@@ -129,8 +128,9 @@
 	}
 }
 
-// applyRetained takes the states from before the era in an answer to a question of a moment. A node
-// that has been running knows what was in force, so that one which has just started need not wait.
+// applyRetained applies the retained states in a reply to a request sent at askedAt. A reply from a
+// node that was already running ends the wait of a node that has just started, since that node
+// knows what was in force.
 func (p *Peers) applyRetained(reply *directorypb.ChangesReply, askedAt time.Time) {
 	states := make([]retainedState, 0, len(reply.Earlier))
 	for _, item := range reply.Earlier {
@@ -148,8 +148,8 @@
 	}
 }
 
-// ageMillis returns how long ago a moment was, in milliseconds; nil if it is zero
-// or too long ago to matter.
+// ageMillis returns the age of a time in milliseconds; nil if the time is zero or too old to be
+// reported.
 func ageMillis(at time.Time) *uint32 {
 	age := time.Since(at)
 	if at.IsZero() || age > maxReportedAge {
--- a/pkg/directory/contact.go
+++ b/pkg/directory/contact.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 )
 
-// contact is whether the store answers.
+// contact is the state of the connection to the store.
 type contact int
 
 const (
@@ -15,8 +15,8 @@
 	contactEstablished
 )
 
-// noteRegainedByPeers notes that other nodes have read the store since it did not
-// answer this one.
+// noteRegainedByPeers records that other nodes have read the store since its last failure at this
+// node.
 func (f *Follower) noteRegainedByPeers() {
 	f.mutex.Lock()
 	isLost := f.contact == contactLost
@@ -30,9 +30,9 @@
 	}
 }
 
-// AbsenceUncertainUntil returns until when the absence of a key proves nothing, because
-// the store does not answer or has begun to answer only lately: it may have
-// lost keys that their owners are about to write again.
+// AbsenceUncertainUntil returns until when the absence of a key does not prove that it was deleted:
+// while the store does not answer, and for the settle span after it answers again, when owners may
+// be about to write lost keys again. It is zero if the store has not been lost.
 func (f *Follower) AbsenceUncertainUntil(settle time.Duration, now time.Time) time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -52,23 +52,23 @@
 	return f.contact == contactEstablished
 }
 
-// isStoreUntried reports whether the store has neither answered nor failed yet: a
-// starting node reads everything there rather than from a peer.
+// isStoreUntried reports whether no call to the store has succeeded or failed yet. A starting node
+// loads everything from the store rather than from a peer.
 func (f *Follower) isStoreUntried() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.contact == contactUnknown
 }
 
-// IsStoreLost reports whether the store did not answer the last call.
+// IsStoreLost reports whether the last call to the store failed.
 func (f *Follower) IsStoreLost() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.contact == contactLost
 }
 
-// lost takes that a call to the store failed. It tells of the first failure in a row, and of each
-// that is of another kind than the one before.
+// noteStoreLost records a failed call to the store. It reports the first failure in a row to the
+// listener, and each one whose kind differs from the one before.
 func (f *Follower) noteStoreLost(cause error) {
 	before, kind := f.setContact(contactLost), kindOfFailure(cause)
 	if before != contactLost || kind != f.failureKind {
@@ -77,18 +77,17 @@
 	f.failureKind = kind
 }
 
-// failureKind tells failures of calls to the store apart, whose texts differ each time.
+// failureKind groups failed calls to the store, whose error texts differ each time.
 type failureKind int
 
 const (
-	// failureOther is any failure that has no kind of its own, such as a lost connection.
+	// failureOther is any failure without a kind of its own, such as a lost connection.
 	failureOther failureKind = iota
 	failureLimited
-	// failureBehind means that the store answers with an older state than is known.
+	// failureBehind means that the store answered with an older state than is known.
 	failureBehind
 )
 
-// kindOfFailure returns the kind of a failed call.
 func kindOfFailure(cause error) failureKind {
 	switch {
 	case errors.Is(cause, ErrStoreBehind):
@@ -99,13 +98,15 @@
 	return failureOther
 }
 
+// noteStoreRegained records a call to the store that succeeded, and reports the end of an outage to
+// the listener.
 func (f *Follower) noteStoreRegained() {
 	if f.setContact(contactEstablished) != contactEstablished {
 		f.listener.Dependency(storeDependency, true, nil)
 	}
 }
 
-// setContact notes whether the store answers and returns what was known before.
+// setContact sets the state of the connection to the store and returns the state before.
 func (f *Follower) setContact(now contact) contact {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -128,22 +129,22 @@
 
 // Constants of what another node's loss of the store says about the store.
 const (
-	// ageTolerance is by how much two moments may be in the wrong order that other nodes
-	// tell as ages: the way of an answer between regions, and a busy process.
+	// ageTolerance bounds the error of a time that another node reports as an age, caused by the
+	// latency between regions and by busy processes.
 	ageTolerance = 200 * time.Millisecond
-	// confirmationSpacing and maxConfirmations bound what is remembered: 8 s.
+	// confirmationSpacing and maxConfirmations bound the recorded confirmations to the last 8 s.
 	confirmationSpacing = 250 * time.Millisecond
 	maxConfirmations    = 32
 )
 
-// outage is a span in which the store did not answer a node; the zero value stands for
-// none.
+// outage is a span in which the store did not answer a node; the zero value means none.
 type outage struct{ from, to time.Time }
 
-// learnOutage takes when the store did not answer a node that this one learns from. What
-// went missing then may be written again soon, for this node too; unless the store is known
-// to have answered others meanwhile, so that the other node alone was cut off from it. Each
-// healed cut would otherwise keep servers that have left in use at all nodes.
+// learnOutage records an outage that was reported by a node from which this one learns. Keys that
+// went missing then may soon be written again, so their absence is uncertain for this node too. An
+// outage during which the store is known to have answered other nodes is ignored, since only the
+// reporting node was cut off. Otherwise each healed partition would keep servers that have left in
+// use at all nodes.
 func (f *Follower) learnOutage(reported outage) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -155,15 +156,14 @@
 	}
 }
 
-// recentOutage returns when the store did not answer last; see outage.
+// lastOutage returns the latest outage of the store; zero if there was none.
 func (f *Follower) lastOutage() outage {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.latestOutage
 }
 
-// noteConfirmation remembers a moment at which the store is known to have answered. The
-// mutex is held.
+// noteConfirmation records a time at which the store is known to have answered. The mutex is held.
 func (f *Follower) noteConfirmation(at time.Time) {
 	if last := len(f.confirmations) - 1; last >= 0 && at.Before(f.confirmations[last].Add(confirmationSpacing)) {
 		return
@@ -174,7 +174,7 @@
 	f.confirmations = append(f.confirmations, at)
 }
 
-// wasConfirmedBetween reports whether the store is known to have answered between two moments. The
+// wasConfirmedBetween reports whether the store is known to have answered between two times. The
 // mutex is held.
 func (f *Follower) wasConfirmedBetween(from, to time.Time) bool {
 	for _, at := range f.confirmations {
--- a/pkg/directory/era.go
+++ b/pkg/directory/era.go
@@ -1,24 +1,26 @@
 package directory
 
-// Position is how far a store is known: a revision of an era. The era rises each time that the
-// store comes back from an older copy. It has lost what was written after the copy then, and gives
-// those revisions out again: revisions of different eras say nothing about which state is newer.
+// Position is how far the store has been read: a revision within an era. The era is a counter that
+// rises each time the store is restored from an older copy. The store then has lost what was
+// written after that copy and assigns the same revisions again, so revisions of different eras say
+// nothing about which state is newer.
 type Position struct{ Era, Revision uint64 }
 
-// EraChange tells that the store has come back from an older copy.
+// EraChange describes a restore of the store from an older copy.
 type EraChange struct {
 	From, To Position
-	// Kept are the keys whose earlier state stays in force, since the store lacks it or holds an
-	// older one, in their order.
+	// Retained are the keys, sorted, whose earlier state stays in force because the store lacks
+	// them or holds an older state.
 	Retained []string
 }
 
-// Lease is what keeps a node's entry in the store. In another era its number may be another node's.
+// Lease is the lease of a node's entry in the store. In another era the same ID may belong to
+// another node.
 type Lease struct{ ID, Era uint64 }
 
-// newestNodeEra returns the latest era in which one of the nodes' entries was written, and whether
-// there are any. A node writes its entry anew once what a restore has lost is written again, so that
-// an entry of the store's own era tells that this has come to its end.
+// newestNodeEra returns the latest era in which an entry of a node was written, and whether the
+// batch has entries of nodes. A node writes its entry again only after the data that a restore lost
+// has been written back, so an entry of the store's own era shows that the write-back is complete.
 func (b Batch) newestNodeEra() (newest uint64, exists bool) {
 	for _, entry := range b.Entries {
 		if entry.Node != nil {
@@ -28,8 +30,8 @@
 	return newest, exists
 }
 
-// IsSettled reports whether the store has back what it had lost when its era began, as far as the nodes'
-// entries in the batch tell.
+// IsSettled reports whether the data that the store lost at its latest restore has been written
+// back, as far as the nodes' entries in the batch show.
 func (b Batch) IsSettled() bool {
 	newest, hasNodes := b.newestNodeEra()
 	return !hasNodes || newest >= b.Era
--- a/pkg/directory/replica.go
+++ b/pkg/directory/replica.go
@@ -7,54 +7,54 @@
 	"time"
 )
 
-// tombstoneLifetime is for how long a node remembers which keys have gone, so
-// that it can tell another node only what has changed.
+// tombstoneLifetime is how long a node remembers deleted keys, so that it can send other nodes only
+// the changes.
 const tombstoneLifetime = 2 * time.Minute
 
-// replica is what a node knows of the store: the newest state of each key, up
-// to a revision. It is safe for concurrent use.
+// replica is a node's copy of the store: the newest state of each key, complete up to a revision.
+// It is safe for concurrent use.
 type replica struct {
 	listener Listener
 
-	// order makes changes reach the listener one at a time.
+	// notifying serializes the calls to the listener.
 	notifying sync.Mutex
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
 	entries    map[string]Entry
 	tombstones map[string]tombstone
-	// deletionsUnknownUpTo is the revision up to which it is not known which keys have
-	// gone.
+	// deletionsUnknownUpTo is the revision up to which the deleted keys are not known.
 	deletionsUnknownUpTo uint64
-	// gaps are the later spans of revisions that were passed over by reading
-	// everything, oldest first; at most maxGaps.
+	// gaps are the later spans of revisions that were skipped by reading everything, oldest first;
+	// at most maxGaps.
 	gaps []gap
-	// at is the revision up to which the replica is complete; zero for nothing. era is the era of
-	// the store that it and all others belong to; zero if the store tells none.
+	// completeUpTo is the revision up to which the replica is complete; zero if it is empty. era is
+	// the era of the store that all revisions belong to; zero if the store reports none.
 	completeUpTo uint64
 	era          uint64
-	// isLoaded says that the listener was told of the first state.
+	// isLoaded says that the initial state was reported to the listener.
 	isLoaded bool
-	// earlier are states from before the era, which go before what the store holds.
+	// retained are states of earlier eras that override what the store holds.
 	retained retainedStates
-	// succession is how the era differs from the one before, for nodes that know that one.
+	// eraDiff is how the era differs from the previous one, for nodes that know the previous one.
 	eraDiff eraDiff
 }
 
-// gap is a span of revisions of which only the outcome is known. A key that was
-// written and went between its ends was never seen; all that existed at its begin
-// and has gone left a tombstone.
+// gap is a span of revisions of which only the outcome is known. A key that was written and deleted
+// within it was never seen; a key that existed at its start and was deleted within it left a
+// tombstone.
 type gap struct{ from, to uint64 }
 
-// maxGaps bounds the gaps that are remembered: a store may forget its history again
-// and again, each time that it is read.
+// maxGaps bounds the remembered gaps: a store may lose its history again and again, after each full
+// read.
 const maxGaps = 16
 
-// tombstone remembers a key that is gone.
+// tombstone records a deleted key.
 type tombstone struct {
 	revision  uint64
 	deletedAt time.Time
-	// end is the state that the listener was told, and written the revision of the last write.
+	// notified is the state that the listener received, and lastWrite the revision of the key's
+	// last write.
 	notified  Entry
 	lastWrite uint64
 }
@@ -76,11 +76,11 @@
 	return Position{Era: r.era, Revision: r.completeUpTo}
 }
 
-// apply takes a batch and returns the number of changes that were news. covered
-// says what the batch tells: keys that the whole state does not hold are gone, and so
-// are those that were written after the replica's revision and are not among all
-// changes up to that of the batch. A batch of an earlier era tells nothing, and of a later
-// one only the whole state does.
+// apply applies a batch and returns the number of changes that were new. covered says what the
+// batch contains: with the whole state, keys that it lacks are deleted; with all changes, keys are
+// deleted that were written after the replica's revision, up to that of the batch, and that it
+// lacks. A batch of an earlier era is ignored, and so is one of a later era unless it is the whole
+// state.
 func (r *replica) apply(batch Batch, covered coverage, now time.Time) int {
 	r.notifying.Lock()
 	defer r.notifying.Unlock()
@@ -123,8 +123,7 @@
 	return changes
 }
 
-// noteGap notes that the changes between two revisions were not seen. The mutex is
-// held.
+// noteGap records that the changes between two revisions were not seen. The mutex is held.
 func (r *replica) noteGap(skipped gap) {
 	if skipped.from == 0 {
 		r.deletionsUnknownUpTo = max(r.deletionsUnknownUpTo, skipped.to)
@@ -139,9 +138,9 @@
 	}
 }
 
-// areDeletionsUnknown reports whether a node that knows everything up to a revision may hold
-// keys of which it is not known that they have gone. One that is at the begin of a
-// gap, or before it, holds none that came within it. The mutex is held.
+// areDeletionsUnknown reports whether a node that is complete up to a revision may hold keys whose
+// deletion this replica does not know of. A node at the start of a gap or before it holds no key
+// that was written within the gap. The mutex is held.
 func (r *replica) areDeletionsUnknown(after uint64) bool {
 	return areDeletionsUnknownIn(after, r.deletionsUnknownUpTo, r.gaps)
 }
@@ -158,8 +157,8 @@
 	return false
 }
 
-// absent returns the end of each key that was written after a revision and that a
-// batch does not hold.
+// impliedDeletions returns the deletion of each key that was written after a revision and that a
+// batch lacks.
 func (r *replica) impliedDeletions(batch Batch, after uint64) []Entry {
 	r.mutex.Lock()
 	missing := maps.Clone(r.entries)
@@ -176,7 +175,7 @@
 	return deletions
 }
 
-// applyEntries offers entries and returns how many of them were news.
+// applyEntries applies entries and returns how many of them were new.
 func (r *replica) applyEntries(entries []Entry, now time.Time) int {
 	changes := 0
 	for _, entry := range entries {
@@ -185,8 +184,8 @@
 	return changes
 }
 
-// offer hands an entry to the listener if it is newer than what is known of its
-// key, and returns 1 if it is. An earlier state may go before it.
+// applyEntry applies an entry if it is newer than the known state of its key, and returns 1 if it
+// is. The listener receives it unless a retained state overrides it.
 func (r *replica) applyEntry(entry Entry, now time.Time) int {
 	if !r.update(&entry, now) {
 		return 0
@@ -197,7 +196,7 @@
 	return 1
 }
 
-// replace takes an entry, which becomes one of the era, and reports whether it is news.
+// update stores an entry as one of the current era and reports whether it is new.
 func (r *replica) update(entry *Entry, now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -216,7 +215,7 @@
 	return exists
 }
 
-// forget drops old tombstones. The mutex is held.
+// expireTombstones drops tombstones after tombstoneLifetime. The mutex is held.
 func (r *replica) expireTombstones(now time.Time) {
 	for key, deleted := range r.tombstones {
 		if now.Sub(deleted.deletedAt) > tombstoneLifetime {
@@ -226,20 +225,20 @@
 	}
 }
 
-// coverage says what a batch tells a node that knows everything up to a revision.
+// coverage says what a batch contains for a node that is complete up to a revision.
 type coverage int
 
 const (
-	// allChanges since that revision, also which keys have gone.
+	// allChanges means all changes since that revision, including deletions.
 	allChanges coverage = iota
-	// wholeState is everything; what is missing from it has gone.
+	// wholeState means everything; keys that it lacks are deleted.
 	wholeState
-	// newerOnly are entries that are newer; which keys have gone is not known, so
-	// they complete nothing and the batch keeps the node's own revision.
+	// newerOnly means newer entries without the deletions. They do not advance the revision up to
+	// which the node is complete, so the batch keeps the node's own revision.
 	newerOnly
 )
 
-// since returns what has changed after a revision, as far as it is known.
+// since returns the known changes after a revision.
 func (r *replica) since(after uint64) (Batch, coverage) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
