--- a/pkg/rhythm/periods.go
+++ b/pkg/rhythm/periods.go
@@ -2,29 +2,31 @@
 
 import "time"
 
-// Bounds of what servers have in common.
+// Constants for the period that servers share.
 const (
-	// maxIntervals is how many intervals between pauses are kept to compare others with.
+	// maxIntervals is how many intervals between pauses are kept for comparison with new ones.
 	maxIntervals = 16
-	// maxMultiple is how many periods the longer of two intervals may have: a pause that meets
-	// no request is not seen.
+	// maxMultiple is how many periods the longer of two compared intervals may span: a pause during
+	// which no request is sent is not seen.
 	maxMultiple = 2
-	// periodLifetime is for how many periods one is used for further servers after it was
-	// last seen.
+	// periodLifetime is for how many periods a shared period or an interval is used after it was last
+	// confirmed.
 	periodLifetime = 10
 )
 
-// Periods is what the servers that a node asks have in common: servers of one program
-// have one period, each with a phase of its own. The zero value knows nothing.
+// SharedPeriod learns the period of pauses that the servers of a node have in common: servers of one
+// program pause with the same period, each with a phase of its own. The zero value has no period. It
+// is not safe for concurrent use.
 type SharedPeriod struct {
 	intervals [maxIntervals]interval
 	next      int
-	// servers counts those that have shown an interval; a server's number is its place among them.
+	// serverCount counts the servers that have shown an interval; they are numbered from 1 in the order
+	// of their first interval.
 	serverCount int
-	// period is the one that was confirmed last, at confirmedAt; zero if none was.
+	// period is the period that was last confirmed, at confirmedAt; zero if there is none.
 	period      time.Duration
 	confirmedAt time.Time
-	// length is how long pauses last.
+	// pauseLength is the expected length of a pause.
 	pauseLength time.Duration
 }
 
@@ -35,7 +37,7 @@
 	seenAt time.Time
 }
 
-// note keeps an interval.
+// addInterval stores an interval, in place of the oldest one.
 func (p *SharedPeriod) addInterval(server *Server, length time.Duration, now time.Time) {
 	if server.number == 0 {
 		p.serverCount++
@@ -45,7 +47,8 @@
 	p.next = (p.next + 1) % maxIntervals
 }
 
-// periodWith returns the period that an interval has in common with one of another server.
+// periodWith returns the period that an interval has in common with a recent interval of another
+// server, and whether there is one.
 func (p *SharedPeriod) periodWith(server *Server, length time.Duration, now time.Time) (time.Duration, bool) {
 	for _, each := range p.intervals {
 		if each.server == 0 || each.server == server.number || now.Sub(each.seenAt) > periodLifetime*each.length {
@@ -58,12 +61,12 @@
 	return 0, false
 }
 
-// confirm takes a period that two intervals or a pause that came in time have shown.
+// confirm stores a period that was shown by two intervals or by a pause at the predicted time.
 func (p *SharedPeriod) confirm(period time.Duration, now time.Time) {
 	p.period, p.confirmedAt = period, now
 }
 
-// current returns the period in common; zero if there is none.
+// current returns the shared period, or zero if there is none or it was not confirmed recently.
 func (p *SharedPeriod) current(now time.Time) time.Duration {
 	if p.period == 0 || now.Sub(p.confirmedAt) > periodLifetime*p.period {
 		return 0
@@ -71,8 +74,9 @@
 	return p.period
 }
 
-// common returns the period that two intervals share, if the longer is a small multiple of
-// the shorter: the mean of the shorter and of the period by which the longer is that multiple.
+// commonPeriod returns the period of two intervals if the longer one is a multiple of the shorter one,
+// up to maxMultiple. It is the mean of the shorter interval and of the longer one divided by the
+// multiple.
 func commonPeriod(one, other time.Duration) (time.Duration, bool) {
 	shorter, longer := min(one, other), max(one, other)
 	if shorter < minPeriod {
@@ -82,8 +86,8 @@
 	return shorter + remainder/time.Duration(2*max(count, 1)), ok && count <= maxMultiple
 }
 
-// multiple returns how many periods an interval has and the rest, which may be below zero. It
-// reports false if that is none, or if the rest is more than the tolerance.
+// nearestMultiple returns the nearest number of periods in elapsed and the remainder, which may be
+// negative. It reports false if the number is zero or the remainder exceeds the tolerance.
 func nearestMultiple(elapsed, period time.Duration) (int, time.Duration, bool) {
 	count := int((elapsed + period/2) / period)
 	remainder := elapsed - time.Duration(count)*period
--- a/pkg/rhythm/server.go
+++ b/pkg/rhythm/server.go
@@ -1,92 +1,95 @@
-// Package rhythm foresees the pauses of servers that pause by a clock, such as one that
-// collects garbage or flushes a file every some seconds, from the times of their answers.
+// Package rhythm predicts the pauses of servers that pause periodically, for example to collect
+// garbage or to flush a file every few seconds, from the times of their answers.
 //
-// A pause shows as a silence: requests that were sent in a span are answered together
-// after it. Two like intervals between pauses, of one server or of two, make a period.
-// While a server is foreseen to pause, Wait tells how long a request would wait there;
-// which server is asked is decided elsewhere. Without a period nothing is foreseen.
+// A pause shows as a silence: requests that were sent over some time are answered together after it.
+// Two similar intervals between pauses, of one server or of two, make a period. While a server is
+// predicted to pause, ExpectedWait returns how long a request would wait there; the caller chooses
+// the server. Without a period nothing is predicted.
 //
-// Nothing here is safe for concurrent use; there is no clock, no lock and no allocation.
+// Nothing here is safe for concurrent use. The package reads no clock, takes no locks and does not
+// allocate memory.
 package rhythm
 
 import "time"
 
-// What counts as a pause and for how long it is trusted.
+// Constants for detecting and predicting pauses.
 const (
-	// minPause is the shortest silence that counts: what is shorter, a second server
-	// bridges within the time that callers have.
+	// minPause is the shortest silence that counts as a pause: a request that meets a shorter one can
+	// still be answered by a second server within the time that callers have.
 	minPause = 100 * time.Millisecond
-	// minPauseFactor is how many times a usual answer the shortest silence lasts, where answers
-	// take so long that this is more than minPause.
+	// minPauseFactor times the typical answer time is the shortest silence that counts, if that is more
+	// than minPause.
 	minPauseFactor = 2
-	// maxPauseLength bounds for how long a server is passed over for one pause.
+	// maxPauseLength bounds for how long a server is avoided because of one pause.
 	maxPauseLength = time.Second
-	// minPeriod and maxPeriod bound the periods that are learned: a server that
-	// pauses more often is slow, and one that pauses more seldom touches few requests.
+	// minPeriod and maxPeriod bound the periods that are learned: a server that pauses more often is
+	// just slow, and one that pauses less often affects few requests.
 	minPeriod = time.Second
 	maxPeriod = 30 * time.Second
-	// tolerance is how far a pause may be from the foreseen moment: the first answer
-	// after it comes when its work has ended.
+	// tolerance is how far the end of a pause may be from the predicted time: the first answer after a
+	// pause comes only when the work for it is done.
 	tolerance = 75 * time.Millisecond
-	// maxUnseenPeriods is for how many periods after the last pause that was seen further ones
-	// are foreseen: the error of the period adds up.
+	// maxUnseenPeriods is for how many periods after the last seen pause further ones are predicted:
+	// the error of the period adds up.
 	maxUnseenPeriods = 6
-	// lengthRiseDivisor and lengthFallDivisor divide the difference between the expected length of pauses and
-	// that of a longer or a shorter one: by so much the expected length follows it.
+	// lengthRiseDivisor and lengthFallDivisor set how quickly the expected length of pauses follows a
+	// longer or a shorter one: it changes by the difference divided by them.
 	lengthRiseDivisor = 2
 	lengthFallDivisor = 16
-	// probeEvery tells in which of the foreseen pauses since the last one that was seen a request
-	// is sent all the same, to see whether the server still pauses: in every second one.
+	// probeEvery is in which of the predicted pauses since the last seen one a probe is sent, which is a
+	// normal request that shows whether the server still pauses: in every second one.
 	probeEvery = 2
-	// That request is sent once one probeAfterDivisor-th of the foreseen pause is over, and while at least
-	// one probeBeforeDivisor-th is left: its answer then shows the end of the pause. An answer shows that
-	// there is no pause if it comes neither in the first nor in the last answerMarginDivisor-th.
+	// A probe is sent after the first 1/probeAfterDivisor of the predicted pause and while at least
+	// 1/probeBeforeDivisor of it is left, so that its answer shows the end of the pause. An answer
+	// shows that there is no pause if it comes neither in the first nor in the last
+	// 1/answerMarginDivisor of the predicted pause.
 	probeAfterDivisor   = 4
 	probeBeforeDivisor  = 2
 	answerMarginDivisor = 4
-	// togetherFactor times the span in which the requests of a silence were answered is less than
-	// that in which they were sent, if a pause has held them back.
+	// togetherFactor is how many times longer the requests of a silence must have been sent apart than
+	// they were answered apart, if a pause has delayed them.
 	togetherFactor = 2
 )
 
-// Server is what the answers of one process of a server have shown. The zero value
-// knows nothing.
+// Server predicts the pauses of one process of a server from its answers. The zero value predicts
+// nothing. It is not safe for concurrent use.
 type Server struct {
-	// number tells the server from others once it has shown an interval; zero before.
+	// number identifies the server in SharedPeriod; zero until it has shown an interval.
 	number       int
 	lastAnswerAt time.Time
 	silence      silence
-	// lastPauseEnd is the end of the last pause that was seen; zero if none was.
+	// lastPauseEnd is the end of the last seen pause; zero if there is none.
 	lastPauseEnd time.Time
-	// length is how long its pauses last.
+	// pauseLength is the expected length of a pause of this server.
 	pauseLength time.Duration
-	// interval is the time between the last two pauses, period what was confirmed;
-	// zero if unknown.
+	// interval is the time between the last two pauses, and period the period that was confirmed; zero
+	// if unknown.
 	interval time.Duration
 	period   time.Duration
-	// ignoresShared says that a pause did not come when it was foreseen, so that only a period
-	// that the server shows itself is used.
+	// ignoresShared is set if a predicted pause did not come, so that only a period that the server
+	// itself shows is used.
 	ignoresShared bool
-	// isDoubted says that the foreseen pause before the last one that came was not seen.
+	// isDoubted is set if the predicted pause before the last seen one was not seen.
 	isDoubted bool
-	// probedPauseEnd is the end of the foreseen pause in which a request was last sent.
+	// probedPauseEnd is the end of the predicted pause in which a probe was last sent.
 	probedPauseEnd time.Time
 }
 
-// silence is a span without answers while some were due, and the requests that met it.
+// silence is a span without answers although some were expected, and the requests that met it.
 type silence struct {
-	// previousAnswerAt is the last answer before it; from is when an answer was due first.
+	// previousAnswerAt is the time of the last answer before it, and from the time at which the first
+	// answer was expected.
 	previousAnswerAt, from time.Time
-	// firstAnswered and lastAnswered are when its first and its last request were answered.
+	// firstAnswered and lastAnswered are the times of the first and the last answer after it.
 	firstAnswered, lastAnswered time.Time
-	// firstSent and lastSent are when its requests were sent.
+	// firstSent and lastSent are the times at which its first and its last request were sent.
 	firstSent, lastSent time.Time
-	// isPause says that it was taken for a pause.
+	// isPause is set once the silence was classified as a pause.
 	isPause bool
 }
 
-// Answered takes an answer that the server gave at a moment to a request that was sent at
-// another one. usual is the time that such an answer takes, the network included.
+// RecordAnswer records an answer that came at now to a request that was sent at sent. typical is the
+// time that such an answer usually takes, including the network.
 func (s *Server) RecordAnswer(sent, now time.Time, typical time.Duration, shared *SharedPeriod) {
 	previous := s.lastAnswerAt
 	s.lastAnswerAt = now
@@ -116,8 +119,8 @@
 	}
 }
 
-// minSilence returns the shortest silence that counts. At a foreseen moment half of that is
-// enough: it is met by the one request that was sent to see it, when a part of it was over.
+// minSilence returns the shortest silence that counts. At a predicted time half of it is enough: the
+// only request that meets the pause is then the probe, which is sent when a part of it is over.
 func (s *Server) minSilence(typical time.Duration, isPredicted bool) time.Duration {
 	shortest := max(minPause, minPauseFactor*typical)
 	if isPredicted {
@@ -126,15 +129,15 @@
 	return shortest
 }
 
-// joins reports whether an answer belongs to the last silence: it was due in it and comes
-// right after its end.
+// belongsToSilence reports whether an answer belongs to the last silence: it was expected during the
+// silence and comes right after its end.
 func (s *Server) belongsToSilence(sent, now, expectedAt time.Time, typical time.Duration) bool {
 	last := &s.silence
 	return !last.firstAnswered.IsZero() && expectedAt.Before(last.firstAnswered) &&
 		now.Sub(last.firstAnswered) <= typical && sent.After(last.previousAnswerAt.Add(-typical))
 }
 
-// widen takes a further request of the last silence.
+// extendSilence adds a request to the last silence.
 func (s *Server) extendSilence(sent, now, expectedAt time.Time) {
 	last := &s.silence
 	last.lastAnswered = now
@@ -149,8 +152,8 @@
 	}
 }
 
-// judge takes the last silence for a pause if its requests were answered together. A slow
-// server answers in the order and at the pace in which it was asked.
+// classifySilence records the last silence as a pause if its requests were answered together. A
+// server that is only slow answers in the order and at the pace in which requests were sent.
 func (s *Server) classifySilence(shared *SharedPeriod) {
 	last := &s.silence
 	if last.isPause || last.lastSent.Sub(last.firstSent) <= togetherFactor*last.lastAnswered.Sub(last.firstAnswered) {
@@ -160,7 +163,7 @@
 	s.recordPause(last.firstAnswered, last.firstAnswered.Sub(last.from), shared)
 }
 
-// see takes a pause that was seen.
+// recordPause records a seen pause.
 func (s *Server) recordPause(until time.Time, length time.Duration, shared *SharedPeriod) {
 	previous, period := s.lastPauseEnd, s.currentPeriod(until, shared)
 	elapsed := until.Sub(previous)
@@ -174,13 +177,13 @@
 	}
 }
 
-// compare takes a pause that was seen while others were foreseen.
+// comparePause records a pause that was seen while pauses were predicted.
 func (s *Server) comparePause(elapsed, period time.Duration, until time.Time, length time.Duration, shared *SharedPeriod) {
 	count, remainder, isPredicted := nearestMultiple(elapsed, period)
 	_, _, isHalfway := nearestMultiple(2*elapsed, period)
 	switch {
 	case isPredicted:
-		// Half of the error is taken for one of the period: a single pause may be late by itself.
+		// Half of the deviation is attributed to the period: a single pause may also be late by itself.
 		s.period = period + remainder/time.Duration(2*count)
 		s.isDoubted = count > 1
 		s.updatePause(until, length, shared)
@@ -193,20 +196,20 @@
 		s.period = period / 2
 		s.updatePause(until, length, shared)
 	}
-	// Any other silence is one that does not recur: what is foreseen holds until a pause
-	// does not come.
+	// Any other silence is taken as one that does not recur: the prediction holds until a predicted
+	// pause does not come.
 }
 
-// take keeps when the last pause ended and how long it was.
+// updatePause stores the end of the last pause and updates the expected lengths.
 func (s *Server) updatePause(until time.Time, length time.Duration, shared *SharedPeriod) {
 	s.lastPauseEnd = until
 	s.pauseLength = adjustedLength(s.pauseLength, length)
 	shared.pauseLength = adjustedLength(shared.pauseLength, length)
 }
 
-// adjustedLength returns the length that is expected of pauses after one that lasted for some
-// time at least: a pause is seen from when its first request should have been answered, so that
-// longer ones tell more.
+// adjustedLength returns the expected length of pauses after a seen one. A pause is seen only from the
+// time at which its first request should have been answered, so that the seen length is a lower
+// bound and longer ones count more.
 func adjustedLength(known, seen time.Duration) time.Duration {
 	seen = min(seen, maxPauseLength)
 	if known == 0 {
@@ -218,7 +221,8 @@
 	return known + (seen-known)/lengthFallDivisor
 }
 
-// learn takes the time between two pauses, and the period if another interval is like it.
+// learnInterval records the time between two pauses, and sets the period if another interval is
+// similar.
 func (s *Server) learnInterval(elapsed time.Duration, now time.Time, shared *SharedPeriod) {
 	previous := s.interval
 	s.interval = 0
@@ -237,14 +241,15 @@
 	}
 }
 
-// forget drops what was foreseen, since a pause did not come then.
+// forget drops the prediction after a predicted pause did not come.
 func (s *Server) forget() {
 	s.lastPauseEnd, s.pauseLength, s.interval, s.period = time.Time{}, 0, 0, 0
 	s.ignoresShared, s.isDoubted = true, false
 }
 
-// Wait returns how long a request that is sent now and usually takes some time would wait
-// for the end of a foreseen pause; zero if it would not meet one.
+// ExpectedWait returns how long a request that is sent at now and typically takes the given time would
+// wait for the end of a predicted pause. It is zero if the request would not meet a pause, or may be
+// sent as a probe.
 func (s *Server) ExpectedWait(now time.Time, typical time.Duration, shared *SharedPeriod) time.Duration {
 	end, unseen := s.nextPauseEnd(now, shared)
 	if unseen == 0 {
@@ -257,14 +262,13 @@
 	return wait
 }
 
-// Foresees reports whether a pause is foreseen at any time to come.
+// PredictsPause reports whether any future pause is predicted.
 func (s *Server) PredictsPause(now time.Time, shared *SharedPeriod) bool {
 	_, unseen := s.nextPauseEnd(now, shared)
 	return unseen > 0
 }
 
-// Sent takes that a request is sent to the server, which may be one that looks whether it
-// pauses as foreseen.
+// RecordSent records that a request is sent to the server, which may serve as a probe.
 func (s *Server) RecordSent(now time.Time, shared *SharedPeriod) {
 	end, unseen := s.nextPauseEnd(now, shared)
 	if unseen > 0 && end.Sub(now) <= s.probeSpan() {
@@ -272,8 +276,8 @@
 	}
 }
 
-// mayProbe reports whether one request may be sent although a pause is foreseen. Mostly one
-// that is under way when the pause begins shows it.
+// mayProbe reports whether a request may be sent as a probe although a pause is predicted. Probes are
+// rare, since a request that is in flight when the pause begins mostly shows it.
 func (s *Server) mayProbe(now, end time.Time, unseen int) bool {
 	if !s.isDoubted && unseen%probeEvery != 0 || s.probedPauseEnd.Equal(end) {
 		return false
@@ -282,14 +286,13 @@
 	return left <= s.probeSpan() && left >= s.pauseLength/probeBeforeDivisor
 }
 
-// probeSpan is how long before the end of a foreseen pause a request may first be sent to see
-// whether the server pauses.
+// probeSpan returns how long before the end of a predicted pause a probe may be sent at the earliest.
 func (s *Server) probeSpan() time.Duration {
 	return s.pauseLength * (probeAfterDivisor - 1) / probeAfterDivisor
 }
 
-// nextPauseEnd returns when the next foreseen pause ends and how many periods after the last
-// pause that was seen; the number is zero if none is foreseen.
+// nextPauseEnd returns when the next predicted pause ends, and how many periods that is after the last
+// seen pause. The number is zero if no pause is predicted.
 func (s *Server) nextPauseEnd(now time.Time, shared *SharedPeriod) (time.Time, int) {
 	if s.lastPauseEnd.IsZero() {
 		return time.Time{}, 0
@@ -305,8 +308,8 @@
 	return s.lastPauseEnd.Add(time.Duration(unseen) * period), unseen
 }
 
-// expectedLength is how long the next pause lasts: the first ones that are seen of a server
-// tell little, while others with the same period have shown more.
+// expectedLength returns the expected length of the next pause. The first seen pauses of a server show
+// little of their length, while other servers with the same period have shown more.
 func (s *Server) expectedLength(now time.Time, shared *SharedPeriod) time.Duration {
 	if period := shared.current(now); period == 0 || (s.currentPeriod(now, shared)-period).Abs() > tolerance {
 		return s.pauseLength
@@ -314,7 +317,7 @@
 	return max(s.pauseLength, shared.pauseLength)
 }
 
-// currentPeriod is the server's own period, or that of other servers.
+// currentPeriod returns the server's own period, or else the shared one unless the server ignores it.
 func (s *Server) currentPeriod(now time.Time, shared *SharedPeriod) time.Duration {
 	if s.period > 0 || s.ignoresShared {
 		return s.period
@@ -322,8 +325,8 @@
 	return shared.current(now)
 }
 
-// predictedAround reports whether a moment is about the end of a foreseen pause, and
-// returns the end of the next one; zero if none is foreseen.
+// predictedAround reports whether now is within the tolerance of the end of a predicted pause, and
+// returns the end of the next one; zero if no pause is predicted.
 func (s *Server) predictedAround(now time.Time, shared *SharedPeriod) (bool, time.Time) {
 	end, unseen := s.nextPauseEnd(now, shared)
 	if unseen == 0 {
@@ -336,7 +339,7 @@
 	return end.Sub(now) <= tolerance || sinceLast <= tolerance, end
 }
 
-// isMidPause reports whether a moment is well within a foreseen pause.
+// isMidPause reports whether now is well within the predicted pause that ends at end.
 func (s *Server) isMidPause(now, end time.Time) bool {
 	left := end.Sub(now)
 	return left < s.pauseLength*(answerMarginDivisor-1)/answerMarginDivisor && left > s.pauseLength/answerMarginDivisor
