--- a/pkg/quarantine/answers.go
+++ b/pkg/quarantine/answers.go
@@ -61,6 +61,7 @@
 	}
 }
 
+// slotKey returns the key of a request, which is never zero: zero marks an empty slot.
 func slotKey(fingerprint exchange.Fingerprint) uint64 {
 	return binary.BigEndian.Uint64(fingerprint[:]) | 1
 }
--- a/pkg/quarantine/gossip.go
+++ b/pkg/quarantine/gossip.go
@@ -74,7 +74,7 @@
 	return gossiper
 }
 
-// SetNodes sets the addresses of all nodes. The own address and empty ones are ignored.
+// SetNodes sets the addresses of all nodes. The address of this node and empty ones are ignored.
 func (g *Gossiper) SetNodes(nodes []peer.Address) {
 	local := g.transport.Address()
 	peers := slices.DeleteFunc(slices.Clone(nodes), func(each peer.Address) bool { return each == local || each == "" })
--- a/pkg/quarantine/gossip_test.go
+++ b/pkg/quarantine/gossip_test.go
@@ -39,20 +39,20 @@
 
 var errLost = errors.New("the message is lost")
 
-func (l testTransport) Address() peer.Address { return l.address }
+func (t testTransport) Address() peer.Address { return t.address }
 
-func (l testTransport) Handle(_ peer.Kind, handler peer.Handler) {
-	l.net.mutex.Lock()
-	defer l.net.mutex.Unlock()
-	l.net.handlers[l.address] = handler
+func (t testTransport) Handle(_ peer.Kind, handler peer.Handler) {
+	t.net.mutex.Lock()
+	defer t.net.mutex.Unlock()
+	t.net.handlers[t.address] = handler
 }
 
-func (l testTransport) Call(ctx context.Context, address peer.Address, _ peer.Kind, request, _ proto.Message) error {
+func (t testTransport) Call(ctx context.Context, address peer.Address, _ peer.Kind, request, _ proto.Message) error {
 	body, err := proto.Marshal(request)
 	if err != nil {
 		return err
 	}
-	network := l.net
+	network := t.net
 	network.mutex.Lock()
 	handler, times, delay := network.handlers[address], 1, time.Duration(0)
 	if network.delivery != nil {
@@ -73,16 +73,16 @@
 	return nil
 }
 
-func (l *messageNetwork) callCount() int {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.calls
+func (n *messageNetwork) callCount() int {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	return n.calls
 }
 
-func (l *messageNetwork) setDelivery(delivery func(peer.Address) (int, time.Duration)) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.delivery = delivery
+func (n *messageNetwork) setDelivery(delivery func(peer.Address) (int, time.Duration)) {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	n.delivery = delivery
 }
 
 func address(number int) peer.Address { return peer.Address(fmt.Sprint("n", number)) }
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -69,13 +69,14 @@
 	return [...]string{"clear", "doubtful", "suspect", "quarantined"}[s]
 }
 
-// Events receives what a Guard detects. Its methods must not block.
+// Events receives what a Guard detects. Its methods must neither block nor call the Guard, whose
+// mutex may be held.
 type Events interface {
 	// StateChanged reports the new state of a request and the servers that crashed under it, in the
 	// order of the crashes.
 	StateChanged(fingerprint exchange.Fingerprint, state State, servers []fleet.Incarnation)
-	// LedgerFailed reports that a call to the ledger failed. Notes are written later; a trial is
-	// not made.
+	// LedgerFailed reports that a call to the ledger failed. Notes are written later. A trial is
+	// not made, except for the one that a node makes by itself while the ledger is unavailable.
 	LedgerFailed(call string, err error)
 }
 
--- a/pkg/quarantine/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -95,14 +95,14 @@
 	withGuards(t, 3, func(g *WithT, c *cluster) {
 		c.crash(c.guards[0], deadly, "a", "b", "c")
 		time.Sleep(storeDelay)
-		began, granted := time.Now(), 0
-		for time.Since(began) < 9*time.Minute {
+		start, granted := time.Now(), 0
+		for time.Since(start) < 9*time.Minute {
 			for _, guard := range c.guards {
 				if guard.State(deadly) == quarantine.Suspect && guard.ClaimTrial(context.Background(), deadly) != nil {
 					granted++
 				}
 			}
-			if time.Since(began) < 50*time.Second {
+			if time.Since(start) < 50*time.Second {
 				g.Expect(granted).To(BeNumerically("<=", 2))
 			}
 			time.Sleep(time.Second)
@@ -111,7 +111,8 @@
 	})
 }
 
-// An answer clears a request at all nodes. If it comes soon, nothing was written to the ledger.
+// An answer clears a request at all nodes. If it comes soon, nothing has been written to the ledger
+// yet.
 func TestAnAnswerClearsARequest(t *testing.T) {
 	withGuards(t, 2, func(g *WithT, c *cluster) {
 		c.crash(c.guards[0], other, "a", "b")
--- a/pkg/quarantine/updates.go
+++ b/pkg/quarantine/updates.go
@@ -100,7 +100,7 @@
 }
 
 // awaitPeerWriteAgain gives the announcing nodes time once more, after this node could not write
-// the notes itself. The mutex is not held.
+// the notes itself. The mutex must not be held.
 func (g *Guard) awaitPeerWriteAgain(notes []Note) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -116,8 +116,8 @@
 }
 
 // maxAnnouncedCrashes bounds the crashed servers of one request that nodes announce to each other.
-// The others need to know them, since a trial may be made only at certain servers, depending on which
-// have crashed. A request of many shards crashes one server of each.
+// The others need to know which servers have crashed, since that determines where a trial may be
+// made. A request of many shards crashes one server of each.
 const maxAnnouncedCrashes = 64
 
 // announceCrashes announces the servers that crashed under a request to the other nodes. The mutex
