--- a/pkg/query/execute_test.go
+++ b/pkg/query/execute_test.go
@@ -159,9 +159,9 @@
 		}()
 		var versions []target.Version
 		var restarted []bool
-		answer, err := f.execute(func(early query.Partial) {
-			versions = append(versions, early.Version)
-			restarted = append(restarted, early.Restarted)
+		answer, err := f.execute(func(partial query.Partial) {
+			versions = append(versions, partial.Version)
+			restarted = append(restarted, partial.Restarted)
 		})
 		Expect(err).NotTo(HaveOccurred())
 		f.expectAnswer(answer, 2)
--- a/pkg/query/extra.go
+++ b/pkg/query/extra.go
@@ -99,11 +99,11 @@
 	}
 }
 
-// minimumHedgeWait is the minimum time between two hedges for a part.
-const minimumHedgeWait = time.Millisecond
+// minHedgeInterval is the minimum time between two hedges for a part.
+const minHedgeInterval = time.Millisecond
 
 func (p *pass) nextHedgeTime() time.Duration {
-	return max(p.hedgeTime(), p.now+minimumHedgeWait)
+	return max(p.hedgeTime(), p.now+minHedgeInterval)
 }
 
 // retry sends the retry that was scheduled for a part. If nothing was sent for the part so far, the
--- a/pkg/query/fake_cluster_test.go
+++ b/pkg/query/fake_cluster_test.go
@@ -163,6 +163,8 @@
 	failure := func(result outcome.Outcome, reason outcome.Reason) error {
 		return &outcome.Error{Step: "fake", Peer: string(server), Outcome: result, Reason: reason}
 	}
+	// chosen reports whether the roll falls into the next percent values, so that a sub-request gets
+	// at most one of the faults.
 	chosen := func(percent int) bool {
 		roll -= percent
 		return roll < 0 && roll >= -percent
@@ -190,17 +192,17 @@
 	if cancelled || !sleep(ctx, responseDelay) && !ignoreCancel {
 		return nil, failure(outcome.Unknown, outcome.ReasonCancelled)
 	}
-	requested := record.request.Target
+	answered := record.request.Target
 	switch {
 	case chosen(c.faults.Lost):
 		return nil, failure(outcome.Unknown, outcome.ReasonConnectionLost)
 	case chosen(c.faults.WrongVersion):
-		requested.Version++
+		answered.Version++
 	case chosen(c.faults.WrongRange):
-		requested.Range.Start = requested.Range.Start / 2
-		requested.Range.End = max(requested.Range.End-1, requested.Range.Start+1)
+		answered.Range.Start = answered.Range.Start / 2
+		answered.Range.End = max(answered.Range.End-1, answered.Range.Start+1)
 	}
-	return c.evaluate(&record.request, requested), nil
+	return c.evaluate(&record.request, answered), nil
 }
 
 func (c *fakeCluster) evaluate(request *backend.Request, answered target.Target) *backend.Response {
--- a/pkg/query/interfaces.go
+++ b/pkg/query/interfaces.go
@@ -71,7 +71,7 @@
 type Observer interface {
 	// SubRequestFinished is called for each sub-request that was sent; err is
 	// nil or an *outcome.Error.
-	SubRequestFinished(server target.Target, kind AttemptKind, latency time.Duration, err error)
+	SubRequestFinished(destination target.Target, kind AttemptKind, latency time.Duration, err error)
 	// LateResponse is called for an answer that was dropped, because it arrived after its query had
 	// stopped or after its part was covered.
 	LateResponse(service target.Service)
--- a/pkg/query/layout.go
+++ b/pkg/query/layout.go
@@ -55,8 +55,8 @@
 	return &layout{version: l.version}
 }
 
-// shardsOf returns the distinct ranges that servers hold at a version, in an
-// order that depends only on the view.
+// shardsOf returns the distinct ranges that servers hold at a version, in an order that depends only
+// on the view.
 func shardsOf(view *catalog.View, version target.Version, skip skipFunc) []shard {
 	shardIndex := make(map[keyspace.Range]int)
 	var shards []shard
--- a/pkg/query/pass.go
+++ b/pkg/query/pass.go
@@ -92,10 +92,11 @@
 	// slab holds unused attempts for the fan-out, allocated at once.
 	slab []attempt
 
-	covered     keyspace.Set
-	merged      topRecords
-	matches     uint64
-	scoreSum    int64
+	covered  keyspace.Set
+	merged   topRecords
+	matches  uint64
+	scoreSum int64
+	// outstanding counts the attempts that the event loop waits for.
 	outstanding int
 	// scheduled counts the parts with a scheduled retry.
 	scheduled int
@@ -107,8 +108,9 @@
 	trials          int
 	// refusals holds which servers refused which ranges because the plan was out of date.
 	refusals []refusal
-	fatal    *outcome.Error
-	restart  *layout
+	// fatal is a failure that ends the request; restart is the layout to restart on.
+	fatal   *outcome.Error
+	restart *layout
 
 	// now is the time since the start of the execution at the current event.
 	now time.Duration
@@ -271,7 +273,7 @@
 // processAttempt processes one finished attempt: it merges the answer or handles the failure.
 func (p *pass) processAttempt(finished *attempt) {
 	if finished.detached {
-		p.countLate(finished)
+		p.reportLate(finished)
 		return
 	}
 	p.outstanding--
@@ -324,8 +326,8 @@
 	}
 }
 
-// countLate reports an answer that is no longer wanted to the observer.
-func (p *pass) countLate(finished *attempt) {
+// reportLate reports an answer that is no longer wanted to the observer.
+func (p *pass) reportLate(finished *attempt) {
 	if finished.err == nil {
 		finished.observer().LateResponse(finished.request.Target.Service)
 	}
@@ -339,7 +341,7 @@
 		state = attemptExpired
 	}
 	for finished := p.inbox.close(); finished != nil; finished = finished.next {
-		p.countLate(finished)
+		p.reportLate(finished)
 		if finished.detached {
 			continue
 		}
--- a/pkg/query/property_test.go
+++ b/pkg/query/property_test.go
@@ -47,8 +47,8 @@
 		if sub.executed {
 			executed++
 		}
-		if spent := sub.at.Sub(got.started); spent >= got.caller.Deadline-got.caller.Deadline/10 && spent >= got.caller.Deadline-query.DefaultAnswerMargin || spent >= got.caller.CancelAfter {
-			report("a sub-request was sent after %s", spent)
+		if elapsed := sub.at.Sub(got.started); elapsed >= got.caller.Deadline-got.caller.Deadline/10 && elapsed >= got.caller.Deadline-query.DefaultAnswerMargin || elapsed >= got.caller.CancelAfter {
+			report("a sub-request was sent after %s", elapsed)
 		}
 	}
 	if got.caller.NotRepeatable && executed > 1 {
@@ -75,10 +75,10 @@
 	if answer.Matches != want.Matches || answer.ScoreSum != want.ScoreSum {
 		report("totals %d and %d, want %d and %d", answer.Matches, answer.ScoreSum, want.Matches, want.ScoreSum)
 	}
-	if answer.Coverage.Share() < got.caller.Minimum {
+	if answer.Coverage.Share() < got.caller.MinCoverage {
 		report("coverage %v below the minimum", answer.Coverage.Share())
 	}
-	if healthy := s.Faults.none() && len(s.Events) == 0 && !s.Overlaps; healthy && s.Policies.Stop.Policy == policy.StopRuleAll && s.PerServer > 10 && got.caller.Deadline > 10*time.Millisecond && !answer.Coverage.Complete() {
+	if healthy := s.Faults.none() && len(s.Events) == 0 && !s.Overlaps; healthy && s.Policies.Stop.Policy == policy.StopRuleAll && s.PermitsPerServer > 10 && got.caller.Deadline > 10*time.Millisecond && !answer.Coverage.Complete() {
 		report("nothing went wrong, but the coverage is %+v", answer.Coverage)
 	}
 	if answer.Coverage.Complete() != (answer.StopReason == policy.StopAllParts) {
@@ -134,15 +134,15 @@
 // restart.
 func (s scenario) checkPartials(cluster *fakeCluster, got *result, restarts int, report func(string, ...any)) {
 	var last query.Partial
-	for i, early := range got.partials {
-		s.checkContent(cluster, got, early.Version, early.Coverage, early.Records, report)
-		if i > 0 && !early.Restarted && (early.Version != last.Version || early.Coverage.CoveredWidth <= last.Coverage.CoveredWidth) {
-			report("partial %+v after %+v", early.Coverage, last.Coverage)
+	for i, partial := range got.partials {
+		s.checkContent(cluster, got, partial.Version, partial.Coverage, partial.Records, report)
+		if i > 0 && !partial.Restarted && (partial.Version != last.Version || partial.Coverage.CoveredWidth <= last.Coverage.CoveredWidth) {
+			report("partial %+v after %+v", partial.Coverage, last.Coverage)
 		}
-		if early.Restarted && (restarts == 0 || i > 0 && early.Version <= last.Version) {
-			report("a partial announces a restart from version %d to %d", last.Version, early.Version)
+		if partial.Restarted && (restarts == 0 || i > 0 && partial.Version <= last.Version) {
+			report("a partial announces a restart from version %d to %d", last.Version, partial.Version)
 		}
-		last = early
+		last = partial
 	}
 	if len(got.partials) > 0 && got.answer != nil && restarts == 0 && got.answer.Version != last.Version {
 		report("partials of version %d, answer of version %d", last.Version, got.answer.Version)
@@ -152,9 +152,9 @@
 // checkTotals checks the permits and the budget over all requests.
 func (s scenario) checkTotals(cluster *fakeCluster, budget *fakeBudget, results []*result) []string {
 	var violations []string
-	for server, out := range cluster.permits {
-		if out != 0 {
-			violations = append(violations, fmt.Sprintf("%d permits of %s are still out\n", out, server))
+	for server, inUse := range cluster.permits {
+		if inUse != 0 {
+			violations = append(violations, fmt.Sprintf("%d permits of %s are still in use\n", inUse, server))
 		}
 	}
 	extra, unpaid := 0, 0
@@ -164,7 +164,7 @@
 		unpaid += unpaidRetries(cluster.callsOf(got.request.ID))
 	}
 	if extra > budget.spent+unpaid || budget.spent > extra {
-		violations = append(violations, fmt.Sprintf("%d extra sub-requests, %d paid, at most %d free\n", extra, budget.spent, unpaid))
+		violations = append(violations, fmt.Sprintf("%d extra sub-requests, %d paid, at most %d unpaid allowed\n", extra, budget.spent, unpaid))
 	}
 	if float64(budget.spent) > budget.share*float64(budget.primary)+float64(budget.burst) {
 		violations = append(violations, fmt.Sprintf("spent %d of the budget %+v\n", budget.spent, budget))
--- a/pkg/query/scenario_test.go
+++ b/pkg/query/scenario_test.go
@@ -46,24 +46,24 @@
 	At, Deadline, CancelAfter time.Duration
 	Key, Query                string
 	Limit                     int
-	Minimum                   float64
+	MinCoverage               float64
 	NotRepeatable             bool
 	Stream                    bool
 }
 
 // scenario holds all inputs of one run of the property.
 type scenario struct {
-	Seed       uint64
-	Groups     int
-	Replicas   int
-	Overlaps   bool
-	PerServer  int
-	Faults     faults
-	Events     []event
-	Callers    []caller
-	Policies   policy.Spec
-	ExtraShare float64
-	Burst      int
+	Seed             uint64
+	Groups           int
+	Replicas         int
+	Overlaps         bool
+	PermitsPerServer int
+	Faults           faults
+	Events           []event
+	Callers          []caller
+	Policies         policy.Spec
+	ExtraShare       float64
+	Burst            int
 }
 
 func drawScenario(t *rapid.T) scenario {
@@ -72,11 +72,11 @@
 		return rapid.Map(rapid.IntRange(0, maximum*10), func(tenths int) time.Duration { return time.Duration(tenths) * 100 * time.Microsecond })
 	}
 	return scenario{
-		Seed:      rapid.Uint64Range(0, 1<<20).Draw(t, "seed"),
-		Groups:    rapid.IntRange(1, 6).Draw(t, "groups"),
-		Replicas:  rapid.IntRange(1, 3).Draw(t, "replicas"),
-		Overlaps:  rapid.Bool().Draw(t, "overlaps"),
-		PerServer: rapid.SampledFrom([]int{1, 2, 100}).Draw(t, "permits"),
+		Seed:             rapid.Uint64Range(0, 1<<20).Draw(t, "seed"),
+		Groups:           rapid.IntRange(1, 6).Draw(t, "groups"),
+		Replicas:         rapid.IntRange(1, 3).Draw(t, "replicas"),
+		Overlaps:         rapid.Bool().Draw(t, "overlaps"),
+		PermitsPerServer: rapid.SampledFrom([]int{1, 2, 100}).Draw(t, "permits"),
 		Faults: faults{
 			Shed: percent.Draw(t, "shed"), Unreachable: percent.Draw(t, "unreachable"), Lost: percent.Draw(t, "lost"),
 			Hang: percent.Draw(t, "hang"), Straggle: percent.Draw(t, "straggle"), WrongVersion: percent.Draw(t, "wrong version"),
@@ -94,7 +94,7 @@
 				CancelAfter: rapid.OneOf(rapid.Just(time.Hour), millis(10)).Draw(t, "cancel") + cancelOffset,
 				Key:         rapid.SampledFrom([]string{"", "", "group1/item1", "group5/item21"}).Draw(t, "key"),
 				Query:       rapid.SampledFrom([]string{"", "group1", "group1/item1"}).Draw(t, "query"),
-				Limit:       rapid.IntRange(0, 12).Draw(t, "limit"), Minimum: rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "minimum"),
+				Limit:       rapid.IntRange(0, 12).Draw(t, "limit"), MinCoverage: rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "minimum"),
 				Stream: rapid.Bool().Draw(t, "stream"),
 			}
 			drawn.NotRepeatable = drawn.Key != "" && rapid.Bool().Draw(t, "not repeatable")
@@ -116,7 +116,7 @@
 // newCluster returns the cluster of a scenario. Its servers hold two versions at first.
 func (s scenario) newCluster() *fakeCluster {
 	cluster := newFakeCluster(s.Seed, s.Faults)
-	cluster.permitsPerServer = s.PerServer
+	cluster.permitsPerServer = s.PermitsPerServer
 	for i, keys := range keyspace.Split(s.Groups) {
 		cluster.addGroup(fmt.Sprintf("g%d", i), s.Replicas, []target.Version{1, 2}, keys)
 		if s.Overlaps && i%2 == 0 {
@@ -229,12 +229,12 @@
 	r.started = time.Now()
 	r.request = &query.Request{
 		ID: id, Policies: policies, Query: r.caller.Query, Key: r.caller.Key, Limit: r.caller.Limit,
-		Template: &template.Template{Service: service, MinimumCoverage: r.caller.Minimum, NotRepeatable: r.caller.NotRepeatable},
+		Template: &template.Template{Service: service, MinimumCoverage: r.caller.MinCoverage, NotRepeatable: r.caller.NotRepeatable},
 		Deadline: r.started.Add(r.caller.Deadline),
 	}
 	var partial query.PartialFunc
 	if r.caller.Stream {
-		partial = func(early query.Partial) { r.partials = append(r.partials, early) }
+		partial = func(received query.Partial) { r.partials = append(r.partials, received) }
 	}
 	r.answer, r.err = executor.Execute(ctx, r.request, partial)
 	r.ended = time.Now()
--- a/pkg/query/suspect_test.go
+++ b/pkg/query/suspect_test.go
@@ -36,16 +36,16 @@
 var _ = Describe("A request whose servers crash", func() {
 	It("is not sent to a second server of each part, but gets two trials", inVirtualTime(func() {
 		f := newFixture().addEightGroups()
-		var ended atomic.Int64
+		var crashes atomic.Int64
 		for _, server := range f.cluster.servers {
 			f.cluster.scripts[server.ID] = delayed(time.Millisecond, func(ctx context.Context, request *backend.Request) (*backend.Response, error) {
-				ended.Add(1)
+				crashes.Add(1)
 				return loseConnection(ctx, request)
 			})
 		}
 		_, err := f.execute(nil)
 		Expect(outcome.Of(err)).To(Equal(outcome.Unknown))
-		Expect(ended.Load()).To(BeNumerically("<=", 8+2+2), "eight primaries, the two retries sent before the request is suspect, and two trials")
+		Expect(crashes.Load()).To(BeNumerically("<=", 8+2+2), "eight primaries, the two retries sent before the request is suspect, and two trials")
 	}))
 
 	It("is answered by the other servers if it did not cause the crashes", inVirtualTime(func() {
