--- a/pkg/quota/account_test.go
+++ b/pkg/quota/account_test.go
@@ -11,17 +11,19 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// first is the view of a first coordinator of 67 nodes that all answer.
+// firstCoordinatorView is the view of a first coordinator of 67 nodes that all answer.
 var firstCoordinatorView = quota.DeploymentView{IsFirst: true, Nodes: 67}
 
 var largeLimit = route.RateLimit{PerSecond: 60, Burst: 60}
 
-// report is what a node tells of counts since its start, nothing of it acknowledged before.
+// report returns the usage of a node with the given counts since its start, none of them
+// acknowledged.
 func report(requests, admitted int) quota.Usage {
 	return quota.Usage{Incarnation: 1, Requests: uint64(requests), Admitted: int64(admitted), NewRequests: uint64(requests), NewAdmitted: int64(admitted), Share: 1}
 }
 
-// TestADuplicateReportCountsOnce, and so does one whose answer was lost.
+// TestADuplicateReportCountsOnce guards against counting a report twice that arrives again, or that
+// is repeated because its answer was lost.
 func TestADuplicateReportCountsOnce(t *testing.T) {
 	g := NewWithT(t)
 	once, twice := quota.NewAccount(largeLimit, bounds, start, start), quota.NewAccount(largeLimit, bounds, start, start)
@@ -37,7 +39,8 @@
 	g.Expect(once.Stats(now).Tokens).To(BeNumerically("~", 10, 0.01))
 }
 
-// TestARestartedProcessCountsFromZero.
+// TestARestartedProcessCountsFromZero guards against subtracting the counts of an earlier run of a
+// node from those of the new one.
 func TestARestartedProcessCountsFromZero(t *testing.T) {
 	g := NewWithT(t)
 	account := quota.NewAccount(largeLimit, bounds, start, start)
@@ -49,8 +52,9 @@
 	g.Expect(account.Stats(now).Tokens).To(BeNumerically("~", 25, 0.01))
 }
 
-// TestANewAccountGrantsTheRateButNoBurst: what was spent under the coordinator before is not
-// known, and a tenant within its limit is served all the same.
+// TestANewAccountGrantsTheRateButNoBurst guards against a second burst when the coordinator
+// changes: the new one does not know what was spent before. A tenant within its limit is still
+// served.
 func TestANewAccountGrantsTheRateButNoBurst(t *testing.T) {
 	g := NewWithT(t)
 	withinLimit, overloaded := quota.NewAccount(largeLimit, bounds, start, start), quota.NewAccount(largeLimit, bounds, start, start)
@@ -65,7 +69,8 @@
 	g.Expect(overloaded.Verdict(firstCoordinatorView, start.Add(time.Second)).Share).To(BeNumerically("<", 0.1))
 }
 
-// TestANewCoordinatorKeepsTheShareOfTheOneBefore until it has heard of all requests.
+// TestANewCoordinatorKeepsTheShareOfTheOneBefore guards against a share of 1 from a coordinator
+// that has received few reports so far.
 func TestANewCoordinatorKeepsTheShareOfTheOneBefore(t *testing.T) {
 	g := NewWithT(t)
 	account := quota.NewAccount(largeLimit, bounds, start, start)
@@ -75,8 +80,8 @@
 	g.Expect(account.Verdict(firstCoordinatorView, start.Add(20*time.Millisecond)).Share).To(BeNumerically("<=", 0.125))
 }
 
-// TestSilentNodesKeepTheirEntitlements: a zone that is cut off goes on with them, and the
-// others have the rest.
+// TestSilentNodesKeepTheirEntitlements guards against granting the whole limit while nodes are cut
+// off that keep admitting by their entitlements: the other nodes have the rest only.
 func TestSilentNodesKeepTheirEntitlements(t *testing.T) {
 	g := NewWithT(t)
 	account := quota.NewAccount(largeLimit, bounds, start, start)
@@ -93,12 +98,13 @@
 	g.Expect(account.Stats(now).Tokens - before).To(BeNumerically("~", 30, 3))
 }
 
-// TestAStandInGrantsOnlyTheEntitlementsOfItsNodes: two coordinators of one tenant grant no more than one.
+// TestAStandInGrantsOnlyTheEntitlementsOfItsNodes guards against two coordinators of one tenant
+// that each grant the whole limit.
 func TestAStandInGrantsOnlyTheEntitlementsOfItsNodes(t *testing.T) {
 	g := NewWithT(t)
 	standIn := quota.DeploymentView{Nodes: 67}
 	account := quota.NewAccount(largeLimit, bounds, start, start)
-	// More than its first burst is spent, so that the bucket does not run over.
+	// More than its first burst is spent, so that the bucket does not overflow.
 	usage := report(20, 20)
 	usage.EntitledRate = 4
 	account.AddReport("a", usage, standIn, start)
@@ -108,7 +114,8 @@
 	g.Expect(account.Stats(start).Tokens - before).To(BeNumerically("~", 8, 1.5))
 }
 
-// TestALimitLoweredFarBelowTheDemandTakesEffectAtOnce: what was saved up counts no more.
+// TestALimitLoweredFarBelowTheDemandTakesEffectAtOnce guards against spending tokens that were
+// saved under the old limit.
 func TestALimitLoweredFarBelowTheDemandTakesEffectAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	account := quota.NewAccount(largeLimit, bounds, start, start)
@@ -121,7 +128,8 @@
 	g.Expect(account.Stats(now).Tokens).To(BeNumerically("<", 0))
 }
 
-// TestACoordinatorThatWasSuspendedGrantsNoBurst: a stand-in may have spent it.
+// TestACoordinatorThatWasSuspendedGrantsNoBurst guards against a second burst: a stand-in may have
+// spent it meanwhile.
 func TestACoordinatorThatWasSuspendedGrantsNoBurst(t *testing.T) {
 	g := NewWithT(t)
 	account := quota.NewAccount(largeLimit, bounds, start, start)
--- a/pkg/quota/failure_test.go
+++ b/pkg/quota/failure_test.go
@@ -11,14 +11,14 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// failure is one thing that goes wrong while a tenant asks many times its usual.
+// failure is a fault that is injected while a tenant sends many times its usual rate.
 type failure struct {
 	name string
-	// strike brings it about and returns what ends it.
+	// inject starts the fault and returns a function that ends it.
 	inject func(d *deployment) func()
 }
 
-// silence cuts some nodes off from the others without a word.
+// partition cuts some nodes off from the others; messages between them are lost silently.
 func partition(from, to int) func(d *deployment) func() {
 	return func(d *deployment) func() {
 		rest := append(d.addresses(0, from), d.addresses(to, len(d.nodes))...)
@@ -27,7 +27,7 @@
 	}
 }
 
-// alone cuts some nodes off from all others and from each other.
+// isolateEach cuts some nodes off from all others and from each other.
 func isolateEach(from, to int) func(d *deployment) func() {
 	return func(d *deployment) func() {
 		for _, node := range d.addresses(from, to) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// coordinatorOf returns the index of the node to which others report a tenant.
+// coordinatorOf returns the index of the node to which the others report a tenant.
 func (d *deployment) coordinatorOf(tenant string) int {
 	name := d.nodes[0].limiter.Coordinator(tenant)
 	for index, node := range d.nodes {
@@ -92,8 +92,9 @@
 	d.network.Transport(peer.Address(d.nodes[index].name)).Close()
 }
 
-// TestTheSumHoldsWhateverFails while a tenant asks twelve times its usual, from before the
-// failure, from its moment or from a second into it.
+// TestTheSumHoldsWhateverFails guards against nodes that together exceed the bound during a
+// failure. The tenant sends twelve times its usual rate from before the failure, from its start, or
+// from a second after it.
 func TestTheSumHoldsWhateverFails(t *testing.T) {
 	for tenant, limit := range tenants() {
 		for _, injected := range failures(tenant) {
@@ -129,9 +130,10 @@
 	}
 }
 
-// TestTheSumHoldsWhileAllNodesAreAlone: nobody sees any other, whether a tenant begins to ask
-// twelve times its usual before that, at that moment, a second into it, or when every node has
-// saved up what it may. The more nodes, the less may each add.
+// TestTheSumHoldsWhileAllNodesAreAlone guards against isolated nodes that together exceed the
+// bound. Each of them is cut off from all others. The tenant starts to send twelve times its usual
+// rate before that, at that moment, a second later, or when every node has saved up its maximum.
+// The more nodes there are, the less each may add.
 func TestTheSumHoldsWhileAllNodesAreAlone(t *testing.T) {
 	for tenant := range tenants() {
 		for _, lead := range []time.Duration{3 * time.Second, 0, -time.Second, -20 * time.Second} {
@@ -178,12 +180,12 @@
 	}
 }
 
-// TestTenantsWithinTheirLimitsLoseLittleInACut, many of them small, whether a zone is cut off
-// or a third of the nodes, each alone.
+// TestTenantsWithinTheirLimitsLoseLittleInACut guards against refusing requests below the limit, of
+// many small tenants, while a zone is cut off or a third of the nodes are each isolated.
 func TestTenantsWithinTheirLimitsLoseLittleInACut(t *testing.T) {
 	for _, injected := range []struct {
 		failure
-		// lost is the greatest share of all requests that is refused.
+		// maxRefusedShare is the maximum refused share of all requests.
 		maxRefusedShare float64
 	}{
 		{failure{"a zone is cut off", partition(0, 11)}, 0.02},
@@ -218,7 +220,8 @@
 	}
 }
 
-// TestALoweredLimitTakesHoldWithinAWindow, far below what is sent.
+// TestALoweredLimitTakesHoldWithinAWindow guards against admitting the old rate after a limit was
+// lowered far below the demand.
 func TestALoweredLimitTakesHoldWithinAWindow(t *testing.T) {
 	lowered := route.RateLimit{PerSecond: 4, Burst: 4}
 	highest, admitted := 0, 0
@@ -240,7 +243,8 @@
 	g.Expect(admitted).To(BeNumerically(">=", 36))
 }
 
-// TestASilentCoordinatorDelaysNoRequest: a coordinator that is silent costs a request no time.
+// TestASilentCoordinatorDelaysNoRequest guards against requests that wait for a coordinator that
+// does not answer.
 func TestASilentCoordinatorDelaysNoRequest(t *testing.T) {
 	var took time.Duration
 	simulate(t, 12, tenants(), func(d *deployment) {
@@ -254,7 +258,8 @@
 	NewWithT(t).Expect(took).To(BeZero())
 }
 
-// TestOneTenantAtItsLimitCostsOthersNothing.
+// TestOneTenantAtItsLimitCostsOthersNothing guards against refusing requests of tenants within
+// their limits while another one exceeds its own.
 func TestOneTenantAtItsLimitCostsOthersNothing(t *testing.T) {
 	var refused map[string]int
 	simulate(t, 67, tenants(), func(d *deployment) {
@@ -266,7 +271,8 @@
 	g.Expect(refused["large"]).NotTo(BeZero())
 }
 
-// TestRollingRestartOfAllNodes refuse nothing below the limit.
+// TestRollingRestartOfAllNodes guards against refusing requests below the limit while all nodes are
+// restarted one after the other.
 func TestRollingRestartOfAllNodes(t *testing.T) {
 	asked, refused := 0, 0
 	simulate(t, 20, tenants(), func(d *deployment) {
--- a/pkg/quota/meter_test.go
+++ b/pkg/quota/meter_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// meterWithShare returns a meter whose first coordinator told a share.
+// meterWithShare returns a meter that has received the given share from the first coordinator.
 func meterWithShare(limit route.RateLimit, share, spare float64) *quota.Meter {
 	meter := quota.NewMeter("caller", limit, bounds, 67, false, start)
 	meter.SetMode(quota.WithFirst, start)
@@ -22,8 +22,9 @@
 	return meter
 }
 
-// TestARequestRepeatedAtOnceIsRefusedAgain, while one that comes back when it was told to
-// has a new chance.
+// TestARequestRepeatedAtOnceIsRefusedAgain guards against clients that gain by repeating a refused
+// request at once, or whose repetitions count as demand. A request that is retried after the
+// returned delay has a new chance.
 func TestARequestRepeatedAtOnceIsRefusedAgain(t *testing.T) {
 	g := NewWithT(t)
 	meter := meterWithShare(route.RateLimit{PerSecond: 50, Burst: 50}, 0.2, 0)
@@ -49,7 +50,7 @@
 	g.Expect(chances).To(BeNumerically(">", 0))
 }
 
-// TestAllNodesDecideAlikeAboutARequest: asking another node does not help.
+// TestAllNodesDecideAlikeAboutARequest guards against clients that gain by trying another node.
 func TestAllNodesDecideAlikeAboutARequest(t *testing.T) {
 	g := NewWithT(t)
 	limit := route.RateLimit{PerSecond: 5000, Burst: 5000}
@@ -66,8 +67,8 @@
 	g.Expect(admitted).To(BeNumerically("~", 2000, 120))
 }
 
-// TestAnIsolatedNodeKeepsItsRecentRate: in five seconds it admits what it admitted before
-// and its part of what nobody used.
+// TestAnIsolatedNodeKeepsItsRecentRate guards against losing traffic within the limit when a node
+// is cut off: in five seconds it admits its recent rate plus its part of the unused limit.
 func TestAnIsolatedNodeKeepsItsRecentRate(t *testing.T) {
 	g := NewWithT(t)
 	meter := meterWithShare(route.RateLimit{PerSecond: 63, Burst: 63}, 1, 0.3)
@@ -94,7 +95,8 @@
 	g.Expect(admittedIsolated).To(BeNumerically("~", 5*2.3+1, 2))
 }
 
-// TestNodesThatStartTogetherAdmitTogetherNoMoreThanTheLimit: nobody has told them anything.
+// TestNodesThatStartTogetherAdmitTogetherNoMoreThanTheLimit guards against nodes that exceed the
+// limit together before they have received any verdict.
 func TestNodesThatStartTogetherAdmitTogetherNoMoreThanTheLimit(t *testing.T) {
 	g := NewWithT(t)
 	for _, limit := range tenants() {
@@ -111,7 +113,8 @@
 	}
 }
 
-// TestAStaleShareIsNotApplied: the coordinator repeats it, so that it has been lost.
+// TestAStaleShareIsNotApplied guards against applying an old share: coordinators repeat a share
+// below 1, so the repetitions were lost.
 func TestAStaleShareIsNotApplied(t *testing.T) {
 	g := NewWithT(t)
 	meter := meterWithShare(route.RateLimit{PerSecond: 63, Burst: 63}, 0.9, 0.2)
@@ -124,8 +127,8 @@
 	g.Expect(admitted).To(BeNumerically("<=", 1))
 }
 
-// TestUnacknowledgedRequestsAreBounded: a node that asks much while its coordinator has just fallen
-// silent admits a burst.
+// TestUnacknowledgedRequestsAreBounded guards against a node that keeps admitting all requests
+// while its coordinator has just stopped answering: it may admit about a burst.
 func TestUnacknowledgedRequestsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	meter := meterWithShare(route.RateLimit{PerSecond: 10, Burst: 10}, 1, 0)
@@ -138,8 +141,9 @@
 	g.Expect(admitted).To(BeNumerically("<=", 13))
 }
 
-// TestIsolatedNodesHaveDifferentRoundingOffsets: where each node may admit a part of a request, as many admit
-// a whole one as there are parts of it, also long after they were cut off.
+// TestIsolatedNodesHaveDifferentRoundingOffsets guards against rounding errors of many nodes that
+// add up: where each node may admit only a fraction of a request, as many nodes admit a whole one
+// as the fractions add up to, also long after they were cut off.
 func TestIsolatedNodesHaveDifferentRoundingOffsets(t *testing.T) {
 	g := NewWithT(t)
 	limit := route.RateLimit{PerSecond: 5, Burst: 5}
@@ -160,8 +164,8 @@
 	}
 }
 
-// TestANodeInDoubtAdmitsNoMoreThanAnIsolatedOne: a coordinator has fallen silent, and whether others answer
-// is not known yet.
+// TestANodeInDoubtAdmitsNoMoreThanAnIsolatedOne guards against a node that admits too much after a
+// coordinator has stopped answering and before it is known whether others answer.
 func TestANodeInDoubtAdmitsNoMoreThanAnIsolatedOne(t *testing.T) {
 	g := NewWithT(t)
 	request := func(isInDoubt bool) (admitted int) {
@@ -178,8 +182,8 @@
 	g.Expect(request(true)).To(BeNumerically("<=", 1))
 }
 
-// TestAReconnectedNodeRefusesNothingWithinTheLimit: what it admitted alone was within its
-// own part, and does not count as unacknowledged.
+// TestAReconnectedNodeRefusesNothingWithinTheLimit guards against counting requests that a node
+// admitted by its entitlement as unacknowledged.
 func TestAReconnectedNodeRefusesNothingWithinTheLimit(t *testing.T) {
 	g := NewWithT(t)
 	meter := quota.NewMeter("caller", route.RateLimit{PerSecond: 10, Burst: 10}, bounds, 2, true, start)
@@ -195,8 +199,9 @@
 	g.Expect(meter.Admit("back", now).IsAdmitted).To(BeTrue())
 }
 
-// TestANewIsolatedMeterAdmitsOneRequest: what it admitted in its run before, a moment
-// ago, is not known. One that has been there for a window may use what the window has left.
+// TestANewIsolatedMeterAdmitsOneRequest guards against a restarted node that admits its part again:
+// what it admitted a moment ago, in the run before, is unknown. A node that has counted for a whole
+// window may use what the window has left.
 func TestANewIsolatedMeterAdmitsOneRequest(t *testing.T) {
 	g := NewWithT(t)
 	admittedIsolated := func(age time.Duration) (admitted int) {
@@ -216,13 +221,15 @@
 	g.Expect(admittedIsolated(bounds.Window)).To(BeNumerically(">", 25))
 }
 
-// TestAnIsolatedNodeSpendsNoBurstThatOthersMayHaveSpent: the tenant was at its limit a moment ago, and a
-// coordinator that has just taken over does not know of it.
+// TestAnIsolatedNodeSpendsNoBurstThatOthersMayHaveSpent guards against spending a burst twice: the
+// tenant was at its limit a moment ago, and a coordinator that has just taken over does not know of
+// it.
 func TestAnIsolatedNodeSpendsNoBurstThatOthersMayHaveSpent(t *testing.T) {
 	g := NewWithT(t)
 	limit := route.RateLimit{PerSecond: 10, Burst: 10}
-	// admittedIsolated returns what a node of six admits in a window, alone for a second after it was told that the
-	// tenant is within its limit again, which it had been for a span.
+	// admittedIsolated returns what one of six nodes admits in a window while isolated. Isolation
+	// starts when it is told that the tenant is within its limit again, the given span after the
+	// tenant was at its limit.
 	admittedIsolated := func(span time.Duration) (admitted int) {
 		meter := quota.NewMeter("caller", limit, bounds, 6, true, start)
 		meter.SetMode(quota.WithFirst, start)
@@ -242,8 +249,8 @@
 	g.Expect(admittedIsolated(10 * time.Second)).To(BeNumerically(">", 9))
 }
 
-// TestAReportAnsweredOutOfTouchLeavesNothingOwed: the node has gone out of touch while its report was under way, and the answer
-// comes all the same.
+// TestAReportAnsweredOutOfTouchLeavesNothingOwed guards against counters that underflow when a node
+// becomes isolated while its report is in progress and the answer still arrives.
 func TestAReportAnsweredOutOfTouchLeavesNothingOwed(t *testing.T) {
 	g := NewWithT(t)
 	meter := meterWithShare(route.RateLimit{PerSecond: 63, Burst: 63}, 0.5, 0.3)
@@ -260,8 +267,9 @@
 	g.Expect(after.NewAdmitted).To(BeZero())
 }
 
-// TestANodeThatReturnsAwaitsAShareThatHolds: many nodes that were each alone return at once, and what each was told
-// before says nothing of what is asked now.
+// TestANodeThatReturnsAwaitsAShareThatHolds guards against many isolated nodes that reconnect at
+// the same time and admit by outdated shares: what each received before says nothing about the
+// current demand.
 func TestANodeThatReturnsAwaitsAShareThatHolds(t *testing.T) {
 	limit := route.RateLimit{PerSecond: 17, Burst: 17}
 	admittedAt := func(meter *quota.Meter, name string, now time.Time) int {
--- a/pkg/quota/one_way_test.go
+++ b/pkg/quota/one_way_test.go
@@ -14,7 +14,7 @@
 
 var errRefused = errors.New("connection refused")
 
-// refusable is the transport of a node that cannot open connections to some addresses.
+// refusingTransport is the transport of a node that cannot open connections to some addresses.
 type refusingTransport struct {
 	peer.Transport
 	deployment *deployment
@@ -31,17 +31,17 @@
 	return r.Transport.Call(ctx, address, kind, request, reply)
 }
 
-// setRefusing lets a node refuse all connections while those that it opens itself work, as one
-// whose queue of new connections is full, or lets it take them again.
+// setRefusing makes a node refuse all incoming connections, as with a full accept queue, while the
+// connections that it opens itself work; or makes it accept them again.
 func (d *deployment) setRefusing(node int, isRefusing bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.refusing[peer.Address(d.nodes[node].name)] = isRefusing
 }
 
-// TestTheSumHoldsWhileACoordinatorReachesOthersAndNobodyReachesIt: half of the requests of a tenant
-// at twelve times its usual come to that node, which would have the whole limit for them, and the
-// others turn to a stand-in.
+// TestTheSumHoldsWhileACoordinatorReachesOthersAndNobodyReachesIt guards against granting the limit
+// twice: the coordinator receives half of the requests of a tenant at twelve times its usual rate
+// and could grant the whole limit to them, while the other nodes report to a stand-in.
 func TestTheSumHoldsWhileACoordinatorReachesOthersAndNobodyReachesIt(t *testing.T) {
 	for tenant, limit := range tenants() {
 		for _, lead := range []time.Duration{3 * time.Second, 0} {
--- a/pkg/quota/overload_test.go
+++ b/pkg/quota/overload_test.go
@@ -9,15 +9,15 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// tenants are the limits of the tests: few large callers and many small ones.
+// tenants returns the limits used in the tests: few large callers and many small ones.
 func tenants() map[string]route.RateLimit {
 	return map[string]route.RateLimit{
 		"large": {PerSecond: 63, Burst: 63}, "medium": {PerSecond: 17, Burst: 17}, "small": {PerSecond: 5, Burst: 5},
 	}
 }
 
-// TestTenantAtEightTimesItsLimitGetsItAndNoMore, whether its requests come to all nodes alike or
-// mostly to one.
+// TestTenantAtEightTimesItsLimitGetsItAndNoMore guards against exceeding or wasting the limit under
+// overload, whether the requests arrive evenly at all nodes or mostly at one.
 func TestTenantAtEightTimesItsLimitGetsItAndNoMore(t *testing.T) {
 	for _, tenant := range []string{"large", "medium", "small"} {
 		for _, kind := range []string{"even", "skewed"} {
--- a/pkg/quota/power_loss_test.go
+++ b/pkg/quota/power_loss_test.go
@@ -11,11 +11,11 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// startInterval is the time between the starts of two nodes after a loss of all power.
+// startInterval is the time between the starts of two nodes after a power loss of all nodes.
 const startInterval = 20 * time.Millisecond
 
-// powerCycle ends all nodes and starts them one after the other, while clients ask those that are there.
-// known returns the nodes that each of those that have been started knows.
+// powerCycle ends all nodes and starts them one after the other, while clients send requests to
+// those that are running. knownNodes returns the node list of each started node.
 func (d *deployment) powerCycle(knownNodes func(node, started int) []quota.Node, loads ...load) {
 	for index := range d.nodes {
 		d.kill(index)
@@ -38,11 +38,13 @@
 	}
 }
 
-// maxRefusedAfterPowerLoss is the greatest part of the requests within limits that is refused in the first seconds after a loss
-// of all power: most of it before the coordinators have started.
+// maxRefusedAfterPowerLoss is the maximum part of the requests within limits that may be refused in
+// the first seconds after a power loss of all nodes; most of it before the coordinators have
+// started.
 const maxRefusedAfterPowerLoss = 0.12
 
-// TestTenantsWithinTheirLimitsLoseLittleAfterALossOfPower: no process knows what the one before it admitted.
+// TestTenantsWithinTheirLimitsLoseLittleAfterALossOfPower guards against refusing too many requests
+// below the limit after all nodes restart, when no process knows what the one before it admitted.
 func TestTenantsWithinTheirLimitsLoseLittleAfterALossOfPower(t *testing.T) {
 	limits := tenants()
 	for number := range 71 {
@@ -73,8 +75,10 @@
 	NewWithT(t).Expect(float64(refused)).To(BeNumerically("<=", maxRefusedAfterPowerLoss*float64(asked)))
 }
 
-// TestTheSumHoldsWhileListsOfNodesDiffer after a loss of all power: the entries of all nodes have lapsed, and each
-// hears late of those that start after it, so that several nodes take themselves for a tenant's first coordinator.
+// TestTheSumHoldsWhileListsOfNodesDiffer guards against granting the limit several times after a
+// power loss of all nodes: the entries of all nodes have expired, and each node learns late of
+// those that start after it, so that several nodes regard themselves as a tenant's first
+// coordinator.
 func TestTheSumHoldsWhileListsOfNodesDiffer(t *testing.T) {
 	for tenant, limit := range tenants() {
 		for _, delay := range []time.Duration{0, 500 * time.Millisecond, time.Second, 2 * time.Second} {
@@ -86,7 +90,8 @@
 	}
 }
 
-// expectBoundWhileListsDiffer plays one loss of power, after which each node is heard of late.
+// expectBoundWhileListsDiffer simulates one power loss after which each node becomes known to the
+// others with a delay, and expects that the bound holds.
 func expectBoundWhileListsDiffer(t *testing.T, seed uint64, tenant string, limit route.RateLimit, delay time.Duration) {
 	t.Helper()
 	highest := 0
@@ -118,8 +123,9 @@
 	NewWithT(t).Expect(float64(highest)).To(BeNumerically("<=", allowedInWindow(limit)))
 }
 
-// TestTheSumOfASmallTenantHoldsWhileListsOfNodesDiffer in whatever order requests come: one more at each of a few nodes
-// is beyond the bound of the smallest tenant.
+// TestTheSumOfASmallTenantHoldsWhileListsOfNodesDiffer guards the same bound with several orders of
+// requests: for the smallest tenant, one additional request at each of a few nodes exceeds the
+// bound.
 func TestTheSumOfASmallTenantHoldsWhileListsOfNodesDiffer(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed+1), func(t *testing.T) {
@@ -129,8 +135,9 @@
 	}
 }
 
-// expectBoundWhileSomeAreListed is a loss of all power that some entries of nodes outlasted: one in some nodes is in the list when the
-// processes start, and of the others each hears late.
+// expectBoundWhileSomeAreListed simulates a power loss of all nodes after which one in several
+// nodes is still in the node list when the processes start, while the others become known with a
+// delay.
 func expectBoundWhileSomeAreListed(t *testing.T, delay time.Duration) {
 	for tenant, limit := range tenants() {
 		for _, oneIn := range []int{2, 4, 8} {
@@ -172,12 +179,14 @@
 	}
 }
 
-// TestTheSumHoldsWhileSomeNodesAreListed and lists differ for half a second.
+// TestTheSumHoldsWhileSomeNodesAreListed guards against granting the limit several times while some
+// nodes are listed and lists differ for half a second.
 func TestTheSumHoldsWhileSomeNodesAreListed(t *testing.T) {
 	expectBoundWhileSomeAreListed(t, 500*time.Millisecond)
 }
 
-// TestTheSumHoldsWhileSomeNodesAreListedAndOthersLate by two seconds.
+// TestTheSumHoldsWhileSomeNodesAreListedAndOthersLate does the same with lists that differ for two
+// seconds.
 func TestTheSumHoldsWhileSomeNodesAreListedAndOthersLate(t *testing.T) {
 	expectBoundWhileSomeAreListed(t, 2*time.Second)
 }
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -15,11 +15,12 @@
 // kindReport is the message by which a node reports to a coordinator.
 const kindReport peer.Kind = "quota.report"
 
-// maxHighUsageVerdicts is the number of tenants of which an answer to an empty report tells: every node sends one
-// every half second or so, and the accounts are locked while it is answered. Which ones varies.
+// maxHighUsageVerdicts is the maximum number of tenants in the answer to an empty report. Every
+// node sends one every half second or so, and the accounts are locked while it is answered. Which
+// tenants are included varies.
 const maxHighUsageVerdicts = 16
 
-// report tells each coordinator what is new for it.
+// report sends each coordinator the usage that is new to it.
 func (l *Limiter) report(ctx context.Context, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -27,8 +28,8 @@
 	for tenant, entry := range l.meters {
 		name := l.coordinator(entry.ranked)
 		if name == "" || l.links[name].isCalling {
-			// What is not told now is told by the next report: at the end of the call, or
-			// when a coordinator answers.
+			// Usage that is not reported now is in the next report: at the end of the call, or when
+			// a coordinator answers.
 			continue
 		}
 		usage, isNew := entry.meter.Report(l.options.Incarnation, now)
@@ -49,8 +50,9 @@
 	}
 }
 
-// call sends a report to a coordinator and takes the answer; told is what the report holds, empty if it
-// only asks whether the coordinator answers. The caller holds the mutex.
+// call sends a report to a coordinator and applies the answer. reported is the content of the
+// report, empty if the call only checks whether the coordinator answers. The caller holds the
+// mutex.
 func (l *Limiter) call(ctx context.Context, name string, message *quotapb.Report, reported map[string]Usage) {
 	if l.isStopped {
 		return
@@ -64,7 +66,7 @@
 		answer := &quotapb.Verdicts{}
 		err := l.options.Transport.Call(limited, address, kindReport, message, answer)
 		if ctx.Err() != nil {
-			// The call ended because this node stops: it tells nothing of the coordinator.
+			// The call ended because this node stops, which says nothing about the coordinator.
 			return
 		}
 		now := time.Now()
@@ -76,13 +78,13 @@
 		} else if err == nil {
 			l.applyVerdicts(ctx, name, decodeVerdicts(answer), now)
 		}
-		// Requests may have come while the call was under way, also while it only asked whether
-		// the coordinator answers.
+		// Requests may have arrived during the call, also during one that only checks the
+		// coordinator.
 		l.requestReport()
 	})
 }
 
-// acknowledge takes the answer to a report. The caller holds the mutex.
+// acknowledge applies the answer to a report. The caller holds the mutex.
 func (l *Limiter) acknowledge(reported map[string]Usage, verdicts map[string]Verdict, now time.Time) {
 	for tenant, usage := range reported {
 		entry := l.meters[tenant]
@@ -113,11 +115,12 @@
 	return encodeVerdicts(l.recordReport(string(from), decodeUsages(message), l.lastReportAt)), nil
 }
 
-// errNoLimitsKnown answers a node that takes this one for a coordinator: it has just started, or its
-// configuration has no tenants, so that it would tell a share of 1 whatever is asked.
+// errNoLimitsKnown answers a node that regards this one as a coordinator: this node has just
+// started, or its configuration has no tenants, so that it would answer with a share of 1 whatever
+// the demand.
 var errNoLimitsKnown = errors.New("no configuration with tenants is known here")
 
-// highUsageVerdicts returns the verdicts on some tenants that use much of their limits, for a node that asks
+// highUsageVerdicts returns the verdicts on some tenants with a high usage, for a node that checks
 // whether this one answers. The caller holds the mutex.
 func (l *Limiter) highUsageVerdicts(now time.Time) map[string]Verdict {
 	verdicts := make(map[string]Verdict)
@@ -130,20 +133,20 @@
 	return verdicts
 }
 
-// noteContact notes that a node is in touch. The caller holds the mutex.
+// noteContact records that a node is in contact. The caller holds the mutex.
 func (l *Limiter) noteContact(name string) {
 	delete(l.silent, name)
 	delete(l.departed, name)
 }
 
-// take counts the report of a node and returns the verdicts on its tenants. The caller holds
-// the mutex.
+// recordReport counts the report of a node and returns the verdicts on its tenants. The caller
+// holds the mutex.
 func (l *Limiter) recordReport(from string, usages map[string]Usage, now time.Time) map[string]Verdict {
 	verdicts := make(map[string]Verdict, len(usages))
 	for tenant, usage := range usages {
 		limit, isKnown := l.options.LimitOf(tenant)
 		if !isKnown || !limit.IsBound() {
-			// The reporting node has another configuration, and holds the tenant to the limit in that.
+			// The reporting node has a different configuration and applies the limit in that one.
 			verdicts[tenant] = Verdict{Share: 1}
 			continue
 		}
@@ -180,12 +183,13 @@
 	return len(top) > 0 && top[0] == l.options.Local
 }
 
-// contact returns what this node knows of the others. The caller holds the mutex.
+// deploymentView returns what this node knows about the other nodes. The caller holds the mutex.
 func (l *Limiter) deploymentView(entry *tenantAccount) DeploymentView {
 	return DeploymentView{IsFirst: entry.isFirst, IsSettling: l.isSettling(time.Now()), Nodes: l.nodeCount() + len(l.departed), Silent: l.silent}
 }
 
-// trackLimit follows whether a tenant is at its limit, and tells when it has come to it. The caller holds the mutex.
+// trackLimit records whether a tenant is at its limit and sends an event when it has reached it.
+// The caller holds the mutex.
 func (l *Limiter) trackLimit(tenant string, entry *tenantAccount, verdict Verdict, now time.Time) {
 	if verdict.Share < 1 {
 		entry.withinLimitSince = time.Time{}
@@ -200,7 +204,7 @@
 	}
 }
 
-// encodeReport returns the message for what a node had of its tenants.
+// encodeReport returns the message that reports a node's usage of its tenants.
 func encodeReport(incarnation uint64, usages map[string]Usage) *quotapb.Report {
 	message := &quotapb.Report{Start: incarnation, Uses: make([]*quotapb.Use, 0, len(usages))}
 	for tenant, use := range usages {
--- a/pkg/quota/restart_series_test.go
+++ b/pkg/quota/restart_series_test.go
@@ -12,19 +12,20 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// series is a way in which nodes lose touch while their processes start again, one after the other.
+// restartSeries is a scenario in which nodes are isolated while processes restart one after the
+// other.
 type restartSeries struct {
 	name string
-	// cut puts the nodes out of touch.
+	// isolate cuts the nodes off.
 	isolate func(d *deployment, tenant string)
-	// restarted returns the nodes whose processes start again.
+	// restarted returns the nodes whose processes restart.
 	restarted func(d *deployment, tenant string) []int
-	// usual is for how long the tenant stays within its limit after that.
+	// withinLimit is how long the tenant stays within its limit after the isolation.
 	withinLimit time.Duration
 }
 
-// coordinatorsOf returns the nodes that coordinate a tenant for the whole deployment: the first one, and the one
-// that stands in for it.
+// coordinatorsOf returns the nodes that coordinate a tenant for the whole deployment: the first one
+// and its stand-in.
 func (d *deployment) coordinatorsOf(tenant string) []int {
 	var names []string
 	for _, node := range d.nodes {
@@ -71,7 +72,8 @@
 	}
 }
 
-// restartOneByOne starts the processes of some nodes again, one after the other, each once in a span.
+// restartOneByOne restarts the processes of the given nodes one after the other during span, each
+// of them once per roundTime.
 func (d *deployment) restartOneByOne(nodes []int, roundTime, span time.Duration, traffic load) {
 	for begun, next := time.Now(), 0; time.Since(begun) < span; next++ {
 		index := nodes[next%len(nodes)]
@@ -82,8 +84,9 @@
 	}
 }
 
-// TestAProcessThatHasJustStartedAdmitsNothingOutOfTouch, whether it has been in touch or not, for a window: an earlier
-// one may have admitted all that the node may admit in it.
+// TestAProcessThatHasJustStartedAdmitsNothingOutOfTouch guards against restarted nodes that admit
+// their part again, whether or not they have had contact. For a window they admit nothing while
+// isolated, since an earlier process may have admitted all that the node may admit in it.
 func TestAProcessThatHasJustStartedAdmitsNothingOutOfTouch(t *testing.T) {
 	g := NewWithT(t)
 	for _, wasInTouch := range []bool{false, true} {
@@ -98,8 +101,9 @@
 	}
 }
 
-// TestAFirstCoordinatorThatNobodyHasHeardIsAlone: it has just started, and does not know yet that all others are out
-// of its reach and turn to another one.
+// TestAFirstCoordinatorThatNobodyHasHeardIsAlone guards against a restarted first coordinator that
+// grants the limit to itself: it does not know yet that all other nodes are out of reach and report
+// to another coordinator.
 func TestAFirstCoordinatorThatNobodyHasHeardIsAlone(t *testing.T) {
 	atOnce, later := "", ""
 	simulate(t, 12, tenants(), func(d *deployment) {
@@ -118,8 +122,9 @@
 	g.Expect(later).NotTo(BeEmpty())
 }
 
-// TestTheSumHoldsWhileProcessesOutOfTouchStartInSeries: a tenant asks many times its limit, and each process
-// that starts has forgotten what the one before it admitted.
+// TestTheSumHoldsWhileProcessesOutOfTouchStartInSeries guards against exceeding the bound by
+// restarts: a tenant sends many times its limit, and each process that starts does not know what
+// the one before it admitted.
 func TestTheSumHoldsWhileProcessesOutOfTouchStartInSeries(t *testing.T) {
 	limits := map[string]route.RateLimit{"large": {PerSecond: 63, Burst: 63}, "small": {PerSecond: 10, Burst: 10}}
 	for tenant, limit := range limits {
--- a/pkg/quota/resume_test.go
+++ b/pkg/quota/resume_test.go
@@ -11,8 +11,9 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// TestASuspendedMachineIsIsolatedUntilACoordinatorAnswers until a coordinator has answered: what it was told is
-// as old as the suspension was long, which its steady clock does not show.
+// TestASuspendedMachineIsIsolatedUntilACoordinatorAnswers guards against applying outdated verdicts
+// after a suspension. They are as old as the suspension was long, which the machine's monotonic
+// clock does not show.
 func TestASuspendedMachineIsIsolatedUntilACoordinatorAnswers(t *testing.T) {
 	atOnce, later := 0, 0
 	simulate(t, 12, tenants(), func(d *deployment) {
@@ -35,7 +36,8 @@
 	g.Expect(later).To(BeNumerically(">=", 20))
 }
 
-// TestIdleTenantsAreForgotten: memory holds those that were asked for lately.
+// TestIdleTenantsAreForgotten guards against memory that grows with the number of tenants ever
+// seen.
 func TestIdleTenantsAreForgotten(t *testing.T) {
 	before, after := 0, 0
 	limits := make(map[string]route.RateLimit)
@@ -56,7 +58,7 @@
 	g.Expect(after).To(BeZero())
 }
 
-// BenchmarkAdmit is what a request with a limit costs.
+// BenchmarkAdmit measures the cost of deciding about one request.
 func BenchmarkAdmit(b *testing.B) {
 	meter := quota.NewMeter("caller", route.RateLimit{PerSecond: 1e9, Burst: 1e9}, bounds, 67, true, start)
 	meter.SetMode(quota.WithFirst, start)
--- a/pkg/quota/simulation_test.go
+++ b/pkg/quota/simulation_test.go
@@ -20,12 +20,12 @@
 
 var bounds = quota.Bounds{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 
-// allowedInWindow is the bound on the requests in a window.
+// allowedInWindow returns the bound on the requests admitted in a window.
 func allowedInWindow(limit route.RateLimit) float64 {
 	return (limit.PerSecond*bounds.Window.Seconds()+limit.Burst)*(1+bounds.Overshoot) + bounds.Slack
 }
 
-// deployment is a number of limiters on a network under virtual time, and clients.
+// deployment is a set of limiters on a simulated network under virtual time, and their clients.
 type deployment struct {
 	network   *peer.Network
 	nodes     []*simulatedNode
@@ -34,10 +34,10 @@
 	startedAt time.Time
 
 	mutex sync.Mutex
-	// admitted holds when requests of each tenant were admitted, guarded by mutex.
+	// admitted holds the times at which requests of each tenant were admitted, guarded by mutex.
 	admitted map[string][]time.Duration
 	refused  map[string]int
-	// refusing holds the nodes to which no connection can be opened, guarded by mutex.
+	// refusing holds the nodes that refuse connections, guarded by mutex.
 	refusing map[peer.Address]bool
 	waits    []time.Duration
 }
@@ -48,13 +48,13 @@
 	limiter *quota.Limiter
 	stop    context.CancelFunc
 	ended   chan struct{}
-	// hasNoConfiguration says that the node knows no configuration yet.
+	// hasNoConfiguration is set while the node knows no configuration.
 	hasNoConfiguration atomic.Bool
-	// isUnlisted says that the list of nodes did not hold it when its process began.
+	// isUnlisted is set if the node list did not contain the node when its process started.
 	isUnlisted bool
 }
 
-// quiet takes no note of events.
+// ignoredEvents ignores all events.
 type ignoredEvents struct{}
 
 func (ignoredEvents) AtLimit(string, quota.Verdict, quota.AccountStats)    {}
@@ -62,13 +62,13 @@
 func (ignoredEvents) CoordinatorLost(string, error)                        {}
 func (ignoredEvents) CoordinatorRegained(string)                           {}
 
-// simulate runs body with a deployment whose nodes lie 12 ms from each other.
+// simulate runs body with a deployment whose nodes are 12 ms apart.
 func simulate(t testing.TB, count int, limits map[string]route.RateLimit, body func(d *deployment)) {
 	t.Helper()
 	simulateSeed(t, defaultSeed, count, limits, body)
 }
 
-// defaultSeed is the seed of the requests of all simulations but those that say another one.
+// defaultSeed is the seed of the requests in all simulations that set no other one.
 const defaultSeed = 7
 
 func simulateSeed(t testing.TB, seed uint64, count int, limits map[string]route.RateLimit, body func(d *deployment)) {
@@ -97,14 +97,14 @@
 	})
 }
 
-// maxSimulatedNodes bounds the nodes of the simulations that run together: under the race detector each
-// of them takes some 25 MB, and tests that run in parallel are as many as there are processors.
+// maxSimulatedNodes bounds the nodes of all simulations that run at the same time: under the race
+// detector each node takes some 25 MB, and as many tests run in parallel as there are processors.
 const maxSimulatedNodes = 335
 
 var simulationSlots = semaphore.NewWeighted(maxSimulatedNodes)
 
-// play runs body, a simulation of a number of nodes, under virtual time. A benchmark has none of its
-// own: it runs in that of a test.
+// runInVirtualTime runs body, a simulation of the given number of nodes, under virtual time.
+// Benchmarks have no virtual time, so body runs in a test started from the benchmark.
 func runInVirtualTime(t testing.TB, nodes int, body func()) {
 	taken := int64(min(nodes, maxSimulatedNodes))
 	if err := simulationSlots.Acquire(context.Background(), taken); err != nil {
@@ -120,7 +120,7 @@
 	}}})
 }
 
-// start starts a node, or starts it again.
+// start starts or restarts a node.
 func (d *deployment) start(index int) {
 	node := d.nodes[index]
 	isUnlisted := node.isUnlisted
@@ -146,14 +146,14 @@
 	}()
 }
 
-// setNodes tells every node of all.
+// setNodes gives every node the list of all nodes.
 func (d *deployment) setNodes() {
 	for _, node := range d.nodes {
 		node.limiter.SetNodes(d.list())
 	}
 }
 
-// zoneOf returns the zone of a node: eleven stand in each.
+// zoneOf returns the zone of a node; each zone has eleven nodes.
 func zoneOf(index int) string { return fmt.Sprint("zone-", index/11) }
 
 func (d *deployment) list() []quota.Node {
@@ -164,14 +164,14 @@
 	return list
 }
 
-// load is the traffic of one tenant, spread over nodes by weights that add up to 1.
+// load is the traffic of one tenant, distributed over nodes by weights that add up to 1.
 type load struct {
 	tenant    string
 	perSecond float64
 	weights   []float64
 }
 
-// even spreads a tenant's requests over all nodes alike.
+// even distributes a tenant's requests evenly over all nodes.
 func (d *deployment) even(tenant string, perSecond float64) load {
 	weights := make([]float64, len(d.nodes))
 	for index := range weights {
@@ -180,7 +180,7 @@
 	return load{tenant, perSecond, weights}
 }
 
-// skewed spreads them as few connections do: three in ten lie at one node.
+// skewed distributes requests as with few connections: three in ten arrive at one node.
 func (d *deployment) skewed(tenant string, perSecond float64) load {
 	spread := d.even(tenant, perSecond)
 	for index := range spread.weights {
@@ -190,7 +190,7 @@
 	return spread
 }
 
-// run plays loads for a span: Poisson arrivals, in steps of a millisecond.
+// run sends the loads for a span: Poisson arrivals, in steps of a millisecond.
 func (d *deployment) run(span time.Duration, loads ...load) {
 	cumulative := make([][]float64, len(loads))
 	for index, traffic := range loads {
@@ -214,7 +214,7 @@
 	}
 }
 
-// ask sends one request to a node, and reports whether it was admitted.
+// request sends one request to a node and reports whether it was admitted.
 func (d *deployment) request(node int, tenant, id string) bool {
 	d.mutex.Lock()
 	limit := d.limits[tenant]
@@ -229,10 +229,10 @@
 	return true
 }
 
-// moment returns the time since the deployment began.
+// elapsed returns the time since the deployment started.
 func (d *deployment) elapsed() time.Duration { return time.Since(d.startedAt) }
 
-// maxInWindow returns the greatest number of admitted requests in any window.
+// maxInWindow returns the maximum number of admitted requests in any window.
 func (d *deployment) maxInWindow(tenant string) int {
 	admitted, highest, first := d.admitted[tenant], 0, 0
 	for index, at := range admitted {
@@ -244,7 +244,8 @@
 	return highest
 }
 
-// minInWindow returns the least number in the windows that begin and end between two moments.
+// minInWindow returns the minimum number of admitted requests in the windows that lie between two
+// times.
 func (d *deployment) minInWindow(tenant string, from, to time.Duration) int {
 	lowest := -1
 	for begin := from; begin+bounds.Window <= to; begin += 50 * time.Millisecond {
@@ -256,14 +257,14 @@
 	return lowest
 }
 
-// between returns the number of admitted requests between two moments.
+// admittedBetween returns the number of requests admitted between two times.
 func (d *deployment) admittedBetween(tenant string, from, to time.Duration) int {
 	admitted := d.admitted[tenant]
 	return sort.Search(len(admitted), func(i int) bool { return admitted[i] >= to }) -
 		sort.Search(len(admitted), func(i int) bool { return admitted[i] >= from })
 }
 
-// addresses returns those of some nodes.
+// addresses returns the addresses of a range of nodes.
 func (d *deployment) addresses(from, to int) []peer.Address {
 	var found []peer.Address
 	for _, node := range d.nodes[from:to] {
@@ -272,7 +273,7 @@
 	return found
 }
 
-// sent returns the messages that all nodes sent.
+// sent returns the number of messages that all nodes have sent.
 func (d *deployment) sent() quota.MessageCounts {
 	var sum quota.MessageCounts
 	for _, node := range d.nodes {
--- a/pkg/quota/snapshot.go
+++ b/pkg/quota/snapshot.go
@@ -9,100 +9,101 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// Bounds of a Snapshot.
+// Size limits of a Snapshot.
 const (
-	// snapshotTenants is the greatest number of tenants in each list of a snapshot: a request
-	// waits for less than a millisecond while so many are copied.
+	// snapshotTenants is the maximum number of tenants in each list of a snapshot. Requests wait
+	// while tenants are copied, for less than a millisecond with this number.
 	snapshotTenants = 256
-	// snapshotNames is the greatest number of nodes that a snapshot names in one list, so that
-	// a deployment of thousands of nodes has answers of some kilobytes.
+	// snapshotNames is the maximum number of nodes that a snapshot names in one list, so that the
+	// answer of a deployment of thousands of nodes has some kilobytes only.
 	snapshotNames = 256
 )
 
-// Snapshot is a copy of the state of a Limiter at a moment.
+// Snapshot is a copy of the state of a Limiter at one time.
 type Snapshot struct {
-	// Node and Zone are those of the Limiter.
+	// Node and Zone are the name and the zone of the Limiter's node.
 	Node string
 	Zone string
 	// At is when the copy was made, StartedAt since when requests are counted.
 	At        time.Time
 	StartedAt time.Time
-	// Window is the span over which admitted requests are held to a bound.
+	// Window is the span for which the number of admitted requests is bounded.
 	Window time.Duration
-	// Nodes is the number of nodes that this one knows, itself included; Silent are those that
-	// it takes for out of touch, by name, and SilentCount their number.
+	// Nodes is the number of nodes that this node knows, including itself; zero while the node list
+	// is unknown. Silent names the nodes that it regards as cut off, sorted; SilentCount is their
+	// number.
 	Nodes       int
 	Silent      []string
 	SilentCount int
-	// Coordinated are the tenants whose requests over all nodes this node sums up, if one was reported
-	// in the last ten seconds or the tenant is at its limit; the greatest limits first.
-	// CoordinatedLeftOut is the number of those beyond the bound.
+	// Coordinated are the tenants that this node coordinates, if one of their nodes reported in the
+	// last ten seconds or if the tenant is at its limit, largest limits first. CoordinatedLeftOut
+	// is the number of tenants omitted beyond snapshotTenants.
 	Coordinated        []CoordinatedTenant
 	CoordinatedLeftOut int
-	// Served are the tenants of which this node has had requests or a share since its start, the
-	// greatest limits first; in the snapshot of one tenant also if it has had neither. ServedLeftOut
-	// is the number of those beyond the bound.
+	// Served are the tenants for which this node has received requests or a share since its start,
+	// largest limits first. The snapshot of one tenant contains it even without either.
+	// ServedLeftOut is the number of tenants omitted beyond snapshotTenants.
 	Served        []ServedTenant
 	ServedLeftOut int
 }
 
-// CoordinatedTenant is what a coordinator knows of one tenant.
+// CoordinatedTenant is a coordinator's state of one tenant.
 type CoordinatedTenant struct {
 	Tenant string
 	Limit  route.RateLimit
-	// IsFirst says that the node is the tenant's first coordinator; otherwise it stands in for it.
+	// IsFirst is set if the node is the tenant's first coordinator; otherwise it stands in for it.
 	IsFirst bool
-	// RequestsPerSecond is the rate of requests over all nodes that report here, over about two
-	// seconds.
+	// RequestsPerSecond is the rate of requests over all nodes that report here, averaged over
+	// about two seconds.
 	RequestsPerSecond float64
-	// Share is the part of the requests that nodes may admit, Level the tokens that are left;
-	// below zero for requests beyond the limit that are being made up for.
+	// Share is the part of the requests that nodes may admit. Tokens are those left in the bucket,
+	// below zero while requests beyond the limit are being compensated.
 	Share  float64
 	Tokens float64
-	// ReservedPerSecond is the part of the limit that is left to nodes out of touch. It is zero
-	// at a stand-in.
+	// ReservedPerSecond is the part of the limit that is left to silent nodes; zero at a stand-in.
 	ReservedPerSecond float64
-	// Reporting is the number of nodes that reported in the last ten seconds, and of those out of
-	// touch that had reported before.
+	// Reporting is the number of nodes that reported in the last ten seconds, plus the silent nodes
+	// that had reported before.
 	Reporting int
-	// Reporters names those that reported in the last ten seconds; only in the snapshot of one tenant.
+	// Reporters names the nodes that reported in the last ten seconds; only in the snapshot of one
+	// tenant.
 	Reporters []string
-	// AtLimitSince is when the tenant came to its limit; zero if it is within it.
+	// AtLimitSince is when the tenant reached its limit; zero if it is within its limit.
 	AtLimitSince time.Time
 }
 
-// ServedTenant is what a node knows of a tenant whose requests come to it.
+// ServedTenant is a node's state of a tenant whose requests it receives.
 type ServedTenant struct {
 	Tenant string
 	Limit  route.RateLimit
-	// IsIdle says that the tenant was not asked for lately, so that only the limit and the counts
-	// since the start are known.
+	// IsIdle is set if no request of the tenant arrived recently. Only the limit and the counts
+	// since the start are then known.
 	IsIdle bool
-	// Standing is how the node stands to the tenant's coordinators, Coordinator the one to which
-	// it reports; empty if none answers.
+	// Mode states which coordinator the node decides with, Coordinator names the one to which it
+	// reports; empty if none answers.
 	Mode        Mode
 	Coordinator string
-	// Share is what was told last, ShareReceivedAt when; zero if nothing was told. IsShareStale says that
-	// the node does not go by it any more.
+	// Share is the share received last, ShareReceivedAt its time of arrival; zero if none was
+	// received. IsShareStale is set if the node no longer applies it.
 	Share           float64
 	ShareReceivedAt time.Time
 	IsShareStale    bool
-	// EntitledPerSecond is the rate that the node may admit while it is out of touch.
+	// EntitledPerSecond is the rate that the node may admit while it is isolated.
 	EntitledPerSecond float64
 	// AdmittedInWindow is the number of requests admitted in the last Window.
 	AdmittedInWindow float64
-	// Admitted and Refused count requests since the start; those that were admitted and did not
-	// run are taken off. Refused has no entry for reasons that did not occur.
+	// Admitted and Refused count requests since the start; refunded requests are subtracted.
+	// Refused has no entry for reasons that did not occur.
 	Admitted int64
 	Refused  map[Refusal]uint64
 }
 
-// Snapshot returns a copy of the limiter's state: of one tenant, or of all if the name is empty. It
-// changes nothing.
+// Snapshot returns a copy of the limiter's state: of one tenant, or of all tenants if the name is
+// empty. It changes no state.
 func (l *Limiter) Snapshot(tenant string) Snapshot {
 	copied := Snapshot{Node: l.options.Local, Zone: l.options.Zone, Window: l.options.Bounds.Window}
 	l.mutex.Lock()
-	// What is copied was told before this moment.
+	// All state that is copied was received before this time.
 	now := time.Now()
 	copied.At, copied.StartedAt = now, l.startedAt
 	copied.Nodes, copied.SilentCount = l.nodeCount(), len(l.silent)
@@ -126,7 +127,7 @@
 	return names[:min(len(names), snapshotNames)]
 }
 
-// copyCoordinated copies what the accounts hold. The caller holds the mutex.
+// copyCoordinated copies the state of the accounts. The caller holds the mutex.
 func (l *Limiter) copyCoordinated(copied *Snapshot, tenant string, now time.Time) {
 	var chosen largestTenants
 	offer := func(name string, entry *tenantAccount) {
@@ -147,7 +148,7 @@
 	for _, one := range chosen.kept {
 		entry := l.accounts[one.tenant]
 		found := entry.account.view(l.isFirst(one.tenant), now)
-		// An account takes a new limit with the next report only.
+		// An account applies a new limit only with the next report.
 		found.Tenant, found.Limit, found.AtLimitSince = one.tenant, one.limit, entry.limitedAt
 		if tenant != "" {
 			found.Reporters = entry.account.reporters(now)
@@ -156,13 +157,13 @@
 	}
 }
 
-// isInUse reports whether nodes report the tenant here. A node that stood in for a coordinator keeps the
-// account for a while after that one is back.
+// isInUse reports whether nodes report the tenant here. A node that stood in for a coordinator
+// keeps the account for a while after that coordinator is back.
 func (t *tenantAccount) isInUse(now time.Time) bool {
 	return !t.limitedAt.IsZero() || now.Sub(t.account.lastReportAt) <= reportRetention
 }
 
-// copyServed copies what the meters hold. The caller holds the mutex.
+// copyServed copies the state of the meters. The caller holds the mutex.
 func (l *Limiter) copyServed(copied *Snapshot, tenant string, now time.Time) {
 	var chosen largestTenants
 	if limit, isKnown := l.options.LimitOf(tenant); tenant != "" && (isKnown || l.tallies[tenant] != nil) {
@@ -181,7 +182,7 @@
 	}
 }
 
-// served returns what is known of one tenant at this node. The caller holds the mutex.
+// served returns the state of one tenant at this node. The caller holds the mutex.
 func (l *Limiter) served(one sizedTenant, now time.Time) ServedTenant {
 	counted, entry := l.tallies[one.tenant], l.meters[one.tenant]
 	if counted == nil {
@@ -202,8 +203,9 @@
 	return found
 }
 
-// view returns the state of an account at a moment without changing it. Its time does not grow with the
-// number of nodes that report, since it is taken under the mutex for every tenant of a snapshot.
+// view returns the state of an account at the given time without changing it. Its run time does not
+// grow with the number of reporting nodes, since it runs under the mutex for every tenant of a
+// snapshot.
 func (a *Account) view(isFirst bool, now time.Time) CoordinatedTenant {
 	copied := *a
 	copied.bucket.settle(now)
@@ -217,7 +219,7 @@
 	return found
 }
 
-// reporters returns the nodes that reported in the last reportRetention.
+// reporters returns the nodes that reported within reportRetention.
 func (a *Account) reporters(now time.Time) []string {
 	names := make([]string, 0, len(a.reports))
 	for name, node := range a.reports {
@@ -228,7 +230,7 @@
 	return names
 }
 
-// view fills in the state of a meter as it is at a moment.
+// view fills in the state of the meter at the given time.
 func (m *Meter) view(found *ServedTenant, now time.Time) {
 	lately := m.admittedInWindow
 	found.AdmittedInWindow = lately.read(now)
@@ -237,8 +239,9 @@
 	found.EntitledPerSecond = m.entitlement(now)
 }
 
-// largest keeps the tenants with the greatest limits of the configuration in force. Nodes with the same
-// configuration leave out the same tenants, so that what they say of the others can be added up.
+// largestTenants keeps the tenants with the largest limits in the configuration in force. Nodes
+// with the same configuration omit the same tenants, so the snapshots of all nodes can be added up
+// for the others.
 type largestTenants struct {
 	kept    []sizedTenant
 	leftOut int
@@ -250,7 +253,7 @@
 	limit  route.RateLimit
 }
 
-// offer keeps a tenant if it is among the largest.
+// offer adds a tenant if it is among the largest.
 func (c *largestTenants) offer(tenant string, limit route.RateLimit) {
 	offered := sizedTenant{tenant, limit}
 	position, _ := slices.BinarySearchFunc(c.kept, offered, compareSizes)
@@ -265,7 +268,7 @@
 	}
 }
 
-// compareSizes orders the greater limit first, then by name.
+// compareSizes orders by limit, largest first, then by name.
 func compareSizes(one, other sizedTenant) int {
 	return cmp.Or(cmp.Compare(other.limit.PerSecond, one.limit.PerSecond), cmp.Compare(one.tenant, other.tenant))
 }
--- a/pkg/quota/snapshot_test.go
+++ b/pkg/quota/snapshot_test.go
@@ -14,7 +14,7 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// snapshots returns what all nodes say of a tenant.
+// snapshots returns the snapshots of a tenant from all nodes.
 func (d *deployment) snapshots(tenant string) []quota.Snapshot {
 	var all []quota.Snapshot
 	for _, node := range d.nodes {
@@ -23,7 +23,8 @@
 	return all
 }
 
-// firstCoordinators returns what the tenant's first coordinators say, with the snapshot of the last one.
+// firstCoordinators returns the states of the tenant at its first coordinators, with the snapshot
+// of the last of them.
 func firstCoordinators(all []quota.Snapshot) ([]quota.CoordinatedTenant, quota.Snapshot) {
 	var found []quota.CoordinatedTenant
 	var from quota.Snapshot
@@ -37,7 +38,7 @@
 	return found, from
 }
 
-// summed is what the nodes that serve a tenant add up to.
+// servedTotals adds up the states of a tenant at the nodes that serve it.
 type servedTotals struct {
 	admitted int64
 	refused  map[quota.Refusal]uint64
@@ -70,8 +71,9 @@
 	return sum
 }
 
-// TestSnapshotsAddUpToAllDecisions: the coordinator tells of the limit and of what is asked of all
-// nodes, and the counts of all nodes are all requests.
+// TestSnapshotsAddUpToAllDecisions guards against snapshots that disagree with the decisions: the
+// coordinator shows the limit and the demand over all nodes, and the counts of all nodes add up to
+// all requests.
 func TestSnapshotsAddUpToAllDecisions(t *testing.T) {
 	const tenant, count = "medium", 12
 	var all, idle []quota.Snapshot
@@ -122,8 +124,8 @@
 	g.Expect(gone).To(BeEmpty())
 }
 
-// TestASnapshotNamesSilentNodes: the coordinator names them and keeps back for them, and
-// they say that they decide alone.
+// TestASnapshotNamesSilentNodes guards against snapshots that hide a cut: the coordinator names the
+// silent nodes and what it reserves for them, and those nodes show that they are isolated.
 func TestASnapshotNamesSilentNodes(t *testing.T) {
 	const tenant, count = "medium", 12
 	var all []quota.Snapshot
@@ -137,7 +139,7 @@
 		}
 		name = d.nodes[cut].name
 		isolateEach(cut, cut+1)(d)
-		// For longer than a report counts.
+		// Longer than reports are retained.
 		d.run(12*time.Second, hot)
 		all = d.snapshots(tenant)
 	})
@@ -156,11 +158,11 @@
 	g.Expect(lost.EntitledPerSecond).To(And(BeNumerically(">", 0), BeNumerically("<", 6)))
 }
 
-// manyTenants is more than a snapshot holds.
+// manyTenants is more than a snapshot contains.
 const manyTenants = 300
 
-// limiterOfMany returns a limiter that was asked for many tenants; the limit of each is its number, until
-// those that are given come into force at the end.
+// limiterOfMany returns a limiter that has received requests of many tenants. The limit of each
+// tenant is its number; at the end, the limits in changed come into force.
 func limiterOfMany(changed map[string]route.RateLimit) *quota.Limiter {
 	limits := make(map[string]route.RateLimit)
 	for number := 1; number <= manyTenants; number++ {
@@ -191,8 +193,9 @@
 	return limiter
 }
 
-// TestASnapshotIsBounded, holds the greatest limits and says how many it left out; a tenant that is
-// asked for by name is there whatever its limit.
+// TestASnapshotIsBounded guards against answers that grow with the number of tenants: a snapshot
+// contains the largest limits and the number of omitted tenants. A tenant that is requested by name
+// is included whatever its limit.
 func TestASnapshotIsBounded(t *testing.T) {
 	var all, one, none quota.Snapshot
 	runInVirtualTime(t, 1, func() {
@@ -216,8 +219,8 @@
 	g.Expect(none.Coordinated).To(BeEmpty())
 }
 
-// TestEachRefusalHasItsReason, which tells an operator whether the tenant, the coordinator or the network
-// is to be looked at.
+// TestEachRefusalHasItsReason guards against misleading reasons, which tell an operator whether to
+// look at the tenant, the coordinator or the network.
 func TestEachRefusalHasItsReason(t *testing.T) {
 	limit := route.RateLimit{PerSecond: 5, Burst: 5}
 	started := quota.NewMeter("caller", limit, bounds, 67, false, start)
@@ -251,7 +254,7 @@
 	NewWithT(t).Expect(quota.Refusals()).To(HaveLen(6))
 }
 
-// TestARefundedRequestIsNotCounted the count of admitted ones.
+// TestARefundedRequestIsNotCounted guards against counting requests as admitted that did not run.
 func TestARefundedRequestIsNotCounted(t *testing.T) {
 	var before, after quota.Snapshot
 	runInVirtualTime(t, 1, func() {
@@ -265,8 +268,9 @@
 	g.Expect(after.Served[0].Admitted).To(BeZero())
 }
 
-// TestASnapshotHoldsTheLimitsInForce, also for tenants that were not asked for since these were
-// changed: the list holds and orders all tenants by the limits that it tells.
+// TestASnapshotHoldsTheLimitsInForce guards against old limits in snapshots, also of tenants that
+// have had no request since the change: the list selects and orders all tenants by the limits that
+// it shows.
 func TestASnapshotHoldsTheLimitsInForce(t *testing.T) {
 	const raised, lowered = "tenant-1", "tenant-300"
 	limits := map[string]route.RateLimit{raised: {PerSecond: 1000, Burst: 7}, lowered: {PerSecond: 0.5, Burst: 1}}
@@ -288,7 +292,7 @@
 	g.Expect(one.Coordinated[0].Limit).To(Equal(limits[lowered]))
 }
 
-// BenchmarkSnapshot gives for how long requests wait at most while a snapshot is made.
+// BenchmarkSnapshot measures how long requests wait at most while a snapshot is made.
 func BenchmarkSnapshot(b *testing.B) {
 	limits := make(map[string]route.RateLimit)
 	for number := range 2000 {
--- a/pkg/quota/snapshot_view_test.go
+++ b/pkg/quota/snapshot_view_test.go
@@ -10,8 +10,8 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// TestSnapshotsChangeNoDecision: an account and a meter that are looked at between any two steps decide as those
-// that are not.
+// TestSnapshotsChangeNoDecision guards against views that change the state: an account and a meter
+// that are viewed between any two steps must decide like those that are not.
 func TestSnapshotsChangeNoDecision(t *testing.T) {
 	g := NewWithT(t)
 	limit := route.RateLimit{PerSecond: 17, Burst: 17}
@@ -35,7 +35,7 @@
 		viewedUsage, _ := viewedMeter.Report(1, now)
 		g.Expect(viewedUsage).To(Equal(usage))
 		if step%200 > 100 {
-			// The node is out of touch for a while.
+			// The node is isolated for a while.
 			meter.SetMode(Isolated, now)
 			viewedMeter.SetMode(Isolated, now)
 			continue
@@ -52,8 +52,9 @@
 	}
 }
 
-// TestAFormerStandInReservesNothing until it is told anew: its rate was that of the nodes that reported
-// to it, and the rest of the limit was another coordinator's.
+// TestAFormerStandInReservesNothing guards against a wrong reserved rate in snapshots: the rate of
+// a stand-in was that of the nodes that reported to it, and the rest of the limit belonged to
+// another coordinator. The next report sets it.
 func TestAFormerStandInReservesNothing(t *testing.T) {
 	g := NewWithT(t)
 	limit := route.RateLimit{PerSecond: 20, Burst: 20}
--- a/pkg/quota/startup_account_test.go
+++ b/pkg/quota/startup_account_test.go
@@ -10,8 +10,9 @@
 	"github.com/bramblemast/bramblemast/pkg/quota"
 )
 
-// TestACoordinatorThatStartsCountsWhatEarlierOnesGranted: ten nodes that started a second ago have admitted 200
-// requests of 1,000 under others, of 60 a second allowed. A tenant within its limit is served all the same.
+// TestACoordinatorThatStartsCountsWhatEarlierOnesGranted guards against granting the same tokens
+// again after a restart: ten nodes that started a second ago have admitted 200 of 1,000 requests
+// under other coordinators, at a limit of 60 a second. A tenant within its limit is still served.
 func TestACoordinatorThatStartsCountsWhatEarlierOnesGranted(t *testing.T) {
 	g := NewWithT(t)
 	shareAfter := func(asked, admitted int) float64 {
@@ -29,7 +30,9 @@
 	g.Expect(shareAfter(3, 3)).To(BeEquivalentTo(1))
 }
 
-// TestANodeThatStartsTellsEachCoordinatorAllThatItAdmitted, and later only what is new.
+// TestANodeThatStartsTellsEachCoordinatorAllThatItAdmitted guards against coordinators that replace
+// each other during a start and do not know what the ones before granted. After a window, a node
+// reports only what is new.
 func TestANodeThatStartsTellsEachCoordinatorAllThatItAdmitted(t *testing.T) {
 	g := NewWithT(t)
 	meter := quota.NewMeter("caller", largeLimit, bounds, 67, true, start)
--- a/pkg/quota/startup_test.go
+++ b/pkg/quota/startup_test.go
@@ -7,8 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestACoordinatorThatKnowsNoConfigurationLetsNothingIn: the first coordinator of a tenant at twelve
-// times its usual starts again and has no configuration for two seconds, while others report to it.
+// TestACoordinatorThatKnowsNoConfigurationLetsNothingIn guards against a share of 1 from a
+// coordinator without limits: the first coordinator of a tenant at twelve times its usual rate
+// restarts and has no configuration for two seconds, while other nodes report to it.
 func TestACoordinatorThatKnowsNoConfigurationLetsNothingIn(t *testing.T) {
 	for tenant, limit := range tenants() {
 		t.Run(tenant, func(t *testing.T) {
@@ -35,7 +36,8 @@
 	}
 }
 
-// TestACoordinatorThatHasStartedIsTurnedToAtOnce by nodes that report to a stand-in: while they do, both grant the limit.
+// TestACoordinatorThatHasStartedIsTurnedToAtOnce guards against nodes that keep reporting to a
+// stand-in after the first coordinator has started: meanwhile both grant the limit.
 func TestACoordinatorThatHasStartedIsTurnedToAtOnce(t *testing.T) {
 	reporting, count := 0, 67
 	simulate(t, count, tenants(), func(d *deployment) {
@@ -56,7 +58,8 @@
 	NewWithT(t).Expect(reporting).To(Equal(count))
 }
 
-// TestACoordinatorThatKnewNoOthersIsUsedAtOnce: it has read its own entry before those of the others.
+// TestACoordinatorThatKnewNoOthersIsUsedAtOnce guards against the same if the coordinator has read
+// its own entry before those of the other nodes.
 func TestACoordinatorThatKnewNoOthersIsUsedAtOnce(t *testing.T) {
 	reporting, count := 0, 67
 	simulate(t, count, tenants(), func(d *deployment) {
--- a/pkg/quota/stop_test.go
+++ b/pkg/quota/stop_test.go
@@ -18,7 +18,7 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// answering is a transport on which every call is answered, and which counts them.
+// countingTransport answers every call and counts the calls.
 type countingTransport struct {
 	calls    atomic.Int64
 	handlers map[peer.Kind]peer.Handler
@@ -33,7 +33,8 @@
 
 func (a *countingTransport) Address() peer.Address { return "node-0" }
 
-// TestANodeThatHasStoppedCallsNobody, whatever others still tell it: nothing waits for such a call.
+// TestANodeThatHasStoppedCallsNobody guards against calls that start after the node has stopped,
+// when verdicts still arrive: nothing waits for such a call.
 func TestANodeThatHasStoppedCallsNobody(t *testing.T) {
 	before, after := int64(0), int64(0)
 	synctest.Test(t, func(t *testing.T) {
--- a/pkg/quota/unlimited_test.go
+++ b/pkg/quota/unlimited_test.go
@@ -15,7 +15,7 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// counted counts what is told of tenants.
+// countingEvents counts the events of tenants.
 type countingEvents struct {
 	ignoredEvents
 	atLimit, belowLimit atomic.Int64
@@ -25,7 +25,8 @@
 
 func (c *countingEvents) BelowLimit(string, quota.AccountStats, time.Duration) { c.belowLimit.Add(1) }
 
-// TestATenantThatLosesItsLimitIsNoLongerAtIt: what was told to begin is told to end.
+// TestATenantThatLosesItsLimitIsNoLongerAtIt guards against tenants that are shown at their limit
+// forever: each AtLimit event must be followed by a BelowLimit event.
 func TestATenantThatLosesItsLimitIsNoLongerAtIt(t *testing.T) {
 	for name, after := range map[string]struct {
 		limit   route.RateLimit
--- a/pkg/quota/unreported_test.go
+++ b/pkg/quota/unreported_test.go
@@ -10,8 +10,9 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// TestTheLastRequestBeforeAPauseIsReported, also if its report fell into a question whether the
-// coordinator answers: meters whose counts were not told are not forgotten.
+// TestTheLastRequestBeforeAPauseIsReported guards against counts that are never reported because
+// their report was due during a call that only checked the coordinator. Meters with unreported
+// counts are not removed.
 func TestTheLastRequestBeforeAPauseIsReported(t *testing.T) {
 	const rounds = 30
 	limits := make(map[string]route.RateLimit)
--- a/pkg/quota/verdicts.go
+++ b/pkg/quota/verdicts.go
@@ -13,25 +13,25 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// kindVerdicts is the message by which a coordinator tells all nodes a share.
+// kindVerdicts is the message by which a coordinator sends shares to all nodes.
 const kindVerdicts peer.Kind = "quota.verdicts"
 
-// When coordinators tell shares.
+// Timing of verdicts.
 const (
-	// urgentShareRatio is the part of the share told last below which a new one is told at once rather
-	// than with the next repetition: until then nodes admit too much.
+	// urgentShareRatio is the ratio to the share sent last below which a new share is sent at once
+	// and not with the next repetition: until it arrives, nodes admit too much.
 	urgentShareRatio = 0.8
-	// urgentInterval is the least time between two messages to the same node, also if shares keep
-	// falling.
+	// urgentInterval is the minimum time between two messages to the same node, even while shares
+	// keep falling.
 	urgentInterval = 50 * time.Millisecond
-	// releaseSpan is for how long a share of 1 is still told after a tenant has come back within its
-	// limit: several repetitions, so that every node that is in touch learns of it.
+	// releaseSpan is how long a share of 1 is still sent after a tenant is back within its limit:
+	// several repetitions, so that every node in contact receives it.
 	releaseSpan = 3 * verdictInterval
 )
 
-// spread tells all nodes the shares of the tenants at their limits, if that is due. While another
-// coordinator does not answer, and once after its start, it also sends a message without shares, to
-// learn which nodes are in touch.
+// broadcast sends the shares of the tenants at their limits to all nodes, if that is due. While
+// another coordinator does not answer, and once after the start, it also sends a message without
+// shares to detect which nodes are in contact.
 func (l *Limiter) broadcast(ctx context.Context, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -56,14 +56,15 @@
 	}
 }
 
-// hasSentNoVerdicts reports whether this node coordinates limits and has sent the others no verdicts since its
-// start: on the first ones, nodes that report to a stand-in turn back to it. The caller holds the mutex.
+// hasSentNoVerdicts reports whether this node coordinates limits and has sent no verdicts since its
+// start. When the first ones arrive, nodes that report to a stand-in switch back to this node. The
+// caller holds the mutex.
 func (l *Limiter) hasSentNoVerdicts() bool {
 	return l.messagesSent.Verdicts == 0 && len(l.addresses) > 1 && l.coordinates(l.options.Local) && l.options.KnowsTenants()
 }
 
-// dueVerdicts returns the verdicts on tenants at their limits, and whether one is much lower than what
-// was told. The caller holds the mutex.
+// dueVerdicts returns the verdicts on tenants at their limits, and whether one of them is much
+// lower than the share sent last. The caller holds the mutex.
 func (l *Limiter) dueVerdicts(now time.Time) (map[string]Verdict, bool) {
 	verdicts, isUrgent := make(map[string]Verdict), false
 	for tenant, entry := range l.accounts {
@@ -90,7 +91,7 @@
 	return verdicts, isUrgent
 }
 
-// others returns the other nodes that are silent, or those that are not. The caller holds the
+// otherNodes returns the other nodes that are silent, or those that are not. The caller holds the
 // mutex.
 func (l *Limiter) otherNodes(isSilent bool) map[peer.Address]string {
 	found := make(map[peer.Address]string)
@@ -102,8 +103,8 @@
 	return found
 }
 
-// tell sends verdicts to some nodes and notes which of them took them; it clears isUnderWay when all
-// calls have ended. The caller holds the mutex.
+// sendVerdicts sends verdicts to the given nodes and records which of them took them. It clears
+// isUnderWay when all calls have ended. The caller holds the mutex.
 func (l *Limiter) sendVerdicts(ctx context.Context, nodes map[peer.Address]string, verdicts map[string]Verdict, isUnderWay *bool) {
 	l.applyVerdicts(ctx, l.options.Local, verdicts, time.Now())
 	if l.isStopped {
@@ -135,16 +136,18 @@
 	})
 }
 
-// sendAll sends verdicts to some addresses at once and returns those that took them within callTimeout.
+// sendAll sends verdicts to all addresses in parallel and returns those that took them within
+// callTimeout.
 func (l *Limiter) sendAll(ctx context.Context, addresses []peer.Address, message *quotapb.Verdicts) []peer.Address {
 	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return peer.SpreadAll(limited, l.options.Transport, addresses, kindVerdicts, message, func() proto.Message { return &quotapb.Taken{} })
 }
 
-// applyVerdicts takes verdicts that do not answer a report. Only those of the coordinator to which this node
-// reports count; those of another one of the tenant's coordinators are kept, in case that this node turns
-// to it, and lead to a call to the present one. The caller holds the mutex.
+// applyVerdicts applies verdicts that do not answer a report. Only verdicts of the coordinator to
+// which this node reports take effect. A verdict of another one of the tenant's coordinators is
+// kept in case this node switches to it, and triggers a call to the present coordinator. The caller
+// holds the mutex.
 func (l *Limiter) applyVerdicts(ctx context.Context, from string, verdicts map[string]Verdict, now time.Time) {
 	for tenant, verdict := range verdicts {
 		entry := l.meters[tenant]
@@ -165,7 +168,7 @@
 	}
 }
 
-// handleVerdicts takes what another node tells about the tenants that it coordinates.
+// handleVerdicts receives the verdicts of another node on the tenants that it coordinates.
 func (l *Limiter) handleVerdicts(_ context.Context, from target.NodeID, body []byte) (proto.Message, error) {
 	message := &quotapb.Verdicts{}
 	if err := message.UnmarshalVT(body); err != nil {
@@ -179,21 +182,22 @@
 	if found == nil || found.answers {
 		return &quotapb.Taken{}, nil
 	}
-	// The coordinator reaches this node, so that it may answer again.
+	// The coordinator reaches this node, so it may answer again.
 	found.nextProbe = now
 	if !found.hasFailed() {
-		// The first call to it is still under way, as after a start.
+		// The first call to it is still in progress, as after a start.
 		return &quotapb.Taken{}, nil
 	}
 	return nil, errReportsElsewhere
 }
 
-// errReportsElsewhere answers a coordinator that reaches this node while this node does not reach
-// it, and so reports to a stand-in or decides alone: for the coordinator the node is out of touch.
+// errReportsElsewhere answers a coordinator that reaches this node but is not reached by it, so
+// that this node reports to a stand-in or is isolated. The coordinator must count this node as
+// silent.
 var errReportsElsewhere = errors.New("reports do not reach the coordinator, another one stands in for it")
 
-// encodeVerdicts returns the message for verdicts; only those of first coordinators carry a spare
-// rate.
+// encodeVerdicts returns the message for verdicts. Only verdicts of first coordinators carry an
+// extra rate.
 func encodeVerdicts(verdicts map[string]Verdict) *quotapb.Verdicts {
 	message := &quotapb.Verdicts{Verdicts: make([]*quotapb.Verdict, 0, len(verdicts))}
 	for tenant, verdict := range verdicts {
--- a/pkg/quota/weigh_test.go
+++ b/pkg/quota/weigh_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkWays gives the figures of docs/design/quota.md: a tenant at eight times its limit at
-// deployments of several sizes, by the ways that were weighed.
+// BenchmarkWays gives the figures of docs/design/quota.md: a tenant at eight times its limit in
+// deployments of several sizes, with each of the approaches compared there.
 func BenchmarkWays(b *testing.B) {
 	for _, count := range []int{67, 300, 5400} {
 		for _, tenant := range []string{"large", "small"} {
@@ -20,12 +20,13 @@
 				}
 			})
 			b.Run(name+"fixed part", func(b *testing.B) {
-				// Each node has an equal part of rate and burst, at least as a fraction of a token.
+				// Each node has an equal part of rate and burst, possibly a fraction of a token.
 				fixedPart := func(int, []int, float64) float64 { return 1 / float64(count) }
 				b.ReportMetric(reachedFraction(count, limit.PerSecond, limit.Burst, fixedPart), "reached")
 			})
 			b.Run(name+"leases", func(b *testing.B) {
-				// A tenth is dealt equally, the rest by what each node was asked a second ago.
+				// A tenth is divided equally, the rest by the requests that each node received a
+				// second ago.
 				leasedPart := func(node int, requests []int, sum float64) float64 {
 					return 0.1/float64(count) + 0.9*float64(requests[node])/max(1, sum)
 				}
@@ -35,7 +36,7 @@
 	}
 }
 
-// measureLimiter plays the package itself.
+// measureLimiter measures the package itself.
 func measureLimiter(b *testing.B, count int, tenant string) {
 	simulate(b, count, tenants(), func(d *deployment) {
 		limit := d.limits[tenant]
@@ -51,8 +52,8 @@
 	})
 }
 
-// reachedFraction returns the part of a rate that nodes reach with parts of it in buckets of their own,
-// dealt anew each second by what was asked in the one before.
+// reachedFraction returns the fraction of a rate that nodes reach with parts of it in buckets of
+// their own. The parts are set anew each second from the requests of the second before.
 func reachedFraction(count int, perSecond, burst float64, part func(node int, requests []int, sum float64) float64) float64 {
 	random := rand.New(rand.NewPCG(3, 3))
 	levels, requests := make([]float64, count), make([]int, count)
--- a/pkg/quota/window_test.go
+++ b/pkg/quota/window_test.go
@@ -7,7 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestAWindowForgetsOldEvents, little by little, and no sooner than after its span.
+// TestAWindowForgetsOldEvents guards against counts that drop events before their span has passed,
+// or all at once.
 func TestAWindowForgetsOldEvents(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1_700_000_000, 0)
