--- a/pkg/query/suspect_test.go
+++ b/pkg/query/suspect_test.go
@@ -32,7 +32,8 @@
 }
 
 // These specs guard against a request that crashes every server that runs it: retried for each part,
-// it would crash a second server of every shard.
+// it would crash a second server of every shard. A request that only happened to run on crashing
+// servers must still be answered.
 var _ = Describe("A request whose servers crash", func() {
 	It("is not sent to a second server of each part, but gets two trials", inVirtualTime(func() {
 		f := newFixture().addEightGroups()
--- a/pkg/query/tiling_test.go
+++ b/pkg/query/tiling_test.go
@@ -59,6 +59,8 @@
 	return best
 }
 
+// TestTilingIsExactAndCheapest guards against tilings with gaps, overlaps or candidates that do not
+// hold their part, and against tilings that are not of minimum cost, over random overlapping shards.
 func TestTilingIsExactAndCheapest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := drawShards(t)
@@ -129,6 +131,8 @@
 	}
 }
 
+// TestTilingPrefersMoreReplicas checks the choice between a parent shard and its children, which
+// exist at the same time during a repartition: the ones with more replicas are used.
 func TestTilingPrefersMoreReplicas(t *testing.T) {
 	replicas := func(names ...string) (servers []*catalog.Server) {
 		for _, name := range names {
