--- a/pkg/quarantine/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -64,7 +64,7 @@
 		}
 		time.Sleep(storeDelay)
 		t.Logf("%d connections opened by probes", c.network.Dials())
-		g.Expect(c.network.Dials()).To(BeNumerically("<=", 32), "only requests not answered within 0.3 s are probed")
+		g.Expect(c.network.Dials()).To(BeNumerically("<=", 32), "unanswered requests are probed only every 0.3 s")
 		g.Expect(c.guards[0].IsIdle()).To(BeTrue())
 	})
 }
