--- a/pkg/directory/contact_test.go
+++ b/pkg/directory/contact_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestACutOfOneNodeIsNoOutageOfTheStore: a node whose own way to the store was cut tells
-// when the store answered it again. Nodes that heard from the store meanwhile go on
-// believing that a missing entry is gone; those that did not, doubt it.
+// TestACutOfOneNodeIsNoOutageOfTheStore checks how nodes treat the outage that a node reports after
+// only its own connection to the store was cut. Nodes that heard from the store in that time still
+// take a missing entry as deleted; those that did not consider it uncertain.
 func TestACutOfOneNodeIsNoOutageOfTheStore(t *testing.T) {
 	g := NewWithT(t)
 	const settle = 4 * time.Second
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -18,20 +18,20 @@
 	"github.com/bramblemast/bramblemast/pkg/peer"
 )
 
-// history is a store for tests, whose answers can be withheld.
+// fakeStore is a store for tests whose answers can be withheld.
 type fakeStore struct {
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
 	events  []Entry
 	changed chan struct{}
 	failure error
-	// slow is how long one reading of everything takes.
+	// loadDelay is how long one full read takes.
 	loadDelay time.Duration
-	// deaf makes watches hear nothing.
+	// watchesSilent makes watches report no changes.
 	watchesSilent bool
-	// forgotten is the revision up to which changes are forgotten.
+	// compactedUpTo is the revision up to which the store has dropped its changes.
 	compactedUpTo uint64
-	// era rises with each restore, writes with each write: it is the value that is written.
+	// era rises with each restore. writes counts the writes and is the value that is written.
 	era    uint64
 	writes int
 	// lag is how many changes a copy is behind.
@@ -43,7 +43,7 @@
 
 func newFakeStore() *fakeStore { return &fakeStore{changed: make(chan struct{})} }
 
-// set runs a change of the store's state and wakes its watches.
+// update changes the store's state and wakes its watches.
 func (h *fakeStore) update(change func()) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -62,7 +62,7 @@
 	return revision
 }
 
-// restore brings the store back from a copy that holds so many changes.
+// restore brings the store back from a copy that holds a number of changes.
 func (h *fakeStore) restore(changes int) {
 	h.update(func() {
 		h.events = slices.Clone(h.events[:changes])
@@ -143,18 +143,18 @@
 	return Entry{Key: key, Value: value, Revision: revision}
 }
 
-// observer keeps what a follower says.
+// observer is a listener that records what a follower reports. It panics if a key goes back within
+// an era.
 type observer struct {
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
 	state map[string]uint64
-	// era is that of the last state of each key.
+	// era is the era of each key's latest state.
 	era     map[string]uint64
 	losses  int
 	returns int
-	// restored are the revisions up to which the state was restored.
-	loadedAt []uint64
-	// eras are the changes of era that were told.
+	// loadedAt are the revisions at which the initial state was reported complete.
+	loadedAt   []uint64
 	eraChanges []EraChange
 }
 
@@ -162,7 +162,7 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if entry.Revision <= o.state[entry.Key] && entry.Era == o.era[entry.Key] {
-		panic(fmt.Sprintf("%s went back from %d to %d", entry.Key, o.state[entry.Key], entry.Revision))
+		panic(fmt.Sprintf("%s went back from revision %d to %d", entry.Key, o.state[entry.Key], entry.Revision))
 	}
 	if o.era == nil {
 		o.era = make(map[string]uint64)
@@ -195,13 +195,14 @@
 	o.eraChanges = append(o.eraChanges, change)
 }
 
-// dependency returns how often the store was lost and regained.
+// dependencyEvents returns how often a loss and a return of the store were reported.
 func (o *observer) dependencyEvents() (losses, returns int) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.losses, o.returns
 }
 
+// revisionOf returns the revision of a key; zero if it is deleted or unknown.
 func (o *observer) revisionOf(key string) uint64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -213,25 +214,25 @@
 	*Follower
 	seen   *observer
 	source *fakeStore
-	// ejections counts the readers that were left out.
+	// ejections counts the readers that were ejected.
 	ejections atomic.Int64
 }
 
-// cluster starts nodes, each with a view of its own of the same store.
+// startCluster starts nodes, each with its own view of the same store.
 func startCluster(t *testing.T, count int) ([]*node, func()) {
 	t.Helper()
 	nodes, stop, _ := startClusterOnNetwork(t, count)
 	return nodes, stop
 }
 
-// startClusterOnNetwork is cluster with the network between the nodes.
+// startClusterOnNetwork is startCluster with the network between the nodes.
 func startClusterOnNetwork(t *testing.T, count int) ([]*node, func(), *peer.Network) {
 	t.Helper()
 	return startPreparedCluster(t, count, func(*node) {}, func(_ *node, members []Node) []Node { return members })
 }
 
-// startPreparedCluster is startClusterOnNetwork with nodes that are prepared before they start and know
-// a part of the others.
+// startPreparedCluster is startClusterOnNetwork with nodes that are prepared before they start and
+// know only some of the others.
 func startPreparedCluster(
 	t *testing.T, count int, prepare func(*node), known func(of *node, members []Node) []Node,
 ) ([]*node, func(), *peer.Network) {
@@ -265,6 +266,7 @@
 	}, network
 }
 
+// writeAll writes a key to the stores of all nodes and returns the revision.
 func writeAll(nodes []*node, key string, gone bool) uint64 {
 	var revision uint64
 	for _, each := range nodes {
@@ -273,7 +275,8 @@
 	return revision
 }
 
-// TestChangesArriveAtOnce, and calls are few while nothing happens.
+// TestChangesArriveAtOnce checks that a change is delivered without delay, and that an idle node
+// makes few calls.
 func TestChangesArriveAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -291,8 +294,8 @@
 	})
 }
 
-// TestASilentWatchIsNoticedByPeers: a node whose watch hears nothing learns from
-// another node, and asks the store anew. (tintas-setubal scale-2 --seed 101)
+// TestASilentWatchIsNoticedByPeers checks that a node whose watch misses changes learns of them
+// from another node and calls the store again.
 func TestASilentWatchIsNoticedByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -312,8 +315,8 @@
 	})
 }
 
-// TestAStoreThatIsAwayIsReplacedByPeers, for a node that starts and for one that
-// knows an older state; keys that have gone are gone there too.
+// TestAStoreThatIsAwayIsReplacedByPeers checks that a node without the store follows it through
+// peers, both when it starts and when it knows an older state. Deletions must arrive too.
 func TestAStoreThatIsAwayIsReplacedByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -341,7 +344,8 @@
 	})
 }
 
-// TestACompactedHistoryIsReloaded: what went meanwhile is gone.
+// TestACompactedHistoryIsReloaded checks that a node reads everything again when the store has
+// dropped its changes, and that keys deleted in between are deleted.
 func TestACompactedHistoryIsReloaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -362,7 +366,8 @@
 	})
 }
 
-// TestAStoreThatForgetsAtOnceIsReadWithPauses instead of without end.
+// TestAStoreThatForgetsAtOnceIsReadWithPauses checks that a store which drops its history after
+// each read is not read in a tight loop.
 func TestAStoreThatForgetsAtOnceIsReadWithPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -380,8 +385,8 @@
 	})
 }
 
-// TestAnOlderStoreIsRefused: a store that comes back with less than was seen
-// changes nothing.
+// TestAnOlderStoreIsRefused checks that a store which answers with less than is known changes
+// nothing.
 func TestAnOlderStoreIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -399,8 +404,8 @@
 	})
 }
 
-// TestReplicasAgreeInWhateverOrder batches of a history arrive, in full or in
-// part, from the store or from other replicas.
+// TestReplicasAgreeInWhateverOrder checks that replicas match the store's history in whatever order
+// batches arrive, whole or in part, from the store or from other replicas.
 func TestReplicasAgreeInWhateverOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := newFakeStore()
@@ -413,24 +418,24 @@
 			received[each] = make(map[string]uint64)
 		}
 		now := time.Unix(0, 0)
-		any := func() *replica { return replicas[rapid.IntRange(0, 2).Draw(t, "replica")] }
+		anyReplica := func() *replica { return replicas[rapid.IntRange(0, 2).Draw(t, "replica")] }
 		t.Repeat(map[string]func(*rapid.T){
 			"write": func(t *rapid.T) {
 				source.write(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key"), rapid.Bool().Draw(t, "gone"))
 			},
 			"load": func(*rapid.T) {
 				batch, _ := source.Load(context.Background(), true)
-				any().apply(batch, wholeState, now)
+				anyReplica().apply(batch, wholeState, now)
 			},
 			"watch": func(*rapid.T) {
-				target := any()
+				target := anyReplica()
 				after := target.completeUpTo
 				if after > 0 && after < uint64(len(source.events)) {
 					target.apply(Batch{Entries: source.events[after:], Revision: uint64(len(source.events))}, allChanges, now)
 				}
 			},
 			"tell": func(*rapid.T) {
-				from, to := any(), any()
+				from, to := anyReplica(), anyReplica()
 				if to.completeUpTo >= from.completeUpTo {
 					return
 				}
@@ -456,8 +461,8 @@
 	})
 }
 
-// checkReplica compares a replica with the history: up to its revision, and for
-// single keys up to what it was told beyond that.
+// checkReplica compares a replica with the history: up to its revision, and for single keys up to
+// what it received beyond that.
 func checkReplica(t *rapid.T, source *fakeStore, checked *replica, received map[string]uint64) {
 	want := make(map[string]uint64)
 	for _, event := range source.events {
@@ -470,19 +475,19 @@
 		}
 	}
 	if len(want) != len(checked.entries) {
-		t.Fatalf("at %d: %d keys, want %d", checked.completeUpTo, len(checked.entries), len(want))
+		t.Fatalf("at revision %d: %d keys, want %d", checked.completeUpTo, len(checked.entries), len(want))
 	}
 	for key, revision := range want {
 		if checked.entries[key].Revision != revision {
-			t.Fatalf("at %d: %s has revision %d, want %d", checked.completeUpTo, key, checked.entries[key].Revision, revision)
+			t.Fatalf("complete up to revision %d: %s has revision %d, want %d", checked.completeUpTo, key, checked.entries[key].Revision, revision)
 		}
 	}
 }
 
-// TestChangesAreReadSoonWhileTheListSettles: after a start, entries that lapsed
-// come back within seconds, and are read after the least pause; later, changes
-// wait for the pause that was set. (valgsok-grown fresh-fa94: servers were known
-// 2.8 s late after a loss of power)
+// TestChangesAreReadSoonWhileTheListSettles checks that changes right after a start are read with
+// the shortest pause, since entries that expired in an outage are written again within seconds.
+// Later changes wait for the configured pause. Without this, servers were known 2.8 s late after a
+// power loss.
 func TestChangesAreReadSoonWhileTheListSettles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -505,7 +510,8 @@
 	})
 }
 
-// TestASuspensionAgesTheConfirmation of the machine, which the steady clock does not count.
+// TestASuspensionAgesTheConfirmation checks that a suspension of the machine, which the monotonic
+// clock does not count, adds to the age of the replica.
 func TestASuspensionAgesTheConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -519,6 +525,6 @@
 		tested.confirm(time.Now().Add(-time.Second))
 		g.Expect(time.Since(tested.ConfirmedAt())).To(Equal(time.Second))
 		tested.confirm(time.Now().Add(-3 * time.Second))
-		g.Expect(time.Since(tested.ConfirmedAt())).To(Equal(time.Second), "the latest moment counts")
+		g.Expect(time.Since(tested.ConfirmedAt())).To(Equal(time.Second), "the latest confirmation counts")
 	})
 }
--- a/pkg/directory/era_test.go
+++ b/pkg/directory/era_test.go
@@ -29,7 +29,8 @@
 	return revisions
 }
 
-// TestWhatGoesBeforeTheStoreAfterARestore, case by case.
+// TestWhatGoesBeforeTheStoreAfterARestore checks which states override the store after a restore
+// from an older copy: what was known before stays in force until it is written again or expires.
 func TestWhatGoesBeforeTheStoreAfterARestore(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -54,7 +55,7 @@
 	tested.expireRetained(now.Add(span-1), span)
 	g.Expect(tested.retainedKeys()).To(HaveLen(3))
 	tested.expireRetained(now.Add(span), span)
-	g.Expect(revisionsInForce(tested)).To(Equal(map[string]uint64{"same": 10, "changed": 12, "ended": 11}), "nobody wrote them again")
+	g.Expect(revisionsInForce(tested)).To(Equal(map[string]uint64{"same": 10, "changed": 12, "ended": 11}), "states that nobody wrote again expire")
 
 	tested = before()
 	tested.apply(copied, wholeState, now)
@@ -67,13 +68,15 @@
 	tested = before()
 	tested.apply(Batch{Era: 2, Revision: 80, Entries: []Entry{entry("changed", 70, "c"), entry("ended", 55, "z"), entry("added", 62, "other")}}, wholeState, now)
 	g.Expect(revisionsInForce(tested)).To(Equal(map[string]uint64{"same": 10, "changed": 70, "ended": 55, "added": 62}),
-		"written after what is known of the key, or with the same revision as something else")
-	g.Expect(tested.apply(Batch{Era: 1, Revision: 95, Entries: []Entry{entry("late", 95, "a")}}, allChanges, now)).To(BeZero(), "late news of the era before")
-	g.Expect(tested.apply(Batch{Era: 3, Revision: 99}, allChanges, now)).To(BeZero(), "changes cannot begin an era")
+		"written after the known state of the key, or a revision that was assigned again")
+	g.Expect(tested.apply(Batch{Era: 1, Revision: 95, Entries: []Entry{entry("late", 95, "a")}}, allChanges, now)).To(BeZero(), "a late batch of the previous era")
+	g.Expect(tested.apply(Batch{Era: 3, Revision: 99}, allChanges, now)).To(BeZero(), "only a whole state starts an era")
 }
 
-// TestAHeartbeatDoesNotRevealTheCopysRevision: a server's entry changes with each heartbeat without a new revision. The same
-// revision with another value shows for other keys that it was given out again, so that all that follow are news.
+// TestAHeartbeatDoesNotRevealTheCopysRevision checks that a server's entry with a new value under
+// an old revision is not taken as a write after the restore, since heartbeats change it without a
+// new revision. For other keys it shows that the revision was assigned again, so that all that
+// follow are later.
 func TestAHeartbeatDoesNotRevealTheCopysRevision(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -93,8 +96,8 @@
 	}
 }
 
-// TestAConfigurationNeverGoesBack by a restore, however long its operator takes to write it again, and whichever node
-// knows it.
+// TestAConfigurationNeverGoesBack checks that a restore never reverts the configuration, however
+// long the operator takes to write it again and whichever node knows it.
 func TestAConfigurationNeverGoesBack(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -125,7 +128,8 @@
 		now, time.Second, now)).To(BeZero(), "a later version is in the store")
 }
 
-// TestATemplateThatWasLostGoesBeforeItsEarlierRevisions, but not before one that an operator published over them.
+// TestATemplateThatWasLostGoesBeforeItsEarlierRevisions checks that a lost template overrides its
+// own earlier revisions in the restored store, but not one that an operator published over them.
 func TestATemplateThatWasLostGoesBeforeItsEarlierRevisions(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -165,12 +169,13 @@
 	g.Expect(tested.statesInForce()[stored.Key(key)].entry.Template.Template.ChangeID).To(Equal("change-3"))
 }
 
-// forward is an observer to which no key goes back to a state that was written before the one that it was told last,
-// unless it is known to be gone in between.
+// monotonicObserver is an observer that fails if a key goes back to a state that was written before
+// the one it received last, unless the key was deleted in between.
 type monotonicObserver struct {
 	observer
 	fail func(format string, arguments ...any)
-	// mayGoBack says that states that were not written again expire, or that another node tells that it keeps one.
+	// mayGoBack says that states that were not written again expire, or that another node supplies
+	// a retained one.
 	mayGoBack bool
 	written   map[string]int
 }
@@ -187,8 +192,8 @@
 	f.written[entry.Key] = number
 }
 
-// mergedDiff returns the whole state that a replica has by what another one tells of the differences between its
-// era and the one before; false if it cannot be told so.
+// mergedDiff returns the whole state that a replica gets from the differences that another one has
+// between its era and the previous one; false if they do not suffice.
 func mergedDiff(from, to *replica) (Batch, bool) {
 	position := to.position()
 	if position.Era >= from.era {
@@ -210,7 +215,9 @@
 	return fmt.Sprint(batch.Era, batch.Revision, states)
 }
 
-// TestOnlyTheDifferencesOfAnEraAreTold to a node that knows the one before, however many keys there are.
+// TestOnlyTheDifferencesOfAnEraAreTold checks that a node that knows the previous era is sent only
+// the differences, however many keys there are. Otherwise each restore would make all nodes send
+// everything.
 func TestOnlyTheDifferencesOfAnEraAreTold(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -238,19 +245,20 @@
 
 	receiver.apply(Batch{Revision: keys + 3, Entries: []Entry{{Key: "later", Revision: keys + 3}}}, allChanges, now)
 	_, isKnown = receiver.mergeDiff(batch, Position{Era: 1, Revision: keys + 2})
-	g.Expect(isKnown).To(BeFalse(), "it has moved on meanwhile")
+	g.Expect(isKnown).To(BeFalse(), "its state has changed since")
 	_, isKnown = sender.diffSince(receiver.position())
-	g.Expect(isKnown).To(BeFalse(), "it knows more of the era before")
+	g.Expect(isKnown).To(BeFalse(), "it knows more of the previous era")
 	_, isKnown = sender.diffSince(Position{Era: 0, Revision: 5})
 	g.Expect(isKnown).To(BeFalse())
 }
 
-// TestReplicasAgreeAfterRestores, in whatever order batches of the store's eras arrive and nodes tell each other: what
-// the listener was told is what is in force, and once the store has settled that is what the store holds.
+// TestReplicasAgreeAfterRestores checks replicas in whatever order batches of the store's eras
+// arrive and nodes exchange states: the listener has what is in force, and once the store has
+// settled that is what the store holds.
 func TestReplicasAgreeAfterRestores(t *testing.T) {
-	// told counts how often a node was told only what differs between two eras.
+	// diffsSent counts how often only the differences between two eras were sent.
 	diffsSent := 0
-	defer func() { t.Logf("%d times only the differences were told", diffsSent) }()
+	defer func() { t.Logf("only the differences were sent %d times", diffsSent) }()
 	rapid.Check(t, func(t *rapid.T) {
 		source := newFakeStore()
 		source.era = 1
@@ -262,7 +270,7 @@
 			listeners[index] = &monotonicObserver{observer: observer{state: make(map[string]uint64)}, fail: t.Fatalf, written: make(map[string]int)}
 			replicas[index] = newReplica(listeners[index])
 		}
-		any := func() *replica { return replicas[rapid.IntRange(0, 2).Draw(t, "replica")] }
+		anyReplica := func() *replica { return replicas[rapid.IntRange(0, 2).Draw(t, "replica")] }
 		load := func(target *replica) {
 			batch, _ := source.Load(context.Background(), true)
 			target.apply(batch, wholeState, now)
@@ -272,16 +280,16 @@
 				source.write(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key"), rapid.Bool().Draw(t, "gone"))
 			},
 			"restore": func(t *rapid.T) { source.restore(rapid.IntRange(0, len(source.events)).Draw(t, "changes")) },
-			"load":    func(*rapid.T) { load(any()) },
+			"load":    func(*rapid.T) { load(anyReplica()) },
 			"watch": func(*rapid.T) {
-				target := any()
+				target := anyReplica()
 				after := target.completeUpTo
 				if target.era == source.era && after > 0 && after < uint64(len(source.events)) {
 					target.apply(Batch{Era: source.era, Entries: source.events[after:], Revision: uint64(len(source.events))}, allChanges, now)
 				}
 			},
 			"tell": func(*rapid.T) {
-				from, to := any(), any()
+				from, to := anyReplica(), anyReplica()
 				learn := func(since time.Time) {
 					listener := to.listener.(*monotonicObserver)
 					listener.mayGoBack = true
@@ -300,7 +308,7 @@
 				if whole, isKnown := mergedDiff(from, to); isKnown {
 					diffsSent++
 					if got, want := describeState(whole), describeState(batch); got != want {
-						t.Fatalf("continued to %s, the other node has %s", got, want)
+						t.Fatalf("the differences lead to %s, the other node has %s", got, want)
 					}
 					batch = whole
 				}
@@ -313,7 +321,7 @@
 			"": func(t *rapid.T) {
 				for index, each := range replicas {
 					if notified, want := fmt.Sprint(listeners[index].state), fmt.Sprint(revisionsInForce(each)); notified != want {
-						t.Fatalf("the listener has %s, in force is %s", notified, want)
+						t.Fatalf("the listener has %s, want what is in force: %s", notified, want)
 					}
 				}
 			},
@@ -329,7 +337,7 @@
 			listeners[index].mayGoBack = true
 			each.expireRetained(now.Add(span), span)
 			if got := fmt.Sprint(revisionsInForce(each)); got != fmt.Sprint(want) {
-				t.Fatalf("replica %d has %s, the store %v", index, got, want)
+				t.Fatalf("replica %d has %s in force, want the state of the store: %v", index, got, want)
 			}
 		}
 	})
--- a/pkg/directory/freshness_test.go
+++ b/pkg/directory/freshness_test.go
@@ -10,20 +10,20 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestNewsGetsOld: sooner at a node that the store does not answer than at one whose watch
-// waits for a change, and later by a suspension of the machine than the clock shows.
+// TestNewsGetsOld checks when a replica stops being fresh: sooner without the store than with a
+// pending watch, and at once after a suspension of the machine, which the clock does not show.
 func TestNewsGetsOld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const stalenessBound = 2 * time.Second
 		tested := NewFollower(nil, &observer{})
 		tested.SetStalenessBound(stalenessBound)
-		g.Expect(tested.IsFresh()).To(BeFalse(), "nothing is known yet")
+		g.Expect(tested.IsFresh()).To(BeFalse(), "nothing has been read yet")
 		g.Expect(tested.IsFreshWithin(time.Hour)).To(BeFalse())
 		tested.noteStoreRegained()
 		tested.confirm(time.Now())
 		time.Sleep(stalenessBound + maxWatchWait + watchSlack)
-		g.Expect(tested.IsFresh()).To(BeTrue(), "its watch tells changes as they happen")
+		g.Expect(tested.IsFresh()).To(BeTrue(), "a pending watch reports changes as they happen")
 		g.Expect(tested.IsFreshWithin(stalenessBound)).To(BeFalse())
 		time.Sleep(time.Millisecond)
 		g.Expect(tested.IsFresh()).To(BeFalse())
@@ -34,13 +34,14 @@
 		time.Sleep(time.Millisecond)
 		g.Expect(tested.IsFresh()).To(BeFalse())
 		tested.confirm(time.Now())
-		g.Expect(tested.IsFresh()).To(BeTrue(), "another node has told")
+		g.Expect(tested.IsFresh()).To(BeTrue(), "another node has confirmed it")
 		tested.SetSuspensionClock(func() time.Duration { return time.Minute })
 		g.Expect(tested.IsFresh()).To(BeFalse())
 	})
 }
 
-// TestUnchangedStateIsConfirmedWithinTheStalenessBound though nothing changes.
+// TestUnchangedStateIsConfirmedWithinTheStalenessBound checks that SetConfirmWhenIdle shortens the
+// watches, so that the replica is confirmed in time even when nothing changes.
 func TestUnchangedStateIsConfirmedWithinTheStalenessBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -58,8 +59,9 @@
 	})
 }
 
-// TestALossIsReportedAgainWhenItsCauseChanges: a store that cannot be reached, then answers with an older
-// state than is known, is two matters for whoever reads the log; a hundred lost connections are one.
+// TestALossIsReportedAgainWhenItsCauseChanges checks that repeated failures of one kind are
+// reported once. A store that cannot be reached and then answers with an older state than is known
+// has to be reported twice, since operators treat these as two problems.
 func TestALossIsReportedAgainWhenItsCauseChanges(t *testing.T) {
 	g := NewWithT(t)
 	seen := &observer{state: make(map[string]uint64)}
--- a/pkg/directory/fuzz_test.go
+++ b/pkg/directory/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/bramblemast/bramblemast/pkg/directory/directorypb"
 )
 
-// FuzzChanges checks that no message of another node makes this one fail, take memory out of
-// proportion or go back: neither the revision up to which it is complete, nor that of any key.
+// FuzzChanges checks that no message of another node makes this one fail, allocate out of
+// proportion or go back, in its revision or in that of any key.
 func FuzzChanges(f *testing.F) {
 	whole := &directorypb.ChangesReply{Revision: 9, Full: true, Gaps: []*directorypb.Gap{{From: 3, To: 5}}, Items: []*directorypb.Item{
 		{Key: "a", Revision: 8, Value: []byte("x")}, {Key: "b", Revision: 2, Gone: true}, {Key: "c", Revision: 12},
@@ -20,7 +20,7 @@
 		f.Fatal(err)
 	}
 	f.Add(encoded)
-	// A value of 1 MB, as many items without content as fit into 1 MB, and groups within groups.
+	// A value of 1 MB, as many empty items as fit into 1 MB, and nested groups.
 	whole.Items[0].Value = make([]byte, 1<<20)
 	if encoded, err = whole.MarshalVT(); err != nil {
 		f.Fatal(err)
@@ -48,27 +48,27 @@
 		}
 		known.apply(batch, receiver.coverageOf(reply), now)
 		if known.revision() < 7 {
-			t.Fatalf("went back to %d", known.revision())
+			t.Fatalf("the replica went back to revision %d", known.revision())
 		}
 		for key, minRevision := range map[string]uint64{"a": 6, "b": 7} {
 			if entry, isHeld := known.entries[key]; isHeld && entry.Revision < minRevision {
-				t.Fatalf("%s went back to %d", key, entry.Revision)
+				t.Fatalf("%s went back to revision %d", key, entry.Revision)
 			}
 		}
 		if taken := allocated() - before; taken > baseFuzzMemory+fuzzMemoryPerByte*uint64(len(body)) {
-			t.Fatalf("%d bytes for a message of %d", taken, len(body))
+			t.Fatalf("%d bytes allocated for a message of %d bytes", taken, len(body))
 		}
 	})
 }
 
-// Bounds of the memory that is taken, in all, to read a message: an item without content has two
-// bytes on the wire, and an entry in several lists here.
+// Bounds of the total memory allocated to read a message. An empty item takes two bytes on the
+// wire, and an entry in several lists here.
 const (
 	baseFuzzMemory    = 256 << 10
 	fuzzMemoryPerByte = 1 << 10
 )
 
-// allocated returns how much memory has been taken so far.
+// allocated returns the total number of bytes allocated so far.
 func allocated() uint64 {
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/pkg/directory/peers.go
+++ b/pkg/directory/peers.go
@@ -50,8 +50,8 @@
 	seeds atomic.Pointer[[]peer.Address]
 	// ahead receives nodes that were found to know more than this one.
 	ahead chan target.NodeID
-	// turn counts the nodes that were asked, from a random number, so that nodes which start
-	// together ask different ones; only Run uses it.
+	// turn counts the peers that were contacted, from a random number, so that nodes which start
+	// together contact different ones; only Run uses it.
 	turn int
 	// incomplete says that the last reply could not tell which keys were deleted; only Run uses it.
 	incomplete bool
@@ -62,7 +62,7 @@
 	readers *readers
 	// roleChanged is called with a new role.
 	roleChanged func(Role)
-	// readerEjected is called with a reader that is not asked for a while, and the cause.
+	// readerEjected is called with a reader that is not contacted for a while, and the cause.
 	readerEjected func(name string, cause error)
 }
 
@@ -78,8 +78,8 @@
 	Seeds   []string
 	// RoleChanged is called when this node's role changes; may be nil.
 	RoleChanged func(Role)
-	// ReaderEjected is called when a reader of the region is not asked for a while because it did
-	// not answer or its replica was stale; may be nil.
+	// ReaderEjected is called when a reader of the region is not contacted for a while because it
+	// did not answer or its replica was stale; may be nil.
 	ReaderEjected func(name string, cause error)
 }
 
@@ -127,7 +127,7 @@
 			continue
 		}
 		if address, ok := p.choosePeer(ahead); ok {
-			// A peer that does not answer needs no handling: another one is asked next.
+			// A peer that does not answer needs no handling: another one is contacted next.
 			_, _ = p.compare(ctx, address)
 		}
 	}
@@ -160,7 +160,7 @@
 		p.follower.setOutage(isStale)
 		switch {
 		case err != nil && p.follower.ConfirmedAt().IsZero():
-			// Nodes that start together are not all up yet: it is asked again soon.
+			// Nodes that start together are not all up yet; the reader is polled again soon.
 		case err != nil:
 			p.ejectReader(reader, err)
 		case !isStale:
--- a/pkg/directory/readers.go
+++ b/pkg/directory/readers.go
@@ -21,7 +21,7 @@
 	// (docs/CAPACITY.md).
 	childrenPerParent = 8
 	// ejectionSpan is how long a node that did not answer, or whose replica was stale, is not
-	// asked.
+	// polled.
 	ejectionSpan = 10 * time.Second
 	// readerShare is the part of the staleness bound that readers use; the rest is for the way to
 	// the other nodes of the region.
--- a/pkg/directory/readers_test.go
+++ b/pkg/directory/readers_test.go
@@ -15,11 +15,10 @@
 	"github.com/bramblemast/bramblemast/pkg/peer"
 )
 
-// sharedStaleness is an allowed age of news with which nodes read for each other.
+// sharedStaleness is a staleness bound with which nodes read for each other.
 const sharedStaleness = 2800 * time.Millisecond
 
-// startSharingCluster starts nodes of one zone that read for each other and lets them
-// settle.
+// startSharingCluster starts nodes of one zone that read for each other and lets them settle.
 func startSharingCluster(t *testing.T, count int) ([]*node, func()) {
 	t.Helper()
 	nodes, stop := startCluster(t, count)
@@ -42,8 +41,8 @@
 	return found
 }
 
-// expectDelivered writes a key and checks that all nodes know of it in time. The
-// allowed age may be exceeded by a call that fails and the comparison after it.
+// expectDelivered writes a key and checks that all nodes know of it in time. The staleness bound
+// may be exceeded by a call that fails and the comparison after it.
 func expectDelivered(g *WithT, nodes []*node, key string) {
 	revision := writeAll(nodes, key, false)
 	time.Sleep(sharedStaleness + compareInterval)
@@ -52,9 +51,9 @@
 	}
 }
 
-// TestFewNodesOfAZoneReadTheStore: the calls of a zone hardly grow with its nodes,
-// and all have news in time. (skipulag-leit-grown: calls were priced at 0.035 to
-// 0.052 of the worth)
+// TestFewNodesOfAZoneReadTheStore checks that the calls of a zone hardly grow with its number of
+// nodes, and that changes still reach all of them in time. Calls of the store have a price: in one
+// deployment 0.035 to 0.052 of the worth.
 func TestFewNodesOfAZoneReadTheStore(t *testing.T) {
 	for _, count := range []int{3, 12, 40} {
 		synctest.Test(t, func(t *testing.T) {
@@ -79,14 +78,14 @@
 			elapsed := 20 * (sharedStaleness + compareInterval)
 			// A change ends one wait of a reader early.
 			maxCalls := readersPerRegion * (int(elapsed/(sharedStaleness/2)) + 20)
-			t.Logf("%d nodes: %d calls", count, made)
+			t.Logf("%d nodes: %d calls of the store", count, made)
 			g.Expect(made).To(BeNumerically("<=", maxCalls))
 		})
 	}
 }
 
-// TestALostReaderHoldsNoNewsBack: one that the store refuses, one whose watch
-// hears nothing, and both lost at once.
+// TestALostReaderHoldsNoNewsBack checks that changes arrive in time when readers are lost: one that
+// the store refuses, one whose watch reports nothing, and both at once.
 func TestALostReaderHoldsNoNewsBack(t *testing.T) {
 	refuse := func(lost *node) { lost.source.update(func() { lost.source.failure = errors.New("refused") }) }
 	silence := func(lost *node) { lost.source.update(func() { lost.source.watchesSilent = true }) }
@@ -115,15 +114,15 @@
 				}
 				time.Sleep(ejectionSpan + 5*time.Second)
 				expectDelivered(g, nodes, "healed")
-				g.Expect(withRole(nodes, Reader)).To(HaveLen(readersPerRegion), "those that were lost read again")
+				g.Expect(withRole(nodes, Reader)).To(HaveLen(readersPerRegion), "the healed readers read again")
 				stop()
 			})
 		})
 	}
 }
 
-// TestASilentReaderIsReplaced: a reader that does not answer its peers any more is
-// left out, and another node reads instead.
+// TestASilentReaderIsReplaced checks that a reader that stops answering its peers is ejected, and
+// that another node reads instead.
 func TestASilentReaderIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -147,14 +146,14 @@
 		for _, each := range others {
 			total += int(each.ejections.Load())
 		}
-		g.Expect(total).To(BeNumerically(">", 0), "and the operators are told why")
+		g.Expect(total).To(BeNumerically(">", 0), "the ejections are reported")
 		network.Thaw(peer.Address(fmt.Sprint(silent)))
 		stop()
 	})
 }
 
-// TestAnAskerKnowsThatTheStoreWasAway: a key that went while the store was away
-// proves nothing to a node that hears of it from a reader either.
+// TestAnAskerKnowsThatTheStoreWasAway checks that a deletion during an outage of the store is
+// uncertain also at a node that learns of it from a reader.
 func TestAnAskerKnowsThatTheStoreWasAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -177,16 +176,16 @@
 	})
 }
 
-// TestEveryNodeOfALargeZoneIsTold by nodes that have a bounded number of others to
-// tell, so that what a node sends does not grow with the zone, along few steps from
-// the readers.
+// TestEveryNodeOfALargeZoneIsTold checks that changes reach each node of a large zone within few
+// steps from the readers, by nodes that each serve a bounded number of others, so that what a node
+// sends does not grow with the zone.
 func TestEveryNodeOfALargeZoneIsTold(t *testing.T) {
 	g := NewWithT(t)
 	for _, nodes := range []int{3, 18, 19, 52, 318} {
 		children, steps := make(map[int]int), make([]int, nodes)
 		for rank := readersPerRegion; rank < nodes; rank++ {
 			first, last := parents(rank)
-			g.Expect(last-first).To(Equal(1), "each node has two to ask")
+			g.Expect(last-first).To(Equal(1), "each node has two parents")
 			g.Expect(last).To(BeNumerically("<", rank))
 			steps[rank] = max(steps[first], steps[last]) + 1
 			children[first]++
@@ -195,7 +194,7 @@
 		}
 		for rank, count := range children {
 			// A node shares its children with another one.
-			g.Expect(count).To(BeNumerically("<=", readersPerRegion*childrenPerParent), "rank %d of %d", rank, nodes)
+			g.Expect(count).To(BeNumerically("<=", readersPerRegion*childrenPerParent), "rank %d of %d serves too many nodes", rank, nodes)
 		}
 		maxSteps := slices.Max(steps)
 		g.Expect(maxSteps > 1).To(Equal(nodes > readersPerRegion*(1+childrenPerParent)))
@@ -203,7 +202,8 @@
 	}
 }
 
-// TestNodesReadAloneUnderATightStalenessBound, and where a zone has few of them.
+// TestNodesReadAloneUnderATightStalenessBound checks that nodes read for themselves under a tight
+// staleness bound, and in a region with few nodes.
 func TestNodesReadAloneUnderATightStalenessBound(t *testing.T) {
 	g := NewWithT(t)
 	local := Node{Name: "a", PeerAddress: "a", Zone: "z"}
@@ -224,9 +224,9 @@
 	g.Expect(byRole).To(Equal(map[Role]int{Reader: 2, PeerPoller: 1}))
 }
 
-// TestAnOutageIsNotMetByAllNodes: while the store does not answer, few nodes go on
-// asking it, and all know soon that it is back. With 40 nodes that each tried again
-// within 0.8 s it would be 200 calls and more.
+// TestAnOutageIsNotMetByAllNodes checks that few nodes keep calling a store that does not answer,
+// and that all learn soon when it is back. If each of 40 nodes retried within 0.8 s, that would be
+// 200 calls and more.
 func TestAnOutageIsNotMetByAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -264,8 +264,8 @@
 	return time.Duration(readerShare * float64(span))
 }
 
-// TestAForgottenHistoryIsReadByReadersOnly: they tell the others what has gone
-// meanwhile.
+// TestAForgottenHistoryIsReadByReadersOnly checks that only the readers read everything again when
+// the store has dropped its changes, and that they tell the others which keys were deleted.
 func TestAForgottenHistoryIsReadByReadersOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -309,8 +309,8 @@
 // knowAll lets every node know all others.
 func knowAll(_ *node, members []Node) []Node { return members }
 
-// TestAWholeSystemStartsWithFewCalls: nodes that start together find each other in
-// copies of the store, and only the readers read the store itself.
+// TestAWholeSystemStartsWithFewCalls checks that nodes which start together find each other in
+// copies of the store, so that only the readers read the store itself.
 func TestAWholeSystemStartsWithFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -348,7 +348,8 @@
 	})
 }
 
-// TestAStartReadsACopyAndHearsTheRest from the readers, which read the store itself.
+// TestAStartReadsACopyAndHearsTheRest checks that a starting node reads a copy of the store and
+// gets the later changes from the readers, which read the store itself.
 func TestAStartReadsACopyAndHearsTheRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -374,7 +375,8 @@
 	})
 }
 
-// TestACopyWithACompactedHistoryIsNotReadAgain: the store itself is.
+// TestACopyWithACompactedHistoryIsNotReadAgain checks that the store itself is read when it has
+// dropped the changes since the copy.
 func TestACopyWithACompactedHistoryIsNotReadAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -393,7 +395,8 @@
 	})
 }
 
-// TestAWholeSystemThatStartsReadsCopies until its nodes have found each other.
+// TestAWholeSystemThatStartsReadsCopies checks that a starting node reads only copies until it has
+// had time to find others, and then the store itself.
 func TestAWholeSystemThatStartsReadsCopies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/pkg/directory/restore_test.go
+++ b/pkg/directory/restore_test.go
@@ -14,15 +14,16 @@
 	"github.com/bramblemast/bramblemast/pkg/peer"
 )
 
-// restoreAll brings the store of all nodes back from a copy that holds so many changes.
+// restoreAll restores the stores of all nodes from a copy that holds a number of changes.
 func restoreAll(nodes []*node, changes int) {
 	for _, each := range nodes {
 		each.source.restore(changes)
 	}
 }
 
-// TestEachNodeFollowsARestoredStore, also one that the store does not answer and one whose watch hears nothing: the
-// other nodes tell them. What was written before the restore stays in force until it is due again.
+// TestEachNodeFollowsARestoredStore checks that all nodes learn of a restore, including one without
+// the store and one whose watch misses changes, which learn from peers. What was written before the
+// restore stays in force until it should have been written again.
 func TestEachNodeFollowsARestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -42,7 +43,7 @@
 		for number, each := range nodes {
 			g.Expect(each.seen.revisionOf("new")).To(Equal(written), fmt.Sprint(number))
 			g.Expect(each.seen.revisionOf("lost/0")).To(Equal(again))
-			g.Expect(each.seen.revisionOf("lost/1")).NotTo(BeZero(), "it may be written again")
+			g.Expect(each.seen.revisionOf("lost/1")).NotTo(BeZero(), "it stays in force while it may be written again")
 		}
 		time.Sleep(4 * time.Second)
 		for number, each := range nodes {
@@ -57,7 +58,8 @@
 	})
 }
 
-// TestSeveralRestoresInARow: each begins before the store has settled after the one before.
+// TestSeveralRestoresInARow checks restores that each happen before the store has settled after the
+// previous one.
 func TestSeveralRestoresInARow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -85,8 +87,8 @@
 	})
 }
 
-// TestARestoreIsNoticedInAnyOrder: the store is restored while a node's calls fail, and has passed the revision that
-// the node knows by the time that they are answered.
+// TestARestoreIsNoticedInAnyOrder checks that a restore is noticed even if it happens while a
+// node's calls fail and the store has passed the known revision by the time they succeed again.
 func TestARestoreIsNoticedInAnyOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -110,8 +112,9 @@
 	})
 }
 
-// TestLateAnswersOfAnEarlierEraProveNothing: a node is told of the restore by another one while its own watch waits, or
-// while it asks a node that has not heard of it.
+// TestLateAnswersOfAnEarlierEraProveNothing checks that answers of an earlier era do not confirm
+// the replica. They arrive when a node learns of the restore from another one while its own watch
+// is pending, or when it asks a node that has not learned of it.
 func TestLateAnswersOfAnEarlierEraProveNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -122,7 +125,7 @@
 			source.write("key", false)
 		}
 		for range 2 {
-			// The copy that it reads first shows no era.
+			// The copy that is read first shows no era.
 			_, err := tested.step(t.Context())
 			g.Expect(err).NotTo(HaveOccurred())
 		}
@@ -150,8 +153,9 @@
 	})
 }
 
-// TestACopyFromBeforeARestoreIsNotTaken: reads that may be old can be from before it, while the store tells its new
-// era with them. A node's entry of that era shows that one is not.
+// TestACopyFromBeforeARestoreIsNotTaken checks that a possibly old copy is used only if a node's
+// entry shows that it is of the store's era. It may be from before a restore although the store
+// reports its new era with it.
 func TestACopyFromBeforeARestoreIsNotTaken(t *testing.T) {
 	g := NewWithT(t)
 	tested := NewFollower(newFakeStore(), &observer{state: make(map[string]uint64)})
@@ -162,18 +166,19 @@
 		}
 		return batch
 	}
-	g.Expect(tested.trustsCopy(of(0))).To(BeTrue(), "the store knows no eras")
-	g.Expect(tested.trustsCopy(of(2))).To(BeFalse(), "nothing tells")
+	g.Expect(tested.trustsCopy(of(0))).To(BeTrue(), "the store reports no eras")
+	g.Expect(tested.trustsCopy(of(2))).To(BeFalse(), "no entry shows the era of the copy")
 	g.Expect(tested.trustsCopy(of(2, 1, 1))).To(BeFalse())
 	g.Expect(tested.trustsCopy(of(2, 1, 2))).To(BeTrue())
 	tested.SetFirstStart(true)
-	g.Expect(tested.trustsCopy(of(2))).To(BeTrue(), "there was nothing before")
-	g.Expect(tested.trustsCopy(of(2, 1))).To(BeFalse(), "the store was restored just now")
+	g.Expect(tested.trustsCopy(of(2))).To(BeTrue(), "at a first start there was no earlier era")
+	g.Expect(tested.trustsCopy(of(2, 1))).To(BeFalse(), "the nodes' entries are of an earlier era")
 }
 
-// TestAStartingNodeAwaitsPeersAfterARestore: what it reads may be older than what is in force elsewhere. It is told by a
-// node that was running, not by one that has just started too, and does not wait for longer than others may take to
-// write again what was lost.
+// TestAStartingNodeAwaitsPeersAfterARestore checks that a starting node does not serve by a
+// restored store, whose state may be older than what is in force elsewhere. It waits for a node
+// that was running before, not for one that has just started too, and no longer than the write-back
+// span.
 func TestAStartingNodeAwaitsPeersAfterARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -203,7 +208,7 @@
 		g.Expect(started.AwaitsPeers()).To(BeTrue())
 		_, err = asking.compare(context.Background(), "running")
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(started.AwaitsPeers()).To(BeFalse(), "it has heard of a running node, though that is in the era before")
+		g.Expect(started.AwaitsPeers()).To(BeFalse(), "a running node has answered, although it is still in the previous era")
 		time.Sleep(defaultWriteBackSpan + time.Millisecond)
 		synctest.Wait()
 		g.Expect(other.AwaitsPeers()).To(BeFalse())
@@ -215,8 +220,8 @@
 	})
 }
 
-// TestNothingIsProvenUntilARestoredStoreSettles: what the store tells proves nothing until it has settled, and by then nothing that was
-// known before is still proven.
+// TestNothingIsProvenUntilARestoredStoreSettles checks that reads of a restored store prove nothing
+// until it has settled; until then only what was confirmed before the restore counts.
 func TestNothingIsProvenUntilARestoredStoreSettles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -233,7 +238,7 @@
 			g.Expect(tested.IsSettling()).To(BeTrue())
 			time.Sleep(time.Second)
 		}
-		g.Expect(tested.IsFreshWithin(3*time.Second)).To(BeTrue(), "as of before the restore")
+		g.Expect(tested.IsFreshWithin(3*time.Second)).To(BeTrue(), "confirmed before the restore")
 		g.Expect(tested.IsFreshWithin(3*time.Second - 1)).To(BeFalse())
 		time.Sleep(time.Second)
 		tested.confirm(time.Now())
--- a/pkg/directory/start_test.go
+++ b/pkg/directory/start_test.go
@@ -13,9 +13,9 @@
 	"github.com/bramblemast/bramblemast/pkg/peer"
 )
 
-// TestAStartDoesNotLeanOnPeers: while the store reads everything for a node that
-// has just started, no peer sends it everything too. (sweep at 300 machines: 40
-// MB and 607 kB/s at the nodes that all others knew)
+// TestAStartDoesNotLeanOnPeers checks that no peer sends everything to a node that has just started
+// while the store still answers its first read. Otherwise the nodes that all others knew sent 40
+// MB, at 607 kB/s, at a start of 300 machines.
 func TestAStartDoesNotLeanOnPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -31,8 +31,9 @@
 	})
 }
 
-// TestNodesThatStartTogetherAskDifferentSeeds. (own day with all of 300 nodes
-// killed at once: one seed got 39 questions for everything, the others one)
+// TestNodesThatStartTogetherAskDifferentSeeds checks that nodes which restart together spread their
+// first requests over the seeds. Otherwise one seed answers nearly all requests for everything: 39
+// of them when 300 nodes restarted, the other seeds one each.
 func TestNodesThatStartTogetherAskDifferentSeeds(t *testing.T) {
 	g := NewWithT(t)
 	requests := make(map[peer.Address]int)
@@ -53,9 +54,8 @@
 	}
 }
 
-// TestANodeThatKnowsNothingAsksOften: it serves nothing until it has read the
-// store, so it finds out soon that the store is back. (valgsok trouble-3,
-// valgsok-grown fresh-fa94)
+// TestANodeThatKnowsNothingAsksOften checks that a node without any state retries the store often,
+// since it serves nothing until it has read it, but not in a tight loop.
 func TestANodeThatKnowsNothingAsksOften(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -66,7 +66,7 @@
 		for _, away := range []time.Duration{1550 * time.Millisecond, 800 * time.Millisecond} {
 			time.Sleep(away)
 			loads, _ := source.calls()
-			g.Expect(loads).To(BeNumerically("<=", 12), "but not without pauses")
+			g.Expect(loads).To(BeNumerically("<=", 12), "retries are spaced by pauses")
 		}
 		source.update(func() { source.failure = nil })
 		time.Sleep(maxInitialRetry + time.Millisecond)
@@ -75,8 +75,8 @@
 	})
 }
 
-// TestTheInitialLoadIsReportedOnce, after what was found, whether the store or a peer has
-// told it.
+// TestTheInitialLoadIsReportedOnce checks that Loaded is called once, after the initial state,
+// whether the store or a peer has supplied that.
 func TestTheInitialLoadIsReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -96,9 +96,9 @@
 	})
 }
 
-// TestAnEarlierStateIsNotToldEverything: a node that has read everything does not
-// know which keys went before, and tells one that is a little behind only what
-// is newer. (sweep at 300 machines: 611 kB/s at the busiest node)
+// TestAnEarlierStateIsNotToldEverything checks that a node which has read everything, and so does
+// not know the earlier deletions, sends a node that is slightly behind only what is newer. Sending
+// everything took 611 kB/s at the busiest of 300 nodes.
 func TestAnEarlierStateIsNotToldEverything(t *testing.T) {
 	g := NewWithT(t)
 	source, now := newFakeStore(), time.Unix(0, 0)
@@ -116,7 +116,7 @@
 	changes, covered := read.since(behind.revision())
 	g.Expect(covered).To(Equal(newerOnly))
 	g.Expect(changes.Entries).To(HaveLen(1))
-	g.Expect(changes.Revision).To(Equal(behind.revision()), "it completes nothing")
+	g.Expect(changes.Revision).To(Equal(behind.revision()), "it does not advance the complete revision")
 	g.Expect(behind.apply(changes, covered, now)).To(Equal(1))
 	g.Expect(behind.entries).To(And(HaveKey("new"), HaveKey("0")))
 	everything, covered := read.since(0)
@@ -124,8 +124,8 @@
 	g.Expect(everything.Entries).To(HaveLen(100))
 }
 
-// TestANodeWithoutTheStoreAsksForEverything where the others cannot tell what has
-// gone.
+// TestANodeWithoutTheStoreAsksForEverything checks that a node without the store requests the whole
+// state when the others cannot tell which keys were deleted.
 func TestANodeWithoutTheStoreAsksForEverything(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -146,8 +146,8 @@
 	})
 }
 
-// TestASilentWatchIsNoticedWhenAKeyHasGone, although the other node has read
-// everything anew and cannot tell which.
+// TestASilentWatchIsNoticedWhenAKeyHasGone checks that a node whose watch misses a deletion notices
+// it, although the other node has read everything again and cannot tell which key was deleted.
 func TestASilentWatchIsNoticedWhenAKeyHasGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -161,7 +161,7 @@
 		revision := writeAll(nodes, "gone", true)
 		other.update(func() { other.watchesSilent, other.compactedUpTo = false, revision })
 		silent.mutex.Lock()
-		silent.watchesSilent = false // Only a new watch hears of it: nothing wakes the old one.
+		silent.watchesSilent = false // Only a new watch sees it: nothing wakes the pending one.
 		silent.mutex.Unlock()
 		time.Sleep(MinStalenessBound + 2*compareInterval)
 		g.Expect(nodes[0].seen.revisionOf("gone")).To(BeZero())
