--- a/pkg/loadshed/admitter_test.go
+++ b/pkg/loadshed/admitter_test.go
@@ -11,7 +11,7 @@
 	"github.com/bramblemast/bramblemast/pkg/loadshed"
 )
 
-// The services of these tests, as a gathered request asks them.
+// services are the services that a gathered request needs in these tests.
 var services = func() []string {
 	var names []string
 	for number := range 36 {
@@ -26,11 +26,11 @@
 	return loadshed.Shares{Ranks: []loadshed.RankShare{{Priority: 1, Share: share}}}
 }
 
-// sampleAt returns the lot of a request that is let in with shares from a position on.
+// sampleAt returns the sampling value of a request that is admitted with shares of at least position.
 func sampleAt(position float64) uint64 { return uint64((1 - position) * math.MaxUint64 * (1 - 1e-12)) }
 
-// TestAllNodesAdmitTheSameRequests: two boards that were told the same decide alike, and let
-// in the part that was told.
+// TestAllNodesAdmitTheSameRequests: two admitters with the same shares make the same decisions and
+// admit the part of the requests that the shares state.
 func TestAllNodesAdmitTheSameRequests(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
@@ -55,8 +55,8 @@
 	g.Expect(admitted).To(BeNumerically("~", count/5, 2))
 }
 
-// TestOneShardShort: a request that needs 35 of 36 shards leaves the scarce one alone unless
-// it is among those for which it has room; one that needs all is held to it.
+// TestOneShardShort: a request that needs 35 of 36 shards skips the limited one unless its sampling
+// value is admitted there; a request that needs all of them is limited by it.
 func TestOneShardShort(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
@@ -73,8 +73,8 @@
 	g.Expect(whole.Shortfall).To(BeNumerically("~", 0.5/0.9, 1e-6))
 }
 
-// TestAThirdOfTheServersGone leaves many shards short: a request that needs 31 of 36 goes by
-// the sixth scarcest, one that needs 35 by the second.
+// TestAThirdOfTheServersGone: many shards are limited. The sixth smallest share decides about a request
+// that needs 31 of 36 shards, and the second smallest about one that needs 35.
 func TestAThirdOfTheServersGone(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
@@ -92,8 +92,8 @@
 	g.Expect(admitter.Admit(services, "", 31, urgent, sampleAt(0.31), now).IsAdmitted).To(BeFalse())
 }
 
-// TestSharesExpireWithoutReports are forgotten: a node that is cut off, or whose owner is lost, falls
-// back to letting all in and sees for itself.
+// TestSharesExpireWithoutReports: a node that is cut off, or whose owner is lost, receives no more
+// shares. It has to admit all requests again and measure for itself.
 func TestSharesExpireWithoutReports(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
@@ -105,7 +105,8 @@
 	g.Expect(admitter.AdmitsAll()).To(BeTrue())
 }
 
-// TestTheLatestMeasurementWins: the later measurement counts, whichever message comes last.
+// TestTheLatestMeasurementWins: while two owners report, the later measurement counts, whichever
+// message arrives last.
 func TestTheLatestMeasurementWins(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
@@ -119,7 +120,8 @@
 	g.Expect(admitter.ShareOf(loadshed.Key{Service: "shard0"}, urgent, now)).To(Equal(1.0))
 }
 
-// TestLocalSharesYieldToTheOwner, as long as the owner tells something.
+// TestLocalSharesYieldToTheOwner: what a node measures from its own requests alone does not replace
+// recent shares of the owner, but does once those have expired.
 func TestLocalSharesYieldToTheOwner(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
@@ -133,8 +135,8 @@
 	g.Expect(admitter.ShareOf(key, urgent, now.Add(3*time.Second))).To(Equal(0.5))
 }
 
-// TestImmediateRetriesGetTheSameSample: tries of a client draw the same lot at all nodes, while the
-// many that ask the same in a flash crowd draw each for itself.
+// TestImmediateRetriesGetTheSameSample: the tries of a client get the same sampling value at all nodes,
+// while each of the many requests with the same content in a flash crowd gets a value of its own.
 func TestImmediateRetriesGetTheSameSample(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
@@ -143,7 +145,7 @@
 	g.Expect(there.Sample(42, 2, now.Add(time.Second))).To(Equal(first))
 	g.Expect(here.Sample(42, 3, now.Add(time.Second))).To(Equal(first))
 	g.Expect(here.Sample(42, 4, now.Add(time.Second))).To(Equal(uint64(4)))
-	g.Expect(here.Sample(42, 5, now.Add(10*time.Second))).NotTo(Equal(first), "nobody stays unlucky")
+	g.Expect(here.Sample(42, 5, now.Add(10*time.Second))).NotTo(Equal(first), "the value changes with each span, so that no client is refused for long")
 }
 
 func BenchmarkAdmitWithoutOverload(b *testing.B) { benchmarkAdmit(b, 0) }
@@ -161,8 +163,8 @@
 	}
 }
 
-// TestRequestsBoundToRegionsHaveTheirOwnShares: the servers of one region may have too much to do
-// while the others have not.
+// TestRequestsBoundToRegionsHaveTheirOwnShares: the servers of one region may be overloaded while the
+// others are not.
 func TestRequestsBoundToRegionsHaveTheirOwnShares(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
@@ -172,7 +174,8 @@
 	g.Expect(admitter.Admit(services, "", 36, urgent, sampleAt(0.5), now).IsAdmitted).To(BeTrue())
 }
 
-// TestOlderSharesThatComeLaterArePassedOver also after a service has room for all again.
+// TestOlderSharesThatComeLaterArePassedOver: older shares that arrive late are ignored, also after the
+// overload has ended.
 func TestOlderSharesThatComeLaterArePassedOver(t *testing.T) {
 	g := NewWithT(t)
 	admitter, now, key := loadshed.NewAdmitter(), time.Unix(100, 0), loadshed.Key{Service: "a"}
--- a/pkg/loadshed/divide_test.go
+++ b/pkg/loadshed/divide_test.go
@@ -14,15 +14,15 @@
 	return loadshed.Demand{Class: loadshed.Class{Priority: priority, Tenant: tenant}, Rate: rate}
 }
 
-// TestEnoughCapacityRefusesNobody.
+// TestEnoughCapacityRefusesNobody: a capacity equal to the demand admits everything.
 func TestEnoughCapacityRefusesNobody(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(loadshed.Divide(10, []loadshed.Demand{demand(1, "", 6), demand(2, "", 4)}).IsFull()).To(BeTrue())
 	g.Expect(loadshed.Divide(0, nil).IsFull()).To(BeTrue())
 }
 
-// TestAFlashCrowdOfTheLessUrgentLeavesRoomForTheMoreUrgent: what the urgent kind asks for it
-// gets but for a quarter of the common share, which the crowd keeps.
+// TestAFlashCrowdOfTheLessUrgentLeavesRoomForTheMoreUrgent: the urgent kind gets its demand, except for
+// a quarter of the common share that the less urgent kind keeps.
 func TestAFlashCrowdOfTheLessUrgentLeavesRoomForTheMoreUrgent(t *testing.T) {
 	g := NewWithT(t)
 	shares := loadshed.Divide(10, []loadshed.Demand{demand(1, "", 5), demand(2, "", 35)})
@@ -32,16 +32,16 @@
 	g.Expect(crowd.Of(loadshed.Class{Priority: 2})).To(BeNumerically("~", 0.25*10/40, 1e-9))
 }
 
-// TestAKindThatCostsTenTimesAsMuch is measured by the work that it asks for: both kinds of a
-// rank get the same part.
+// TestAKindThatCostsTenTimesAsMuch: demand is measured in work, so that both kinds of requests of a
+// priority get the same share.
 func TestAKindThatCostsTenTimesAsMuch(t *testing.T) {
 	g := NewWithT(t)
 	shares := loadshed.Divide(11, []loadshed.Demand{demand(1, "", 2+20)})
 	g.Expect(shares.Of(loadshed.Class{Priority: 1})).To(BeNumerically("~", 0.5, 1e-9))
 }
 
-// TestAHeavyTenantAmongManySmallOnes: the small ones get all that they ask for, the heavy one
-// what is left.
+// TestAHeavyTenantAmongManySmallOnes: the small tenants get their whole demand, and the heavy one the
+// rest.
 func TestAHeavyTenantAmongManySmallOnes(t *testing.T) {
 	g := NewWithT(t)
 	demands := []loadshed.Demand{demand(1, "heavy", 60)}
@@ -54,7 +54,8 @@
 	g.Expect(shares.Tenants).To(HaveLen(1))
 }
 
-// TestSharesAreBoundedForManyTenants.
+// TestSharesAreBoundedForManyTenants: the number of tenants with a share of their own is bounded, so
+// that messages to other nodes do not grow with the number of tenants.
 func TestSharesAreBoundedForManyTenants(t *testing.T) {
 	g := NewWithT(t)
 	var demands []loadshed.Demand
@@ -64,9 +65,9 @@
 	g.Expect(len(loadshed.Divide(100, demands).Tenants)).To(BeNumerically("<=", 8))
 }
 
-// TestSharesStayWithinTheirBounds for any demands: nobody gets less than a quarter of the common
-// share, a less urgent tenant never more than a more urgent one, and all together no more than
-// there is.
+// TestSharesStayWithinTheirBounds: for any demands, nobody gets less than a quarter of the common
+// share, a less urgent priority never gets a greater share than a more urgent one, and all together
+// get no more than the capacity.
 func TestSharesStayWithinTheirBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 30).Draw(t, "count")
@@ -85,14 +86,14 @@
 		for _, each := range demands {
 			share := shares.Of(each.Class)
 			if share < 0.25*capacity/total-1e-9 || share > 1+1e-9 {
-				t.Fatalf("%+v gets %v of %v", each, share, capacity/total)
+				t.Fatalf("%+v gets share %v, the common share is %v", each, share, capacity/total)
 			}
 			allocated += share * each.Rate
 			rank := ranks[each.Priority]
 			ranks[each.Priority] = [2]float64{rank[0] + share*each.Rate, rank[1] + each.Rate}
 		}
 		if allocated > capacity*1.001 {
-			t.Fatalf("%v given of %v", allocated, capacity)
+			t.Fatalf("allocated %v of a capacity of %v", allocated, capacity)
 		}
 		last := 2.0
 		for priority := range 4 {
@@ -101,7 +102,7 @@
 				continue
 			}
 			if share := rank[0] / rank[1]; share > last+1e-6 {
-				t.Fatalf("priority %d gets %v, a more urgent one %v", priority, share, last)
+				t.Fatalf("priority %d gets share %v, more than the share %v of a more urgent one", priority, share, last)
 			} else {
 				last = share
 			}
--- a/pkg/loadshed/meter_test.go
+++ b/pkg/loadshed/meter_test.go
@@ -11,18 +11,18 @@
 	"github.com/bramblemast/bramblemast/pkg/loadshed"
 )
 
-// queue models the servers of one service as one queue that does a fixed amount of work a
-// second, with requests that ask for the same work.
+// queue models the servers of one service as one queue with a fixed capacity in work a second. All
+// requests need the same work.
 type queue struct {
 	meter    *loadshed.Meter
 	random   *rand.Rand
 	now      time.Time
 	capacity float64
-	// waiting are the moments at which the requests in the queue came.
+	// arrivals are the arrival times of the requests in the queue.
 	arrivals []time.Time
-	// done is the work that the servers have ready for the next request.
+	// availableWork is the work that the servers can do at once for the next requests.
 	availableWork float64
-	// shares are what the nodes know; they learn of a change a little later.
+	// shares are the shares of the last evaluation, by which requests are admitted.
 	shares         loadshed.Shares
 	isStopped      bool
 	refused        int
@@ -42,7 +42,7 @@
 	return &queue{meter: loadshed.NewMeter(now), random: rand.New(rand.NewPCG(1, 2)), now: now, capacity: capacity}
 }
 
-// run offers requests at a rate for a time.
+// run offers requests at a rate per second for a span of time.
 func (q *queue) run(rate float64, span time.Duration) {
 	q.refused, q.served, q.inTime = 0, 0, 0
 	for end := q.now.Add(span); q.now.Before(end); q.now = q.now.Add(queueStep) {
@@ -84,7 +84,8 @@
 	q.availableWork = min(q.availableWork, 3*queueWork.Seconds())
 }
 
-// next returns the first request that is in time, and the first of all if none is.
+// nextIndex returns the first request that can be answered in time, or the first of all if there is
+// none.
 func (q *queue) nextIndex() int {
 	for index, arrivedAt := range q.arrivals {
 		if q.now.Sub(arrivedAt) < queueTarget {
@@ -107,21 +108,21 @@
 	q.shares = shares
 }
 
-// TestAFlashCrowdIsLimitedToTheCapacity: at three times the capacity nearly all that is let
-// in is served in time, servers stay busy, and the rest is refused.
+// TestAFlashCrowdIsLimitedToTheCapacity: at three times the capacity, most of the capacity is used for
+// requests that are served in time, and the excess is refused.
 func TestAFlashCrowdIsLimitedToTheCapacity(t *testing.T) {
 	g := NewWithT(t)
 	tested := newQueue(2)
 	tested.run(50, 5*time.Second)
-	g.Expect(tested.refused).To(BeZero(), "half of the capacity")
+	g.Expect(tested.refused).To(BeZero(), "refused at half of the capacity")
 	tested.run(300, time.Second)
 	tested.run(300, 5*time.Second)
-	t.Logf("of 500: %d served, %d in time, %d refused", tested.served, tested.inTime, tested.refused)
-	g.Expect(tested.inTime).To(BeNumerically(">=", 400), "0.8 of what servers can do")
+	t.Logf("capacity 500 requests: %d served, %d in time, %d refused", tested.served, tested.inTime, tested.refused)
+	g.Expect(tested.inTime).To(BeNumerically(">=", 400), "at least 0.8 of the capacity is served in time")
 	g.Expect(tested.refused).To(BeNumerically(">=", 800))
 }
 
-// TestRestoredCapacityIsUsedWithinASecond.
+// TestRestoredCapacityIsUsedWithinASecond: nothing is refused a second after the capacity has returned.
 func TestRestoredCapacityIsUsedWithinASecond(t *testing.T) {
 	g := NewWithT(t)
 	tested := newQueue(0.5)
@@ -133,7 +134,7 @@
 	g.Expect(tested.refused).To(BeZero())
 }
 
-// TestABurstThatEndedRefusesNobody a second later.
+// TestABurstThatEndedRefusesNobody: nothing is refused a second after a burst has ended.
 func TestABurstThatEndedRefusesNobody(t *testing.T) {
 	g := NewWithT(t)
 	tested := newQueue(2)
@@ -143,7 +144,8 @@
 	g.Expect(tested.refused).To(BeZero())
 }
 
-// TestAMinimumIsAlwaysAdmitted: also servers that answer nothing any more are tried.
+// TestAMinimumIsAlwaysAdmitted: some requests are admitted even while servers answer nothing, so that
+// their return is noticed.
 func TestAMinimumIsAlwaysAdmitted(t *testing.T) {
 	g := NewWithT(t)
 	tested := newQueue(2)
@@ -155,7 +157,7 @@
 	}
 }
 
-func BenchmarkOffer(b *testing.B) {
+func BenchmarkMeterRecordAdmitted(b *testing.B) {
 	meter := loadshed.NewMeter(time.Unix(100, 0))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -163,7 +165,8 @@
 	}
 }
 
-// TestServersThatReturnFromAnOutageAreUsedWithinASecond are in use again within a second.
+// TestServersThatReturnFromAnOutageAreUsedWithinASecond: nothing is refused a second after all servers
+// have returned from an outage.
 func TestServersThatReturnFromAnOutageAreUsedWithinASecond(t *testing.T) {
 	g := NewWithT(t)
 	tested := newQueue(3)
@@ -176,13 +179,13 @@
 	g.Expect(tested.refused).To(BeZero())
 }
 
-// emptyQueues has nothing that waits.
+// emptyQueues has no waiting requests.
 type emptyQueues struct{}
 
 func (emptyQueues) Backlog(loadshed.Key, time.Time) loadshed.Backlog { return loadshed.Backlog{} }
 
-// BenchmarkMetersOffer counts the judgements too, one in ten requests at a hundred a second.
-func BenchmarkMetersOffer(b *testing.B) {
+// BenchmarkMetersRecordAdmitted includes the evaluations: one for ten requests, at a hundred requests a second.
+func BenchmarkMetersRecordAdmitted(b *testing.B) {
 	meters, now := loadshed.NewMeters(emptyQueues{}, loadshed.NewAdmitter()), time.Unix(100, 0)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -191,14 +194,15 @@
 	}
 }
 
-// crowd has more waiting than can be served.
+// longQueues has more waiting requests than can be served in time.
 type longQueues struct{}
 
 func (longQueues) Backlog(loadshed.Key, time.Time) loadshed.Backlog {
 	return loadshed.Backlog{Waiting: 50, Target: 200 * time.Millisecond}
 }
 
-// TestWhatANodeMeasuresOfItselfIsNotTold once it has not asked on behalf of others for a while.
+// TestWhatANodeMeasuresOfItselfIsNotTold: a node that no longer queries servers on behalf of other nodes
+// stops publishing its measurements, since it sees only its own requests.
 func TestWhatANodeMeasuresOfItselfIsNotTold(t *testing.T) {
 	g := NewWithT(t)
 	meters, now, publishedAt := loadshed.NewMeters(longQueues{}, loadshed.NewAdmitter()), time.Unix(100, 0), time.Time{}
--- a/pkg/loadshed/model_test.go
+++ b/pkg/loadshed/model_test.go
@@ -7,8 +7,8 @@
 	"github.com/bramblemast/bramblemast/pkg/loadshed"
 )
 
-// The deployment of these tests: 67 nodes of two requests a second, twelve shards with an owner
-// each, whose servers do four seconds of work a second.
+// The deployment of the model: 67 nodes with two requests a second each, and twelve shards with one
+// owner each. The servers of a shard do four seconds of work a second.
 const (
 	modelNodes    = 67
 	modelShards   = 12
@@ -16,7 +16,7 @@
 	modelRate     = 134.0
 	modelStep     = 2 * time.Millisecond
 	modelSpan     = 5 * time.Second
-	// modelDelay is how long a node's knowledge is behind what an owner tells.
+	// modelDelay is how long the shares of an owner take to reach the nodes.
 	modelDelay = 50 * time.Millisecond
 )
 
@@ -24,7 +24,7 @@
 type kind struct {
 	name     string
 	priority int
-	// part is its part of the requests, needed how many shards it needs.
+	// part is its part of all requests, and needed the number of shards that it needs.
 	part     float64
 	needed   int
 	work     time.Duration
@@ -37,7 +37,7 @@
 	{"check", 2, 0.25, 10, 9 * time.Millisecond, 150 * time.Millisecond, 800 * time.Millisecond},
 }
 
-// asked is one request under way.
+// modelRequest is one request in flight.
 type modelRequest struct {
 	kind
 	tenant    string
@@ -45,7 +45,7 @@
 	node      int
 	arrivedAt time.Time
 	answered  int
-	// shares are what its node took each shard to have room for.
+	// shares are the shares of its class at each shard, as its node knew them.
 	shares [modelShards]float64
 	ended  bool
 }
@@ -54,19 +54,20 @@
 	return loadshed.Class{Priority: r.priority, Tenant: r.tenant}
 }
 
-// way decides which requests are let in.
+// scheme decides which requests are admitted.
 type scheme interface {
-	// admit returns the shards that are asked; nil refuses.
+	// admit returns the shards that are queried; nil refuses the request.
 	admit(request *modelRequest, now time.Time) []int
-	// offered, served and ended tell of the parts and the ends of requests.
+	// admitted and served report the start and the answer of a request at a shard, and ended its
+	// end.
 	admitted(shard int, request *modelRequest, now time.Time)
 	served(shard int, request *modelRequest)
 	ended(request *modelRequest, inTime bool, now time.Time)
-	// judge takes the queues, each 100 ms.
+	// evaluate updates the scheme from the queues, every 100 ms.
 	evaluate(model *model, now time.Time)
 }
 
-// model is the shards' queues, and what has become of the requests of a time.
+// model simulates the queues of the shards and counts the outcomes of requests.
 type model struct {
 	random        *rand.Rand
 	now           time.Time
@@ -79,7 +80,7 @@
 	counts        map[string]*tally
 }
 
-// tally counts requests of a kind or a tenant.
+// tally counts the requests of a kind or a tenant by outcome.
 type tally struct{ offered, inTime, late, refused, failed int }
 
 func newModel(tested scheme) *model {
@@ -90,7 +91,7 @@
 	return created
 }
 
-// run offers requests at a rate for a time; tenantOf draws the tenant of a request.
+// run offers requests at a rate per second for a span of time; tenantOf draws the tenant of a request.
 func (m *model) run(rate float64, span time.Duration, tenantOf func(*rand.Rand) string) {
 	m.counts = make(map[string]*tally)
 	for end := m.now.Add(span); m.now.Before(end); m.now = m.now.Add(modelStep) {
@@ -141,7 +142,8 @@
 	}
 }
 
-// serve lets a shard work for one step: on those in time first, by urgency and lot.
+// serve simulates one step of a shard. Requests that are still in time come first, in the order of
+// loadshed.WaitOrder.
 func (m *model) serve(shard int) {
 	m.availableWork[shard] += m.capacity[shard] * modelStep.Seconds()
 	for len(m.queues[shard]) > 0 {
@@ -175,7 +177,7 @@
 	return loadshed.WaitOrder(one.sample, one.priority) > loadshed.WaitOrder(other.sample, other.priority)
 }
 
-// endRequests ends the requests that are answered or at their deadline.
+// endRequests ends the requests that are answered or have reached their deadline.
 func (m *model) endRequests() {
 	kept := m.live[:0]
 	for _, request := range m.live {
--- a/pkg/loadshed/sampler_test.go
+++ b/pkg/loadshed/sampler_test.go
@@ -10,9 +10,9 @@
 	"github.com/bramblemast/bramblemast/pkg/loadshed"
 )
 
-// again lets clients send a request each interval for the span of a lot, each its own, and once
-// more under a new id half a second later. It returns how many second tries there were, and how
-// many had the lot of the first one.
+// sampleRetries simulates clients that send one request each interval for the span of a sampling value,
+// each with its own content, and retry it under a new id half a second later. It returns the number of
+// retries, and how many of them got the sampling value of the first try.
 func sampleRetries(sampler *loadshed.Sampler, interval time.Duration) (retries, same int) {
 	const span, pause = 10 * time.Second, 500 * time.Millisecond
 	random := rand.New(rand.NewPCG(3, 3))
@@ -36,8 +36,8 @@
 	return retries, same
 }
 
-// TestNobodyGainsByANewID, at a node of few requests and at one of many: a second try draws as the
-// first one did, but for the few that share a count with another request.
+// TestNobodyGainsByANewID: at nodes with few and with many requests, a second try gets the sampling
+// value of the first one, except for the few requests that share a counter with another one.
 func TestNobodyGainsByANewID(t *testing.T) {
 	for name, interval := range map[string]time.Duration{
 		"2 a second": 500 * time.Millisecond, "50 a second": 20 * time.Millisecond, "400 a second": 2500 * time.Microsecond,
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestLotsHoldNoMoreThanTheyNeed: counts are for the requests of a span, bounded, and given up when
-// the load has gone. Requests that ask the same need one.
+// TestLotsHoldNoMoreThanTheyNeed: the number of counters follows the number of requests in a span, is
+// bounded, and shrinks after the load. Requests with the same content need only one counter.
 func TestLotsHoldNoMoreThanTheyNeed(t *testing.T) {
 	g := NewWithT(t)
 	sampler := &loadshed.Sampler{}
@@ -60,7 +60,7 @@
 	for number := range 100_000 {
 		sampler.Sample(7, uint64(number), time.Unix(1010, 0))
 	}
-	g.Expect(sampler.Slots()).To(Equal(1024), "all ask the same")
+	g.Expect(sampler.Slots()).To(Equal(1024), "all requests have the same content")
 	random := rand.New(rand.NewPCG(4, 4))
 	for number := range 100_000 {
 		sampler.Sample(random.Uint64(), uint64(number), time.Unix(1020, 0))
@@ -71,7 +71,8 @@
 	g.Expect(sampler.Slots()).To(Equal(1024))
 }
 
-// TestManyThatAskTheSameDrawForThemselves, also while the counts grow.
+// TestManyThatAskTheSameDrawForThemselves: of many requests with the same content, only a few get the
+// same sampling value, also while the number of counters grows.
 func TestManyThatAskTheSameDrawForThemselves(t *testing.T) {
 	g := NewWithT(t)
 	sampler, random, countBySample := &loadshed.Sampler{}, rand.New(rand.NewPCG(5, 5)), make(map[uint64]int)
@@ -80,6 +81,6 @@
 		countBySample[sampler.Sample(7, random.Uint64(), time.Unix(1000, 0))]++
 	}
 	for _, count := range countBySample {
-		g.Expect(count).To(BeNumerically("<=", 6), "two for each of three sizes")
+		g.Expect(count).To(BeNumerically("<=", 6), "two for each of three numbers of counters")
 	}
 }
--- a/pkg/loadshed/scenarios_test.go
+++ b/pkg/loadshed/scenarios_test.go
@@ -9,27 +9,27 @@
 	. "github.com/onsi/gomega"
 )
 
-// load is a load of the model: it sets the shards' capacity and gives the rate.
+// scenario is an overload of the model: the rate of the requests and the capacity of the shards.
 type scenario struct {
 	name string
 	rate float64
-	// scarce are the shards that have only a part of their servers.
+	// limitedShards is the number of shards that have only remainingPart of their servers.
 	limitedShards int
 	remainingPart float64
 	tenantOf      func(*rand.Rand) string
 	kinds         []kind
-	// failed is the part of the requests that may fail at their deadline: of three times what
-	// servers can do, those that came in the 300 ms until all nodes knew of the overload, and
-	// those that wait behind work which costs seconds.
+	// maxFailedPart is the part of the requests that may fail at their deadline: at three times the
+	// capacity, those that arrive in the 300 ms until all nodes know of the overload, and those that
+	// wait behind work which takes seconds.
 	maxFailedPart float64
 }
 
-// log prints what a way got out of a load: work in time as a part of what could be done, and
-// the parts of each kind that were answered in time.
+// log prints the result of a scheme: the work that was done in time as a part of the achievable work,
+// and the part of each kind of requests that was answered in time.
 func (s scenario) log(t *testing.T, name string, counts map[string]*tally) {
 	t.Helper()
 	all := counts["all"]
-	line := fmt.Sprintf("%-10s useful %.2f, failed %.3f, refused %.3f", name, workInTime(counts, s.kinds)/s.achievableWork(),
+	line := fmt.Sprintf("%-10s work in time %.2f, failed %.3f, refused %.3f", name, workInTime(counts, s.kinds)/s.achievableWork(),
 		float64(all.failed)/float64(all.offered), float64(all.refused)/float64(all.offered))
 	for _, each := range s.kinds {
 		line += fmt.Sprintf(", %s %.2f", each.name, float64(counts[each.name].inTime)/float64(counts[each.name].offered))
@@ -37,7 +37,8 @@
 	t.Log(line)
 }
 
-// useful is the work that the scarcest shards that requests need can do, or are asked for.
+// achievableWork returns the work that the scarcest shards which requests need can do, or the demand
+// if that is less.
 func (s scenario) achievableWork() float64 {
 	demand := 0.0
 	for _, each := range s.kinds {
@@ -50,7 +51,7 @@
 	return modelSpan.Seconds() * min(demand, capacity)
 }
 
-// work is the work of the requests that were answered in time.
+// workInTime returns the work of the requests that were answered in time.
 func workInTime(counts map[string]*tally, kinds []kind) float64 {
 	done := 0.0
 	for _, each := range kinds {
@@ -61,7 +62,8 @@
 
 func noTenant(*rand.Rand) string { return "" }
 
-// heavyAndSmallTenants draws one tenant for two thirds of the requests, and twenty for the rest.
+// heavyAndSmallTenants draws one heavy tenant for two thirds of the requests, and one of twenty small
+// tenants for the rest.
 func heavyAndSmallTenants(random *rand.Rand) string {
 	if random.Float64() < 2.0/3 {
 		return "heavy"
@@ -75,12 +77,12 @@
 	{"flash crowd", 3 * modelRate, 0, 1, noTenant, modelKinds, 0.04},
 	{"one shard short", modelRate, 1, 0.1, noTenant, modelKinds, 0.04},
 	{"a third of the servers gone", modelRate, 4, 1.0 / 3, noTenant, modelKinds, 0.04},
-	{"a heavy tenant beside many small ones", 2.5 * modelRate, 0, 1, heavyAndSmallTenants, modelKinds, 0.04},
+	{"a heavy tenant among many small ones", 2.5 * modelRate, 0, 1, heavyAndSmallTenants, modelKinds, 0.04},
 	{"a kind that costs ten times as much", modelRate, 0, 1, noTenant, kindsWithCostlyOne, 0.07},
 }
 
-// play runs a load after a second of calm, and returns what became of the requests of modelSpan
-// from its beginning.
+// simulate runs the scenario after two seconds at a low rate, and returns the model with the counts of
+// the requests of modelSpan from the beginning of the overload.
 func (s scenario) simulate(tested scheme) *model {
 	model := newModel(tested)
 	model.kinds = s.kinds
@@ -92,8 +94,8 @@
 	return model
 }
 
-// TestAdmissionSchemes prints what each way gets out of each load, and holds the one that
-// is built to its promises.
+// TestAdmissionSchemes prints the result of each scheme in each scenario. It checks that the implemented
+// one does most of the achievable work in time and that few requests fail at their deadline.
 func TestAdmissionSchemes(t *testing.T) {
 	for _, tested := range scenarios {
 		t.Run(tested.name, func(t *testing.T) {
@@ -104,20 +106,20 @@
 				tested.log(t, name, tested.simulate(candidate).counts)
 			}
 			counts := tested.simulate(newMeasuredShares(time.Unix(100, 0))).counts
-			tested.log(t, "told", counts)
+			tested.log(t, "measured", counts)
 			all := counts["all"]
-			g.Expect(float64(all.failed)).To(BeNumerically("<=", tested.maxFailedPart*float64(all.offered)), "failed at the deadline")
-			g.Expect(workInTime(counts, tested.kinds)).To(BeNumerically(">=", 0.8*tested.achievableWork()), "work done in time")
+			g.Expect(float64(all.failed)).To(BeNumerically("<=", tested.maxFailedPart*float64(all.offered)), "too many requests failed at the deadline")
+			g.Expect(workInTime(counts, tested.kinds)).To(BeNumerically(">=", 0.8*tested.achievableWork()), "too little work was done in time")
 		})
 	}
 }
 
-// TestTheMoreUrgentKindIsServedMoreOften while both want the same servers, and the less urgent one
-// keeps a quarter of the common rate.
+// TestTheMoreUrgentKindIsServedMoreOften: while both kinds of requests need the same servers, the more
+// urgent one is served at least as often, and the less urgent one keeps a quarter of the common rate.
 func TestTheMoreUrgentKindIsServedMoreOften(t *testing.T) {
 	for _, tested := range scenarios {
 		if tested.limitedShards > 0 {
-			// The kinds want different shards there.
+			// In these scenarios the kinds need different shards.
 			continue
 		}
 		t.Run(tested.name, func(t *testing.T) {
@@ -135,8 +137,8 @@
 	}
 }
 
-// TestSmallTenantsAreServedDespiteAHeavyOne as if it were not there, but for the urgency of
-// their requests.
+// TestSmallTenantsAreServedDespiteAHeavyOne: within a priority, small tenants are served as if the heavy
+// one were not there.
 func TestSmallTenantsAreServedDespiteAHeavyOne(t *testing.T) {
 	g := NewWithT(t)
 	counts := scenarios[3].simulate(newMeasuredShares(time.Unix(100, 0))).counts
@@ -153,8 +155,8 @@
 	g.Expect(smallRate).To(BeNumerically(">=", 1.5*heavyRate))
 }
 
-// TestShortPausesOfAServerRefuseNobody: pauses of some tenths of a second
-// of the only server of a shard end before the requests' target.
+// TestShortPausesOfAServerRefuseNobody: pauses of some tenths of a second of the only server of a shard
+// end within the target time of the requests, and must not be taken for an overload.
 func TestShortPausesOfAServerRefuseNobody(t *testing.T) {
 	g := NewWithT(t)
 	model := newModel(newMeasuredShares(time.Unix(100, 0)))
@@ -169,8 +171,8 @@
 	}
 }
 
-// TestRestoredCapacityAdmitsAllRequests after an overload of many shards, which are found to have
-// room one after the other: within twelve judgements.
+// TestRestoredCapacityAdmitsAllRequests: after an overload of several shards, whose returned capacity is
+// found one after the other, everything is admitted again within twelve evaluations.
 func TestRestoredCapacityAdmitsAllRequests(t *testing.T) {
 	g := NewWithT(t)
 	model := newModel(newMeasuredShares(time.Unix(100, 0)))
--- a/pkg/loadshed/schemes_test.go
+++ b/pkg/loadshed/schemes_test.go
@@ -7,7 +7,7 @@
 	"github.com/bramblemast/bramblemast/pkg/loadshed"
 )
 
-// allShards are asked by a request that leaves none to others.
+// allShards are the shards of a request that skips none.
 var allShards = func() []int {
 	var shards []int
 	for shard := range modelShards {
@@ -16,7 +16,7 @@
 	return shards
 }()
 
-// everything lets all requests in.
+// admitAll admits all requests.
 type admitAll struct{}
 
 func (admitAll) admit(*modelRequest, time.Time) []int   { return allShards }
@@ -25,7 +25,7 @@
 func (admitAll) ended(*modelRequest, bool, time.Time)   {}
 func (admitAll) evaluate(*model, time.Time)             {}
 
-// learned lets in a share that each node learns from five of its own requests at their end.
+// learned admits a share that each node learns from the ends of at least five of its own requests.
 type learned struct {
 	admitAll
 	nodes [modelNodes]struct {
@@ -72,7 +72,8 @@
 	}
 }
 
-// credits are granted to nodes each 100 ms, as much as servers of the scarcest shards did.
+// credits grants credits to the nodes every 100 ms, as much as the servers of the scarcest shard have
+// worked.
 type credits struct {
 	admitAll
 	left       [modelNodes]float64
@@ -109,8 +110,8 @@
 	}
 }
 
-// priced lets a request in whose lot pays the sum of the prices of the shards that it needs;
-// each shard's price follows its queue.
+// priced admits a request whose sampling value is at least the sum of the prices of the shards. The
+// price of each shard follows its queue.
 type priced struct {
 	admitAll
 	prices [modelShards]float64
@@ -137,12 +138,13 @@
 	}
 }
 
-// told is the way that is built: a meter at each owner, and what they tell on one board.
+// measuredShares is the scheme that is implemented: a meter at each owner, and one admitter that
+// receives their shares.
 type measuredShares struct {
 	admitter *loadshed.Admitter
 	meters   [modelShards]*loadshed.Meter
 	names    []string
-	// news are what owners have told and nodes do not know yet.
+	// inTransit are the measurements that owners have sent and nodes have not received yet.
 	inTransit []loadshed.Measurement
 }
 
--- a/pkg/rhythm/rhythm_test.go
+++ b/pkg/rhythm/rhythm_test.go
@@ -11,27 +11,28 @@
 
 const typical = 30 * time.Millisecond
 
-// model is a server that pauses, and the callers that ask it unless it is foreseen to pause
-// or silent for longer than callers wait.
+// model simulates a server that pauses, and callers that send it requests unless it is predicted to
+// pause or has been silent for longer than callers wait.
 type model struct {
 	tested Server
 	shared *SharedPeriod
 	random *rand.Rand
-	// rate is that of the requests that come, a second.
+	// rate is the number of requests that arrive per second.
 	rate float64
-	// pauses are the spans in which it answers nothing, in order.
+	// pauses are the spans in which the server answers nothing, in order.
 	pauses []span
-	// slow are the spans in which its work takes slowBy times as long.
+	// slow are the spans in which the work of the server takes slowBy times as long.
 	slow   []span
 	slowBy float64
-	// resumesWork says that work which a pause interrupts is done after it; otherwise its
-	// answers all come at its end.
+	// resumesWork is set if work that a pause interrupts goes on after the pause; otherwise all
+	// its answers come at the end of the pause.
 	resumesWork bool
 
 	now     time.Time
 	pending []request
-	// met counts the requests that were sent and met a pause, spared those that were passed
-	// over and would have met one, lost those that were passed over for nothing.
+	// sent counts the requests that were sent, and metPause those among them that met a pause.
+	// skipped counts the requests that were not sent and would have met a pause, and skippedInVain
+	// those that were not sent and would have met none.
 	sent, metPause, skipped, skippedInVain int
 }
 
@@ -45,7 +46,7 @@
 	return &model{shared: &SharedPeriod{}, random: rand.New(rand.NewPCG(seed, 1)), rate: rate, now: origin, resumesWork: true}
 }
 
-// every are pauses of 300 ms that begin each period.
+// periodicPauses returns pauses of 300 ms, one in each period.
 func periodicPauses(first, period, until time.Duration) []span {
 	var pauses []span
 	for at := first; at < until; at += period {
@@ -54,7 +55,7 @@
 	return pauses
 }
 
-// randomly are pauses of 300 ms with exponential times between them.
+// randomPauses returns pauses of 300 ms with exponentially distributed times between them.
 func randomPauses(random *rand.Rand, mean, until time.Duration) []span {
 	var pauses []span
 	for at := mean; at < until; at += 300*time.Millisecond + time.Duration(random.ExpFloat64()*float64(mean)) {
@@ -63,7 +64,7 @@
 	return pauses
 }
 
-// play lets requests come for a span after the last one.
+// run simulates arriving requests for a duration.
 func (m *model) run(duration time.Duration) {
 	for end := m.now.Add(duration); ; {
 		m.now = m.now.Add(time.Duration(m.random.ExpFloat64() / m.rate * float64(time.Second)))
@@ -76,7 +77,7 @@
 	}
 }
 
-// ask lets one request come.
+// offer simulates the arrival of one request.
 func (m *model) offer() {
 	answered, meets := m.answerAt()
 	isSilent := len(m.pending) > 0 && m.now.Sub(m.oldest()) > 2*typical && m.now.Sub(m.tested.lastAnswerAt) > 2*typical
@@ -99,7 +100,7 @@
 	m.pending = append(m.pending, request{m.now, answered})
 }
 
-// oldest is when the first request was sent that has no answer.
+// oldest returns when the oldest unanswered request was sent.
 func (m *model) oldest() time.Time {
 	oldest := m.now
 	for _, each := range m.pending {
@@ -110,7 +111,7 @@
 	return oldest
 }
 
-// answerAt returns when a request that is sent now is answered and whether it meets a pause.
+// answerAt returns when a request that is sent now is answered, and whether it meets a pause.
 func (m *model) answerAt() (time.Time, bool) {
 	work := typical * time.Duration(60+m.random.IntN(60)) / 100
 	if m.random.IntN(50) == 0 {
@@ -135,7 +136,7 @@
 	return m.now.Add(work), false
 }
 
-// deliver gives the answers that have come.
+// deliver records the answers that have arrived by now.
 func (m *model) deliver() {
 	slices.SortFunc(m.pending, func(a, b request) int { return a.answered.Compare(b.answered) })
 	for len(m.pending) > 0 && !m.pending[0].answered.After(m.now) {
@@ -145,14 +146,14 @@
 	}
 }
 
-// reset sets the counts back.
+// reset clears the counts.
 func (m *model) reset() { m.sent, m.metPause, m.skipped, m.skippedInVain = 0, 0, 0, 0 }
 
-// seeds are those with which each model is played.
+// seeds is the number of seeds with which each model is run.
 const seeds = 20
 
-// played returns the sums of a model over all seeds: a first span is learned from, the second
-// counts.
+// runAllSeeds returns the sums of the counts over all seeds. Each model first learns for a while that
+// is not counted.
 func runAllSeeds(create func(seed uint64) *model, learn, counted time.Duration) (sum model) {
 	for seed := range uint64(seeds) {
 		each := create(seed)
@@ -167,8 +168,8 @@
 	return sum
 }
 
-// TestRecurringPausesArePredicted at an owner of a shard, that asks a server 30 times a second:
-// most requests that would meet a pause are passed over, and few others.
+// TestRecurringPausesArePredicted: a node that sends a server 30 requests a second, like the owner of a
+// shard, skips most of the requests that would meet a periodic pause, and few others.
 func TestRecurringPausesArePredicted(t *testing.T) {
 	for name, resumesWork := range map[string]bool{"work goes on after a pause": true, "all answers come at its end": false} {
 		t.Run(name, func(t *testing.T) {
@@ -179,24 +180,26 @@
 				m.pauses = periodicPauses(time.Duration(seed)*300*time.Millisecond, 7500*time.Millisecond, 3*time.Minute)
 				return m
 			}, 45*time.Second, 90*time.Second)
-			t.Logf("asked %d, met %d, spared %d, lost %d", sum.sent, sum.metPause, sum.skipped, sum.skippedInVain)
+			t.Logf("sent %d, met a pause %d, skipped %d, skipped in vain %d", sum.sent, sum.metPause, sum.skipped, sum.skippedInVain)
 			g.Expect(sum.skipped).To(BeNumerically(">", 3*sum.metPause))
 			g.Expect(sum.skippedInVain).To(BeNumerically("<", sum.skipped/4))
 		})
 	}
 }
 
-// TestNothingIsPredictedWithoutPauses, although some requests take four times as long.
+// TestNothingIsPredictedWithoutPauses: some requests that take four times as long as usual must not be
+// taken for pauses.
 func TestNothingIsPredictedWithoutPauses(t *testing.T) {
 	g := NewWithT(t)
 	for _, rate := range []float64{2, 30, 300} {
 		duration := time.Duration(9000 / rate * float64(time.Second))
 		sum := runAllSeeds(func(seed uint64) *model { return newModel(seed, rate) }, 0, duration)
-		g.Expect(sum.skipped+sum.skippedInVain).To(BeZero(), "at %g a second for %s", rate, duration)
+		g.Expect(sum.skipped+sum.skippedInVain).To(BeZero(), "requests skipped at %g requests a second for %s", rate, duration)
 	}
 }
 
-// TestRandomPausesSkipFewRequestsInVain: a period that they seem to have does not hold.
+// TestRandomPausesSkipFewRequestsInVain: random pauses sometimes seem to have a period. It must be
+// dropped once a predicted pause does not come.
 func TestRandomPausesSkipFewRequestsInVain(t *testing.T) {
 	g := NewWithT(t)
 	for _, mean := range []time.Duration{2 * time.Second, 7 * time.Second} {
@@ -205,13 +208,13 @@
 			m.pauses = randomPauses(m.random, mean, 5*time.Minute)
 			return m
 		}, 0, 5*time.Minute)
-		t.Logf("mean %s: asked %d, met %d, spared %d, lost %d", mean, sum.sent, sum.metPause, sum.skipped, sum.skippedInVain)
+		t.Logf("mean %s: sent %d, met a pause %d, skipped %d, skipped in vain %d", mean, sum.sent, sum.metPause, sum.skipped, sum.skippedInVain)
 		g.Expect(sum.skippedInVain).To(BeNumerically("<", sum.sent/100))
 	}
 }
 
-// TestThePeriodFollowsADriftingClock: the period follows what is seen, for a clock that runs wrong by ever more,
-// 5 ms in each period, and is off by up to 10 ms each time.
+// TestThePeriodFollowsADriftingClock: the period of the pauses grows by 5 ms each time, and each pause
+// is off by up to 10 ms. The learned period has to follow.
 func TestThePeriodFollowsADriftingClock(t *testing.T) {
 	g := NewWithT(t)
 	sum := runAllSeeds(func(seed uint64) *model {
@@ -224,12 +227,13 @@
 		}
 		return m
 	}, 45*time.Second, 90*time.Second)
-	t.Logf("asked %d, met %d, spared %d, lost %d", sum.sent, sum.metPause, sum.skipped, sum.skippedInVain)
+	t.Logf("sent %d, met a pause %d, skipped %d, skipped in vain %d", sum.sent, sum.metPause, sum.skipped, sum.skippedInVain)
 	g.Expect(sum.skipped).To(BeNumerically(">", 2*sum.metPause))
 	g.Expect(sum.skippedInVain).To(BeNumerically("<", sum.sent/100))
 }
 
-// TestASlowServerIsNotOneThatPauses, however regular it is slow: it goes on answering.
+// TestASlowServerIsNotOneThatPauses: a server that is periodically slow goes on answering, and must not
+// be taken for one that pauses.
 func TestASlowServerIsNotOneThatPauses(t *testing.T) {
 	g := NewWithT(t)
 	for _, factor := range []float64{2.5, 6, 10} {
@@ -238,12 +242,13 @@
 			m.slow, m.slowBy = periodicPauses(time.Second, 7*time.Second, 3*time.Minute), factor
 			return m
 		}, 0, 2*time.Minute)
-		t.Logf("%g times: asked %d, lost %d", factor, sum.sent, sum.skippedInVain)
-		g.Expect(sum.skippedInVain).To(BeNumerically("<", sum.sent/100), "%g times", factor)
+		t.Logf("%g times: sent %d, skipped in vain %d", factor, sum.sent, sum.skippedInVain)
+		g.Expect(sum.skippedInVain).To(BeNumerically("<", sum.sent/100), "skipped in vain although the server is only %g times slower", factor)
 	}
 }
 
-// TestAPeriodThatChangesIsLearnedAnew, and the old one costs next to nothing.
+// TestAPeriodThatChangesIsLearnedAnew: when the period changes, the new one is learned and the old one
+// causes few needless skips.
 func TestAPeriodThatChangesIsLearnedAnew(t *testing.T) {
 	g := NewWithT(t)
 	sum := runAllSeeds(func(seed uint64) *model {
@@ -251,12 +256,13 @@
 		m.pauses = append(periodicPauses(time.Second, 7500*time.Millisecond, 60*time.Second), periodicPauses(61*time.Second, 5*time.Second, 4*time.Minute)...)
 		return m
 	}, 60*time.Second, 90*time.Second)
-	t.Logf("asked %d, met %d, spared %d, lost %d", sum.sent, sum.metPause, sum.skipped, sum.skippedInVain)
+	t.Logf("sent %d, met a pause %d, skipped %d, skipped in vain %d", sum.sent, sum.metPause, sum.skipped, sum.skippedInVain)
 	g.Expect(sum.skipped).To(BeNumerically(">", sum.metPause))
 	g.Expect(sum.skippedInVain).To(BeNumerically("<", sum.sent/100))
 }
 
-// TestPausesThatEndAreForgotten within some periods.
+// TestPausesThatEndAreForgotten: once a server has stopped pausing, the prediction ends within a few
+// periods.
 func TestPausesThatEndAreForgotten(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(seeds) {
@@ -266,11 +272,12 @@
 		m.run(7 * 7 * time.Second)
 		m.reset()
 		m.run(time.Minute)
-		g.Expect(m.skippedInVain).To(BeZero(), "seed %d", seed)
+		g.Expect(m.skippedInVain).To(BeZero(), "requests skipped in vain with seed %d", seed)
 	}
 }
 
-// TestALowRateSkipsFewRequestsInVain: two requests a second show little of a server's pauses.
+// TestALowRateSkipsFewRequestsInVain: two requests a second show little of a server's pauses, and must
+// not lead to wrong predictions.
 func TestALowRateSkipsFewRequestsInVain(t *testing.T) {
 	g := NewWithT(t)
 	sum := runAllSeeds(func(seed uint64) *model {
@@ -278,12 +285,12 @@
 		m.pauses = periodicPauses(time.Second, 6*time.Second, 6*time.Minute)
 		return m
 	}, 0, 5*time.Minute)
-	t.Logf("asked %d, met %d, spared %d, lost %d", sum.sent, sum.metPause, sum.skipped, sum.skippedInVain)
+	t.Logf("sent %d, met a pause %d, skipped %d, skipped in vain %d", sum.sent, sum.metPause, sum.skipped, sum.skippedInVain)
 	g.Expect(sum.skippedInVain).To(BeNumerically("<", sum.sent/100))
 }
 
-// TestServersShareAPeriod: one that has paused once is foreseen to pause with the period of
-// others, at its own time.
+// TestServersShareAPeriod: a server that has paused once is predicted to pause with the period of the
+// other servers, but at its own time.
 func TestServersShareAPeriod(t *testing.T) {
 	g := NewWithT(t)
 	periods := &SharedPeriod{}
@@ -297,17 +304,17 @@
 	pause(first, time.Second)
 	pause(second, 2*time.Second)
 	pause(first, 7*time.Second)
-	g.Expect(first.ExpectedWait(origin.Add(12900*time.Millisecond), typical, periods)).To(BeZero(), "one interval shows no period")
+	g.Expect(first.ExpectedWait(origin.Add(12900*time.Millisecond), typical, periods)).To(BeZero(), "one interval is not enough for a period")
 	pause(second, 8*time.Second)
 	pause(third, 9*time.Second)
 	g.Expect(first.ExpectedWait(origin.Add(12900*time.Millisecond), typical, periods)).To(Equal(100 * time.Millisecond))
 	g.Expect(second.ExpectedWait(origin.Add(13900*time.Millisecond), typical, periods)).To(Equal(100 * time.Millisecond))
 	g.Expect(third.ExpectedWait(origin.Add(14900*time.Millisecond), typical, periods)).To(Equal(100 * time.Millisecond))
-	g.Expect(third.ExpectedWait(origin.Add(13900*time.Millisecond), typical, periods)).To(BeZero(), "it pauses at its own time")
+	g.Expect(third.ExpectedWait(origin.Add(13900*time.Millisecond), typical, periods)).To(BeZero(), "the third server pauses at its own time, not that of the second")
 }
 
-// TestServersOfTwoProgramsHaveSeparatePeriods: the period of one is soon found wrong for the
-// other.
+// TestServersOfTwoProgramsHaveSeparatePeriods: the shared period of one program is wrong for the servers
+// of another one, which has to be noticed soon.
 func TestServersOfTwoProgramsHaveSeparatePeriods(t *testing.T) {
 	g := NewWithT(t)
 	var skipped, metPause, sent, skippedInVain int
@@ -326,12 +333,13 @@
 		skipped, metPause = skipped+one.skipped+other.skipped, metPause+one.metPause+other.metPause
 		sent, skippedInVain = sent+one.sent+other.sent, skippedInVain+one.skippedInVain+other.skippedInVain
 	}
-	t.Logf("asked %d, met %d, spared %d, lost %d", sent, metPause, skipped, skippedInVain)
+	t.Logf("sent %d, met a pause %d, skipped %d, skipped in vain %d", sent, metPause, skipped, skippedInVain)
 	g.Expect(skipped).To(BeNumerically(">", 2*metPause))
 	g.Expect(skippedInVain).To(BeNumerically("<", sent/100))
 }
 
-// TestAServerIsNeverSkippedForLong, whatever its answers have shown.
+// TestAServerIsNeverSkippedForLong: whatever answers came, the expected wait is bounded and zero after
+// the predicted end.
 func TestAServerIsNeverSkippedForLong(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(7, 7))
@@ -350,7 +358,7 @@
 	}
 }
 
-// TestPredictionDoesNotAllocate, since each choice of a server asks.
+// TestPredictionDoesNotAllocate: every choice of a server runs the prediction.
 func TestPredictionDoesNotAllocate(t *testing.T) {
 	g := NewWithT(t)
 	tested, shared, now := predictedServer()
@@ -361,7 +369,7 @@
 	})).To(BeZero())
 }
 
-// foreseeing returns a server that is foreseen to pause.
+// predictedServer returns a server that is predicted to pause.
 func predictedServer() (*Server, *SharedPeriod, time.Time) {
 	m := newModel(1, 30)
 	m.pauses = periodicPauses(time.Second, 7*time.Second, time.Minute)
@@ -369,7 +377,7 @@
 	return &m.tested, m.shared, m.now
 }
 
-func BenchmarkWait(b *testing.B) {
+func BenchmarkExpectedWait(b *testing.B) {
 	tested, shared, now := predictedServer()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -377,7 +385,7 @@
 	}
 }
 
-func BenchmarkAnswered(b *testing.B) {
+func BenchmarkRecordAnswer(b *testing.B) {
 	tested, shared, now := predictedServer()
 	b.ReportAllocs()
 	for b.Loop() {
