--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -217,17 +217,17 @@
 func (a *Account) pooledRate(view DeploymentView, now time.Time) float64 {
 	if !view.IsFirst {
 		entitled := 0.0
-		for _, node := range a.reports {
-			if now.Sub(node.at) <= standInReportSpan {
-				entitled += node.usage.EntitledRate
+		for _, report := range a.reports {
+			if now.Sub(report.at) <= standInReportSpan {
+				entitled += report.usage.EntitledRate
 			}
 		}
 		return min(entitled, a.limit.PerSecond)
 	}
 	reserved := 0.0
 	for name := range view.Silent {
-		if node := a.reports[name]; node != nil {
-			reserved += node.usage.EntitledRate
+		if report := a.reports[name]; report != nil {
+			reserved += report.usage.EntitledRate
 		} else {
 			// A new coordinator has no report of that node: an equal part is the mean.
 			reserved += a.limit.PerSecond / float64(max(1, view.Nodes))
@@ -265,8 +265,8 @@
 // for longer than those requests count, the other nodes are not restricted either.
 func (a *Account) updateIsolationReserve(view DeploymentView, now time.Time) {
 	needed := 0.0
-	isCutOff := 2*len(view.Silent) > view.Nodes
-	if view.IsFirst && !isCutOff {
+	isMinority := 2*len(view.Silent) > view.Nodes
+	if view.IsFirst && !isMinority {
 		needed = float64(len(view.Silent)) * a.bounds.isolatedAllowance(a.limit, view.Nodes)
 	}
 	switch {
--- a/pkg/quota/coordinators.go
+++ b/pkg/quota/coordinators.go
@@ -69,7 +69,7 @@
 	slices.Sort(names)
 	l.rank = max(0, slices.Index(names, l.options.Local))
 	l.chooseCoordinators(names, inZone, now)
-	l.noteDeparted(previous, addresses, now)
+	l.recordDeparted(previous, addresses, now)
 	l.openLinks(now)
 	for tenant, entry := range l.meters {
 		entry.meter.SetNodes(l.nodeCount())
@@ -94,10 +94,10 @@
 	l.zoneCoordinators = rendezvous.NewSet(rendezvous.Top(coordinatorsKey, inZone, zoneCoordinatorCount))
 }
 
-// noteDeparted compares the node list with the one before. A node that has left the list may be cut
+// recordDeparted compares the node list with the one before. A node that has left the list may be cut
 // off and still admit requests by its entitlement, so it counts as silent for departedSpan. A node
 // that is listed again counts as silent until it reports or answers. The caller holds the mutex.
-func (l *Limiter) noteDeparted(before, after map[string]peer.Address, now time.Time) {
+func (l *Limiter) recordDeparted(before, after map[string]peer.Address, now time.Time) {
 	for name := range before {
 		if after[name] == "" && name != l.options.Local {
 			l.silent[name] = true
@@ -140,13 +140,13 @@
 // ranked returns the coordinators of a tenant for this node, best first. The caller holds the
 // mutex.
 func (l *Limiter) ranked(tenant string) []string {
-	found := l.coordinators.Top(tenant, rankedCoordinators)
+	names := l.coordinators.Top(tenant, rankedCoordinators)
 	for _, name := range l.zoneCoordinators.Top(tenant, 1) {
-		if !slices.Contains(found, name) {
-			found = append(found, name)
+		if !slices.Contains(names, name) {
+			names = append(names, name)
 		}
 	}
-	return found
+	return names
 }
 
 // roundingOffset returns this node's offset for a tenant (see Meter.SetRoundingOffset), from 0 to
--- a/pkg/quota/failure_test.go
+++ b/pkg/quota/failure_test.go
@@ -105,19 +105,19 @@
 					simulate(t, 67, tenants(), func(d *deployment) {
 						usual := limit.PerSecond / 1.6
 						d.run(6*time.Second, d.skewed(tenant, usual))
-						hot := d.skewed(tenant, 12*usual)
+						overload := d.skewed(tenant, 12*usual)
 						if lead > 0 {
-							d.run(lead, hot)
+							d.run(lead, overload)
 						}
 						end := injected.inject(d)
 						if lead < 0 {
 							d.run(-lead, d.skewed(tenant, usual))
 						}
 						begun := d.elapsed()
-						d.run(12*time.Second, hot)
+						d.run(12*time.Second, overload)
 						end()
 						during := d.admittedBetween(tenant, begun+2*time.Second, begun+12*time.Second)
-						d.run(6*time.Second, hot)
+						d.run(6*time.Second, overload)
 						highest = d.maxInWindow(tenant)
 						t.Logf("at most %d in 5 s, allowed %.0f; %.2f of the limit during the failure, %.2f in the 5 s after",
 							highest, allowedInWindow(limit), float64(during)/(10*limit.PerSecond),
@@ -154,21 +154,21 @@
 func expectBoundWhileAllAreIsolated(t *testing.T, count int, lead time.Duration, overloaded ...string) {
 	highest := make(map[string]int)
 	simulate(t, count, tenants(), func(d *deployment) {
-		var usual, hot []load
+		var usual, overload []load
 		for _, tenant := range overloaded {
 			perSecond := d.limits[tenant].PerSecond / 1.6
-			usual, hot = append(usual, d.skewed(tenant, perSecond)), append(hot, d.skewed(tenant, 12*perSecond))
+			usual, overload = append(usual, d.skewed(tenant, perSecond)), append(overload, d.skewed(tenant, 12*perSecond))
 		}
 		d.run(6*time.Second, usual...)
 		if lead > 0 {
-			d.run(lead, hot...)
+			d.run(lead, overload...)
 		}
 		isolateEach(0, count)(d)
 		if lead < 0 {
 			d.run(-lead, usual...)
 		}
 		begun := d.elapsed()
-		d.run(12*time.Second, hot...)
+		d.run(12*time.Second, overload...)
 		for _, tenant := range overloaded {
 			highest[tenant] = d.maxInWindow(tenant)
 			t.Logf("%s: at most %d in 5 s, allowed %.0f; %.2f of the limit", tenant, highest[tenant], allowedInWindow(d.limits[tenant]),
@@ -196,26 +196,26 @@
 			for number := range 71 {
 				limits[fmt.Sprint("small-", number)] = route.RateLimit{PerSecond: 5, Burst: 5}
 			}
-			asked, refused := 0, 0
+			total, refused := 0, 0
 			simulate(t, 67, limits, func(d *deployment) {
 				loads := []load{d.skewed("large", 39), d.skewed("medium", 10)}
 				for number := range 71 {
 					loads = append(loads, d.even(fmt.Sprint("small-", number), 0.8))
 				}
 				d.run(8*time.Second, loads...)
-				calm := len(d.waits)
+				refusedBefore := len(d.waits)
 				end := injected.inject(d)
 				d.run(12*time.Second, loads...)
 				end()
 				d.run(5*time.Second, loads...)
 				refused = len(d.waits)
 				for _, admitted := range d.admitted {
-					asked += len(admitted)
+					total += len(admitted)
 				}
-				asked += refused
-				t.Logf("refused %d of %d, %d before the cut", refused, asked, calm)
+				total += refused
+				t.Logf("refused %d of %d, %d before the failure", refused, total, refusedBefore)
 			})
-			NewWithT(t).Expect(float64(refused)).To(BeNumerically("<=", injected.maxRefusedShare*float64(asked)))
+			NewWithT(t).Expect(float64(refused)).To(BeNumerically("<=", injected.maxRefusedShare*float64(total)))
 		})
 	}
 }
@@ -226,13 +226,13 @@
 	lowered := route.RateLimit{PerSecond: 4, Burst: 4}
 	highest, admitted := 0, 0
 	simulate(t, 67, tenants(), func(d *deployment) {
-		hot := d.even("large", 300)
-		d.run(5*time.Second, hot)
+		overload := d.even("large", 300)
+		d.run(5*time.Second, overload)
 		d.mutex.Lock()
 		d.limits["large"] = lowered
 		d.mutex.Unlock()
 		begun := d.elapsed()
-		d.run(15*time.Second, hot)
+		d.run(15*time.Second, overload)
 		for at := begun + bounds.Window; at < begun+10*time.Second; at += 100 * time.Millisecond {
 			highest = max(highest, d.admittedBetween("large", at, at+bounds.Window))
 		}
@@ -274,7 +274,7 @@
 // TestRollingRestartOfAllNodes guards against refusing requests below the limit while all nodes are
 // restarted one after the other.
 func TestRollingRestartOfAllNodes(t *testing.T) {
-	asked, refused := 0, 0
+	total, refused := 0, 0
 	simulate(t, 20, tenants(), func(d *deployment) {
 		usual := d.even("large", 30)
 		for index := range d.nodes {
@@ -282,10 +282,10 @@
 			d.start(index)
 			d.nodes[index].limiter.SetNodes(d.list())
 			d.run(time.Second, usual)
-			asked += 30
+			total += 30
 		}
 		refused = d.refused["large"]
 	})
-	t.Logf("refused %d of about %d below the limit", refused, asked)
-	NewWithT(t).Expect(float64(refused)).To(BeNumerically("<=", 0.02*float64(asked)))
+	t.Logf("refused %d of about %d below the limit", refused, total)
+	NewWithT(t).Expect(float64(refused)).To(BeNumerically("<=", 0.02*float64(total)))
 }
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -111,13 +111,14 @@
 	// isStopped is set when Run has ended: no further calls may start, since nothing waits for
 	// them.
 	isStopped bool
-	// answeredAt is when a coordinator last answered; isInDoubt is set after a call to a
-	// coordinator has failed until one answers.
+	// answeredAt is when a coordinator last answered. isInDoubt is set when a call to a coordinator
+	// has failed and none has answered since it started, until one answers.
 	answeredAt time.Time
 	isInDoubt  bool
-	// contactAttempts counts the calls of keepInTouch, which calls the coordinators in turn.
+	// contactAttempts counts the calls of keepContact, which calls the coordinators in turn.
 	contactAttempts int
-	// hasHadContact is set once a coordinator has answered since the process started.
+	// hasHadContact is set once a coordinator has answered since the process started or was
+	// resumed.
 	hasHadContact bool
 	broadcastAt   time.Time
 	silentProbeAt time.Time
@@ -327,15 +328,16 @@
 	for _, entry := range l.meters {
 		entry.meter.InvalidateVerdicts(now)
 	}
-	for _, found := range l.links {
-		found.markFailed(now)
-		found.nextProbe = now
+	for _, peerLink := range l.links {
+		peerLink.markFailed(now)
+		peerLink.nextProbe = now
 	}
 	l.updateModes(now)
 	l.requestReport()
 }
 
-// dropSavedTokens removes the saved tokens of all accounts. The caller holds the mutex.
+// dropSavedTokens removes the saved tokens of all accounts, and treats the coordinators as newly
+// chosen. The caller holds the mutex.
 func (l *Limiter) dropSavedTokens() {
 	l.coordinatorsSince = time.Now()
 	for _, entry := range l.accounts {
--- a/pkg/quota/links.go
+++ b/pkg/quota/links.go
@@ -98,7 +98,7 @@
 		// A node to which no other node reports is not a stand-in, but isolated; so is a first
 		// coordinator that has had no contact with any other coordinator since its start.
 		hasNoReporters := name == l.options.Local && !l.receivesReports && (name != ranked[0] || !l.hasHadContact && l.coordinators.Len() > 1)
-		if found := l.links[name]; found != nil && found.answers && !hasNoReporters {
+		if peerLink := l.links[name]; peerLink != nil && peerLink.answers && !hasNoReporters {
 			return name
 		}
 	}
@@ -134,11 +134,11 @@
 // for it at other nodes. A node with few requests would otherwise not detect the failure until its
 // next request. The caller holds the mutex.
 func (l *Limiter) checkCoordinator(ctx context.Context, name string, now time.Time) {
-	found := l.links[name]
-	if found == nil || found.isLocal || found.isCalling || now.Sub(found.checkedAt) < checkInterval {
+	peerLink := l.links[name]
+	if peerLink == nil || peerLink.isLocal || peerLink.isCalling || now.Sub(peerLink.checkedAt) < checkInterval {
 		return
 	}
-	found.checkedAt = now
+	peerLink.checkedAt = now
 	l.call(ctx, name, &quotapb.Report{Start: l.options.Incarnation}, nil)
 }
 
@@ -146,13 +146,13 @@
 func (l *Limiter) probeLinks(ctx context.Context, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.keepInTouch(ctx, now)
-	for name, found := range l.links {
-		isDue := !found.answers && !now.Before(found.nextProbe)
-		if !isDue && found.answers && !found.isLocal && l.coordinates(l.options.Local) && l.coordinates(name) {
-			isDue = now.Sub(found.calledAt) >= coordinatorInterval
+	l.keepContact(ctx, now)
+	for name, peerLink := range l.links {
+		isDue := !peerLink.answers && !now.Before(peerLink.nextProbe)
+		if !isDue && peerLink.answers && !peerLink.isLocal && l.coordinates(l.options.Local) && l.coordinates(name) {
+			isDue = now.Sub(peerLink.calledAt) >= coordinatorInterval
 		}
-		if isDue && !found.isCalling {
+		if isDue && !peerLink.isCalling {
 			l.call(ctx, name, &quotapb.Report{Start: l.options.Incarnation}, nil)
 		}
 	}
@@ -169,12 +169,12 @@
 	}
 }
 
-// keepInTouch calls a coordinator if none has answered recently, so that a node that is cut off
+// keepContact calls a coordinator if none has answered recently, so that a node that is cut off
 // detects it before its next request. While a call is late it calls another one, so that a single
 // silent coordinator leaves no doubt. In doubt it also calls the coordinators of its zone. The
 // caller holds the mutex.
-func (l *Limiter) keepInTouch(ctx context.Context, now time.Time) {
-	if !l.isInDoubt && !l.waitsForAnswer(now) && now.Sub(l.answeredAt) < contactInterval {
+func (l *Limiter) keepContact(ctx context.Context, now time.Time) {
+	if !l.isInDoubt && !l.hasLateCall(now) && now.Sub(l.answeredAt) < contactInterval {
 		return
 	}
 	contacted := make([]string, 0, 1+zoneCoordinatorCount)
@@ -187,18 +187,18 @@
 		contacted = append(contacted, l.zoneCoordinators.Top(coordinatorsKey, l.zoneCoordinators.Len())...)
 	}
 	for _, name := range contacted {
-		found := l.links[name]
-		if !found.isLocal && found.answers && !found.isCalling {
+		peerLink := l.links[name]
+		if !peerLink.isLocal && peerLink.answers && !peerLink.isCalling {
 			l.call(ctx, name, &quotapb.Report{Start: l.options.Incarnation}, nil)
 		}
 	}
 }
 
-// waitsForAnswer reports whether a call to a coordinator is late and none has answered since it
+// hasLateCall reports whether a call to a coordinator is late and none has answered since it
 // started. The caller holds the mutex.
-func (l *Limiter) waitsForAnswer(now time.Time) bool {
-	for _, found := range l.links {
-		if found.isCalling && now.Sub(found.calledAt) >= lateCallAge && l.answeredAt.Before(found.calledAt) {
+func (l *Limiter) hasLateCall(now time.Time) bool {
+	for _, peerLink := range l.links {
+		if peerLink.isCalling && now.Sub(peerLink.calledAt) >= lateCallAge && l.answeredAt.Before(peerLink.calledAt) {
 			return true
 		}
 	}
@@ -217,39 +217,39 @@
 	if !l.coordinates(l.options.Local) {
 		return false
 	}
-	for name, found := range l.links {
-		if !found.answers && l.coordinates(name) {
+	for name, peerLink := range l.links {
+		if !peerLink.answers && l.coordinates(name) {
 			return true
 		}
 	}
 	return false
 }
 
-// noteAnswer records whether a coordinator answered a call. The caller holds the mutex.
-func (l *Limiter) noteAnswer(name string, err error, now time.Time) {
-	found := l.links[name]
-	if found == nil {
+// recordAnswer records whether a coordinator answered a call. The caller holds the mutex.
+func (l *Limiter) recordAnswer(name string, err error, now time.Time) {
+	peerLink := l.links[name]
+	if peerLink == nil {
 		return
 	}
-	found.isCalling = false
-	wasAnswering := found.answers
+	peerLink.isCalling = false
+	wasAnswering := peerLink.answers
 	if err != nil {
-		found.markFailed(now)
-		l.isInDoubt = l.isInDoubt || !l.answeredAt.After(found.calledAt)
+		peerLink.markFailed(now)
+		l.isInDoubt = l.isInDoubt || !l.answeredAt.After(peerLink.calledAt)
 	} else {
-		found.markAnswered()
+		peerLink.markAnswered()
 		l.hasHadContact, l.answeredAt, l.isInDoubt = true, now, false
 	}
-	if wasAnswering != found.answers {
+	if wasAnswering != peerLink.answers {
 		l.updateModes(now)
 		l.requestReport()
 	}
 	if wasAnswering && err != nil {
-		found.isReportedLost = true
+		peerLink.isReportedLost = true
 		l.options.Events.CoordinatorLost(name, err)
 	}
-	if found.isReportedLost && err == nil {
-		found.isReportedLost = false
+	if peerLink.isReportedLost && err == nil {
+		peerLink.isReportedLost = false
 		l.options.Events.CoordinatorRegained(name)
 	}
 }
--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -53,8 +53,8 @@
 )
 
 // String returns the name used in logs and messages.
-func (s Mode) String() string {
-	return [...]string{Isolated: "alone", WithStandIn: "stand-in", WithFirst: "first"}[s]
+func (m Mode) String() string {
+	return [...]string{Isolated: "alone", WithStandIn: "stand-in", WithFirst: "first"}[m]
 }
 
 // Decision is a node's decision about one request.
--- a/pkg/quota/meter_test.go
+++ b/pkg/quota/meter_test.go
@@ -15,10 +15,10 @@
 var start = time.Unix(1_700_000_000, 0)
 
 // meterWithShare returns a meter that has received the given share from the first coordinator.
-func meterWithShare(limit route.RateLimit, share, spare float64) *quota.Meter {
+func meterWithShare(limit route.RateLimit, share, extraRate float64) *quota.Meter {
 	meter := quota.NewMeter("caller", limit, bounds, 67, false, start)
 	meter.SetMode(quota.WithFirst, start)
-	meter.ApplyVerdict(quota.Verdict{Share: share, ExtraRate: spare, IsFirst: true, Wait: 20 * time.Millisecond}, start)
+	meter.ApplyVerdict(quota.Verdict{Share: share, ExtraRate: extraRate, IsFirst: true, Wait: 20 * time.Millisecond}, start)
 	return meter
 }
 
@@ -39,7 +39,7 @@
 		g.Expect(meter.Admit(id, start.Add(repeated)).IsAdmitted).To(BeFalse())
 	}
 	after, _ := meter.Report(1, start)
-	g.Expect(after.Requests).To(Equal(before.Requests), "repeated requests are no further demand")
+	g.Expect(after.Requests).To(Equal(before.Requests), "repeated requests must not count as demand")
 	chances := 0
 	for number := range 2000 {
 		other := fmt.Sprint("other", number)
@@ -245,7 +245,7 @@
 		}
 		return admitted
 	}
-	g.Expect(admittedIsolated(time.Second)).To(BeNumerically("<=", 9), "its entitlement of a window")
+	g.Expect(admittedIsolated(time.Second)).To(BeNumerically("<=", 9), "must admit no more than its entitlement for a window")
 	g.Expect(admittedIsolated(10 * time.Second)).To(BeNumerically(">", 9))
 }
 
@@ -292,11 +292,11 @@
 			admittedIsolated := admittedAt(meter, "alone", late)
 			g.Expect(admittedIsolated).To(BeNumerically("<=", 2))
 			meter.SetMode(quota.WithStandIn, late)
-			g.Expect(admittedAt(meter, "returned", late)).To(BeZero(), "what it may admit alone was used up")
+			g.Expect(admittedAt(meter, "returned", late)).To(BeZero(), "its entitlement is used up and it has no share yet")
 			meter.ApplyVerdict(quota.Verdict{Share: 1}, late)
-			g.Expect(admittedAt(meter, "stand-in", late)).To(BeZero(), "a stand-in has not heard of all that return")
+			g.Expect(admittedAt(meter, "stand-in", late)).To(BeZero(), "a stand-in has not received reports of all reconnected nodes")
 			withoutVerdict := *meter
-			g.Expect(admittedAt(&withoutVerdict, "later", late.Add(3*time.Second))).To(BeNumerically(">", 2), "nothing is told of a tenant until it is asked for")
+			g.Expect(admittedAt(&withoutVerdict, "later", late.Add(3*time.Second))).To(BeNumerically(">", 2), "the wait for a share must end without a verdict")
 			meter.ApplyVerdict(quota.Verdict{Share: 1, IsFirst: true}, late)
 			g.Expect(admittedAt(meter, "first", late)).To(BeNumerically(">", 2))
 		})
--- a/pkg/quota/one_way_test.go
+++ b/pkg/quota/one_way_test.go
@@ -51,9 +51,9 @@
 				simulate(t, 67, tenants(), func(d *deployment) {
 					coordinator := d.coordinatorOf(tenant)
 					weighted := func(perSecond float64) load {
-						spread := d.even(tenant, perSecond)
-						spread.weights[coordinator] = 1
-						return spread
+						traffic := d.even(tenant, perSecond)
+						traffic.weights[coordinator] = 1
+						return traffic
 					}
 					usual := limit.PerSecond / 1.6
 					d.run(6*time.Second, weighted(usual))
--- a/pkg/quota/overload_test.go
+++ b/pkg/quota/overload_test.go
@@ -25,19 +25,19 @@
 				t.Parallel()
 				highest, lowest, refusedWithinLimit, limit := 0, 0, 0, tenants()[tenant]
 				simulate(t, 67, tenants(), func(d *deployment) {
-					spread := d.even
+					distribute := d.even
 					if kind == "skewed" {
-						spread = d.skewed
+						distribute = d.skewed
 					}
-					d.run(5*time.Second, spread(tenant, limit.PerSecond/1.6))
+					d.run(5*time.Second, distribute(tenant, limit.PerSecond/1.6))
 					refusedWithinLimit = d.refused[tenant]
 					before := d.sent()
 					begun := d.elapsed()
-					d.run(20*time.Second, spread(tenant, 8*limit.PerSecond))
+					d.run(20*time.Second, distribute(tenant, 8*limit.PerSecond))
 					after := d.sent()
 					highest = d.maxInWindow(tenant)
 					lowest = d.minInWindow(tenant, begun, begun+20*time.Second)
-					t.Logf("refused in calm %d; in 5 s at most %d of %.0f allowed, at least %d of %.0f granted; reports %.0f/s, verdicts %.0f/s over all nodes",
+					t.Logf("refused within the limit %d; in 5 s at most %d of %.0f allowed, at least %d of %.0f granted; reports %.0f/s, verdicts %.0f/s over all nodes",
 						refusedWithinLimit, highest, allowedInWindow(limit), lowest, limit.PerSecond*5,
 						float64(after.Reports-before.Reports)/20, float64(after.Verdicts-before.Verdicts)/20)
 				})
--- a/pkg/quota/power_loss_test.go
+++ b/pkg/quota/power_loss_test.go
@@ -50,7 +50,7 @@
 	for number := range 71 {
 		limits[fmt.Sprint("small-", number)] = route.RateLimit{PerSecond: 5, Burst: 5}
 	}
-	asked, refused := 0, 0
+	total, refused := 0, 0
 	simulate(t, 67, limits, func(d *deployment) {
 		loads := []load{d.even("large", 39), d.even("medium", 10)}
 		for number := range 71 {
@@ -67,12 +67,12 @@
 		d.run(6*time.Second, loads...)
 		refused = len(d.waits)
 		for tenant := range limits {
-			asked += d.admittedBetween(tenant, begun, d.elapsed())
+			total += d.admittedBetween(tenant, begun, d.elapsed())
 		}
-		asked += refused
+		total += refused
 	})
-	t.Logf("refused %d of %d", refused, asked)
-	NewWithT(t).Expect(float64(refused)).To(BeNumerically("<=", maxRefusedAfterPowerLoss*float64(asked)))
+	t.Logf("refused %d of %d", refused, total)
+	NewWithT(t).Expect(float64(refused)).To(BeNumerically("<=", maxRefusedAfterPowerLoss*float64(total)))
 }
 
 // TestTheSumHoldsWhileListsOfNodesDiffer guards against granting the limit several times after a
@@ -97,9 +97,9 @@
 	highest := 0
 	simulateSeed(t, seed, 67, tenants(), func(d *deployment) {
 		usual := limit.PerSecond / 1.6
-		hot := d.skewed(tenant, 12*usual)
+		overload := d.skewed(tenant, 12*usual)
 		d.run(6*time.Second, d.skewed(tenant, usual))
-		d.run(3*time.Second, hot)
+		d.run(3*time.Second, overload)
 		for _, node := range d.nodes {
 			node.isUnlisted = true
 		}
@@ -107,15 +107,15 @@
 		listedAt := func(node, started int) []quota.Node {
 			return d.list()[:min(len(d.nodes), max(node+1, started-startsBehind))]
 		}
-		d.powerCycle(listedAt, hot)
+		d.powerCycle(listedAt, overload)
 		for started := range startsBehind {
 			for index, node := range d.nodes {
 				node.limiter.SetNodes(listedAt(index, len(d.nodes)+1+started))
 			}
-			d.run(startInterval, hot)
+			d.run(startInterval, overload)
 		}
 		begun := d.elapsed()
-		d.run(8*time.Second, hot)
+		d.run(8*time.Second, overload)
 		highest = d.maxInWindow(tenant)
 		t.Logf("at most %d in 5 s, allowed %.0f; %.2f of the limit in the 5 s after", highest, allowedInWindow(limit),
 			float64(d.admittedBetween(tenant, begun, begun+bounds.Window))/(limit.PerSecond*bounds.Window.Seconds()))
@@ -146,30 +146,30 @@
 				highest := 0
 				simulate(t, 67, tenants(), func(d *deployment) {
 					usual := limit.PerSecond / 1.6
-					hot := d.skewed(tenant, 12*usual)
+					overload := d.skewed(tenant, 12*usual)
 					d.run(6*time.Second, d.skewed(tenant, usual))
-					d.run(3*time.Second, hot)
+					d.run(3*time.Second, overload)
 					for index, node := range d.nodes {
 						node.isUnlisted = index%oneIn != 0
 					}
 					startsBehind := int(delay / startInterval)
 					listedAt := func(node, started int) []quota.Node {
 						var list []quota.Node
-						for index, each := range d.list() {
+						for index, listed := range d.list() {
 							if index%oneIn == 0 || index == node || index < started-startsBehind {
-								list = append(list, each)
+								list = append(list, listed)
 							}
 						}
 						return list
 					}
-					d.powerCycle(listedAt, hot)
+					d.powerCycle(listedAt, overload)
 					for started := range startsBehind {
 						for index, node := range d.nodes {
 							node.limiter.SetNodes(listedAt(index, len(d.nodes)+1+started))
 						}
-						d.run(startInterval, hot)
+						d.run(startInterval, overload)
 					}
-					d.run(8*time.Second, hot)
+					d.run(8*time.Second, overload)
 					highest = d.maxInWindow(tenant)
 				})
 				t.Logf("at most %d in 5 s, allowed %.0f", highest, allowedInWindow(limit))
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -61,10 +61,10 @@
 	l.links[name].isCalling, l.links[name].calledAt = true, time.Now()
 	l.messagesSent.Reports++
 	l.group.Go(func() {
-		limited, cancel := context.WithTimeout(ctx, callTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		answer := &quotapb.Verdicts{}
-		err := l.options.Transport.Call(limited, address, kindReport, message, answer)
+		err := l.options.Transport.Call(callCtx, address, kindReport, message, answer)
 		if ctx.Err() != nil {
 			// The call ended because this node stops, which says nothing about the coordinator.
 			return
@@ -72,7 +72,7 @@
 		now := time.Now()
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
-		l.noteAnswer(name, err, now)
+		l.recordAnswer(name, err, now)
 		if err == nil && len(reported) > 0 {
 			l.acknowledge(reported, decodeVerdicts(answer), now)
 		} else if err == nil {
@@ -106,7 +106,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.noteContact(string(from))
+	l.recordContact(string(from))
 	l.lastReportAt = time.Now()
 	l.updateReceivesReports(l.lastReportAt)
 	if len(message.Uses) == 0 {
@@ -133,8 +133,8 @@
 	return verdicts
 }
 
-// noteContact records that a node is in contact. The caller holds the mutex.
-func (l *Limiter) noteContact(name string) {
+// recordContact records that a node is in contact. The caller holds the mutex.
+func (l *Limiter) recordContact(name string) {
 	delete(l.silent, name)
 	delete(l.departed, name)
 }
--- a/pkg/quota/restart_series_test.go
+++ b/pkg/quota/restart_series_test.go
@@ -75,7 +75,7 @@
 // restartOneByOne restarts the processes of the given nodes one after the other during span, each
 // of them once per roundTime.
 func (d *deployment) restartOneByOne(nodes []int, roundTime, span time.Duration, traffic load) {
-	for begun, next := time.Now(), 0; time.Since(begun) < span; next++ {
+	for begin, next := time.Now(), 0; time.Since(begin) < span; next++ {
 		index := nodes[next%len(nodes)]
 		d.kill(index)
 		d.start(index)
@@ -89,8 +89,8 @@
 // isolated, since an earlier process may have admitted all that the node may admit in it.
 func TestAProcessThatHasJustStartedAdmitsNothingOutOfTouch(t *testing.T) {
 	g := NewWithT(t)
-	for _, wasInTouch := range []bool{false, true} {
-		meter := quota.NewMeter("caller", route.RateLimit{PerSecond: 63, Burst: 63}, bounds, 6, wasInTouch, start)
+	for _, hasHadContact := range []bool{false, true} {
+		meter := quota.NewMeter("caller", route.RateLimit{PerSecond: 63, Burst: 63}, bounds, 6, hasHadContact, start)
 		meter.SetProcessStart(start)
 		for now := start; now.Before(start.Add(bounds.Window)); now = now.Add(20 * time.Millisecond) {
 			decision := meter.Admit(now.String(), now)
@@ -134,18 +134,18 @@
 					t.Parallel()
 					highest, during := 0, 0
 					simulate(t, 6, limits, func(d *deployment) {
-						usual, hot := d.even(tenant, limit.PerSecond/1.6), d.even(tenant, 6*limit.PerSecond)
+						usual, overload := d.even(tenant, limit.PerSecond/1.6), d.even(tenant, 6*limit.PerSecond)
 						d.run(3*time.Second, usual)
 						nodes := scenario.restarted(d, tenant)
 						if scenario.withinLimit == 0 {
-							d.run(3*time.Second, hot)
+							d.run(3*time.Second, overload)
 						}
 						scenario.isolate(d, tenant)
 						d.run(scenario.withinLimit, usual)
-						d.run(500*time.Millisecond, hot)
-						begun := d.elapsed()
-						d.restartOneByOne(nodes, roundTime, 12*time.Second, hot)
-						highest, during = d.maxInWindow(tenant), d.admittedBetween(tenant, begun+2*time.Second, begun+12*time.Second)
+						d.run(500*time.Millisecond, overload)
+						begin := d.elapsed()
+						d.restartOneByOne(nodes, roundTime, 12*time.Second, overload)
+						highest, during = d.maxInWindow(tenant), d.admittedBetween(tenant, begin+2*time.Second, begin+12*time.Second)
 					})
 					t.Logf("at most %d in 5 s, allowed %.0f; %.2f of the limit meanwhile", highest, allowedInWindow(limit), float64(during)/(10*limit.PerSecond))
 					NewWithT(t).Expect(float64(highest)).To(BeNumerically("<=", allowedInWindow(limit)))
--- a/pkg/quota/snapshot.go
+++ b/pkg/quota/snapshot.go
@@ -101,24 +101,24 @@
 // Snapshot returns a copy of the limiter's state: of one tenant, or of all tenants if the name is
 // empty. It changes no state.
 func (l *Limiter) Snapshot(tenant string) Snapshot {
-	copied := Snapshot{Node: l.options.Local, Zone: l.options.Zone, Window: l.options.Bounds.Window}
+	snapshot := Snapshot{Node: l.options.Local, Zone: l.options.Zone, Window: l.options.Bounds.Window}
 	l.mutex.Lock()
 	// All state that is copied was received before this time.
 	now := time.Now()
-	copied.At, copied.StartedAt = now, l.startedAt
-	copied.Nodes, copied.SilentCount = l.nodeCount(), len(l.silent)
+	snapshot.At, snapshot.StartedAt = now, l.startedAt
+	snapshot.Nodes, snapshot.SilentCount = l.nodeCount(), len(l.silent)
 	if len(l.addresses) == 0 {
-		copied.Nodes = 0
+		snapshot.Nodes = 0
 	}
-	copied.Silent = slices.Collect(maps.Keys(l.silent))
-	l.copyCoordinated(&copied, tenant, now)
-	l.copyServed(&copied, tenant, now)
+	snapshot.Silent = slices.Collect(maps.Keys(l.silent))
+	l.copyCoordinated(&snapshot, tenant, now)
+	l.copyServed(&snapshot, tenant, now)
 	l.mutex.Unlock()
-	copied.Silent = firstNames(copied.Silent)
-	for index := range copied.Coordinated {
-		copied.Coordinated[index].Reporters = firstNames(copied.Coordinated[index].Reporters)
+	snapshot.Silent = firstNames(snapshot.Silent)
+	for index := range snapshot.Coordinated {
+		snapshot.Coordinated[index].Reporters = firstNames(snapshot.Coordinated[index].Reporters)
 	}
-	return copied
+	return snapshot
 }
 
 // firstNames sorts names in place and returns at most snapshotNames of them.
@@ -128,7 +128,7 @@
 }
 
 // copyCoordinated copies the state of the accounts. The caller holds the mutex.
-func (l *Limiter) copyCoordinated(copied *Snapshot, tenant string, now time.Time) {
+func (l *Limiter) copyCoordinated(snapshot *Snapshot, tenant string, now time.Time) {
 	var chosen largestTenants
 	offer := func(name string, entry *tenantAccount) {
 		if entry != nil && entry.isInUse(now) {
@@ -143,17 +143,17 @@
 			offer(name, entry)
 		}
 	}
-	copied.CoordinatedLeftOut = chosen.leftOut
-	copied.Coordinated = make([]CoordinatedTenant, 0, len(chosen.kept))
-	for _, one := range chosen.kept {
-		entry := l.accounts[one.tenant]
-		found := entry.account.view(l.isFirst(one.tenant), now)
+	snapshot.CoordinatedLeftOut = chosen.leftOut
+	snapshot.Coordinated = make([]CoordinatedTenant, 0, len(chosen.kept))
+	for _, sized := range chosen.kept {
+		entry := l.accounts[sized.tenant]
+		state := entry.account.view(l.isFirst(sized.tenant), now)
 		// An account applies a new limit only with the next report.
-		found.Tenant, found.Limit, found.AtLimitSince = one.tenant, one.limit, entry.limitedAt
+		state.Tenant, state.Limit, state.AtLimitSince = sized.tenant, sized.limit, entry.limitedAt
 		if tenant != "" {
-			found.Reporters = entry.account.reporters(now)
+			state.Reporters = entry.account.reporters(now)
 		}
-		copied.Coordinated = append(copied.Coordinated, found)
+		snapshot.Coordinated = append(snapshot.Coordinated, state)
 	}
 }
 
@@ -164,7 +164,7 @@
 }
 
 // copyServed copies the state of the meters. The caller holds the mutex.
-func (l *Limiter) copyServed(copied *Snapshot, tenant string, now time.Time) {
+func (l *Limiter) copyServed(snapshot *Snapshot, tenant string, now time.Time) {
 	var chosen largestTenants
 	if limit, isKnown := l.options.LimitOf(tenant); tenant != "" && (isKnown || l.tallies[tenant] != nil) {
 		chosen.offer(tenant, limit)
@@ -175,32 +175,32 @@
 			chosen.offer(name, limit)
 		}
 	}
-	copied.ServedLeftOut = chosen.leftOut
-	copied.Served = make([]ServedTenant, 0, len(chosen.kept))
-	for _, one := range chosen.kept {
-		copied.Served = append(copied.Served, l.served(one, now))
+	snapshot.ServedLeftOut = chosen.leftOut
+	snapshot.Served = make([]ServedTenant, 0, len(chosen.kept))
+	for _, sized := range chosen.kept {
+		snapshot.Served = append(snapshot.Served, l.served(sized, now))
 	}
 }
 
 // served returns the state of one tenant at this node. The caller holds the mutex.
-func (l *Limiter) served(one sizedTenant, now time.Time) ServedTenant {
-	counted, entry := l.tallies[one.tenant], l.meters[one.tenant]
-	if counted == nil {
-		counted = &tally{}
+func (l *Limiter) served(sized sizedTenant, now time.Time) ServedTenant {
+	counts, entry := l.tallies[sized.tenant], l.meters[sized.tenant]
+	if counts == nil {
+		counts = &tally{}
 	}
-	found := ServedTenant{
-		Tenant: one.tenant, Limit: one.limit, Admitted: counted.admitted, Refused: make(map[Refusal]uint64), IsIdle: entry == nil,
+	state := ServedTenant{
+		Tenant: sized.tenant, Limit: sized.limit, Admitted: counts.admitted, Refused: make(map[Refusal]uint64), IsIdle: entry == nil,
 	}
 	for _, reason := range Refusals() {
-		if count := counted.refused[reason]; count > 0 {
-			found.Refused[reason] = count
+		if count := counts.refused[reason]; count > 0 {
+			state.Refused[reason] = count
 		}
 	}
 	if entry != nil {
-		found.Mode, found.Coordinator = entry.meter.mode, l.coordinator(entry.ranked)
-		entry.meter.view(&found, now)
+		state.Mode, state.Coordinator = entry.meter.mode, l.coordinator(entry.ranked)
+		entry.meter.view(&state, now)
 	}
-	return found
+	return state
 }
 
 // view returns the state of an account at the given time without changing it. Its run time does not
@@ -209,14 +209,14 @@
 func (a *Account) view(isFirst bool, now time.Time) CoordinatedTenant {
 	copied := *a
 	copied.bucket.settle(now)
-	found := CoordinatedTenant{
+	state := CoordinatedTenant{
 		IsFirst: isFirst, RequestsPerSecond: a.steadyRate.read(now), Share: copied.share(now), Tokens: copied.bucket.level,
 		ReservedPerSecond: a.reservedRate,
 	}
 	if now.Sub(a.lastReportAt) <= reportRetention {
-		found.Reporting = len(a.reports)
+		state.Reporting = len(a.reports)
 	}
-	return found
+	return state
 }
 
 // reporters returns the nodes that reported within reportRetention.
@@ -231,12 +231,12 @@
 }
 
 // view fills in the state of the meter at the given time.
-func (m *Meter) view(found *ServedTenant, now time.Time) {
-	lately := m.admittedInWindow
-	found.AdmittedInWindow = lately.read(now)
-	found.Share, found.ShareReceivedAt = m.share, m.verdictAt
-	found.IsShareStale = m.share < 1 && now.Sub(m.verdictAt) > maxShareAge
-	found.EntitledPerSecond = m.entitlement(now)
+func (m *Meter) view(state *ServedTenant, now time.Time) {
+	window := m.admittedInWindow
+	state.AdmittedInWindow = window.read(now)
+	state.Share, state.ShareReceivedAt = m.share, m.verdictAt
+	state.IsShareStale = m.share < 1 && now.Sub(m.verdictAt) > maxShareAge
+	state.EntitledPerSecond = m.entitlement(now)
 }
 
 // largestTenants keeps the tenants with the largest limits in the configuration in force. Nodes
--- a/pkg/quota/snapshot_test.go
+++ b/pkg/quota/snapshot_test.go
@@ -117,11 +117,11 @@
 	}
 
 	after := sumServed(idle)
-	g.Expect(after.admitted).To(Equal(sum.admitted), "counts outlive the meters of idle tenants")
+	g.Expect(after.admitted).To(Equal(sum.admitted), "counts must outlive the meters of idle tenants")
 	g.Expect(after.refused).To(Equal(sum.refused))
 	g.Expect(idle[0].Served[0].IsIdle).To(BeTrue())
-	gone, _ := firstCoordinators(idle)
-	g.Expect(gone).To(BeEmpty())
+	remaining, _ := firstCoordinators(idle)
+	g.Expect(remaining).To(BeEmpty())
 }
 
 // TestASnapshotNamesSilentNodes guards against snapshots that hide a cut: the coordinator names the
@@ -129,18 +129,18 @@
 func TestASnapshotNamesSilentNodes(t *testing.T) {
 	const tenant, count = "medium", 12
 	var all []quota.Snapshot
-	cut, name := 0, ""
+	isolatedIndex, name := 0, ""
 	simulate(t, count, tenants(), func(d *deployment) {
-		hot := d.even(tenant, 80)
-		d.run(6*time.Second, hot)
-		cut = count - 1
-		if d.coordinatorOf(tenant) == cut {
-			cut--
+		overload := d.even(tenant, 80)
+		d.run(6*time.Second, overload)
+		isolatedIndex = count - 1
+		if d.coordinatorOf(tenant) == isolatedIndex {
+			isolatedIndex--
 		}
-		name = d.nodes[cut].name
-		isolateEach(cut, cut+1)(d)
+		name = d.nodes[isolatedIndex].name
+		isolateEach(isolatedIndex, isolatedIndex+1)(d)
 		// Longer than reports are retained.
-		d.run(12*time.Second, hot)
+		d.run(12*time.Second, overload)
 		all = d.snapshots(tenant)
 	})
 	g := NewWithT(t)
@@ -150,12 +150,12 @@
 	g.Expect(from.SilentCount).To(Equal(1))
 	g.Expect(first[0].ReservedPerSecond).To(And(BeNumerically(">", 0), BeNumerically("<", 6)))
 	g.Expect(first[0].Reporters).NotTo(ContainElement(name))
-	lost := all[cut].Served[0]
-	g.Expect(lost.Mode).To(Equal(quota.Isolated))
-	g.Expect(lost.Coordinator).To(BeEmpty())
-	g.Expect(lost.IsShareStale).To(BeTrue())
-	g.Expect(lost.Refused[quota.BeyondEntitlement]).To(BeNumerically(">", 0))
-	g.Expect(lost.EntitledPerSecond).To(And(BeNumerically(">", 0), BeNumerically("<", 6)))
+	isolated := all[isolatedIndex].Served[0]
+	g.Expect(isolated.Mode).To(Equal(quota.Isolated))
+	g.Expect(isolated.Coordinator).To(BeEmpty())
+	g.Expect(isolated.IsShareStale).To(BeTrue())
+	g.Expect(isolated.Refused[quota.BeyondEntitlement]).To(BeNumerically(">", 0))
+	g.Expect(isolated.EntitledPerSecond).To(And(BeNumerically(">", 0), BeNumerically("<", 6)))
 }
 
 // manyTenants is more than a snapshot contains.
--- a/pkg/quota/startup_test.go
+++ b/pkg/quota/startup_test.go
@@ -18,16 +18,16 @@
 			simulate(t, 67, tenants(), func(d *deployment) {
 				usual := limit.PerSecond / 1.6
 				coordinator := d.coordinatorOf(tenant)
-				others := d.skewed(tenant, 12*usual)
-				others.weights[coordinator] = 0
-				d.run(6*time.Second, others)
+				traffic := d.skewed(tenant, 12*usual)
+				traffic.weights[coordinator] = 0
+				d.run(6*time.Second, traffic)
 				d.nodes[coordinator].hasNoConfiguration.Store(true)
 				d.kill(coordinator)
 				d.start(coordinator)
 				d.nodes[coordinator].limiter.SetNodes(d.list())
-				d.run(2*time.Second, others)
+				d.run(2*time.Second, traffic)
 				d.nodes[coordinator].hasNoConfiguration.Store(false)
-				d.run(8*time.Second, others)
+				d.run(8*time.Second, traffic)
 				highest = d.maxInWindow(tenant)
 			})
 			t.Logf("at most %d in 5 s, allowed %.0f", highest, allowedInWindow(limit))
@@ -43,12 +43,12 @@
 	simulate(t, count, tenants(), func(d *deployment) {
 		first := d.coordinatorOf("large")
 		d.kill(first)
-		others := d.even("large", 100)
-		others.weights[first] = 0
-		d.run(5*time.Second, others)
+		traffic := d.even("large", 100)
+		traffic.weights[first] = 0
+		d.run(5*time.Second, traffic)
 		d.start(first)
 		d.setNodes()
-		d.run(500*time.Millisecond, others)
+		d.run(500*time.Millisecond, traffic)
 		for _, node := range d.nodes {
 			if node.limiter.Coordinator("large") == d.nodes[first].name {
 				reporting++
@@ -65,14 +65,14 @@
 	simulate(t, count, tenants(), func(d *deployment) {
 		first := d.coordinatorOf("large")
 		d.kill(first)
-		others := d.even("large", 100)
-		others.weights[first] = 0
-		d.run(5*time.Second, others)
+		traffic := d.even("large", 100)
+		traffic.weights[first] = 0
+		d.run(5*time.Second, traffic)
 		d.start(first)
 		d.nodes[first].limiter.SetNodes(d.list()[first : first+1])
-		d.run(300*time.Millisecond, others)
+		d.run(300*time.Millisecond, traffic)
 		d.setNodes()
-		d.run(500*time.Millisecond, others)
+		d.run(500*time.Millisecond, traffic)
 		for _, node := range d.nodes {
 			if node.limiter.Coordinator("large") == d.nodes[first].name {
 				reporting++
--- a/pkg/quota/verdicts.go
+++ b/pkg/quota/verdicts.go
@@ -94,18 +94,18 @@
 // otherNodes returns the other nodes that are silent, or those that are not. The caller holds the
 // mutex.
 func (l *Limiter) otherNodes(isSilent bool) map[peer.Address]string {
-	found := make(map[peer.Address]string)
+	nodes := make(map[peer.Address]string)
 	for name, address := range l.addresses {
 		if name != l.options.Local && l.silent[name] == isSilent {
-			found[address] = name
+			nodes[address] = name
 		}
 	}
-	return found
+	return nodes
 }
 
 // sendVerdicts sends verdicts to the given nodes and records which of them took them. It clears
-// isUnderWay when all calls have ended. The caller holds the mutex.
-func (l *Limiter) sendVerdicts(ctx context.Context, nodes map[peer.Address]string, verdicts map[string]Verdict, isUnderWay *bool) {
+// isRunning when all calls have ended. The caller holds the mutex.
+func (l *Limiter) sendVerdicts(ctx context.Context, nodes map[peer.Address]string, verdicts map[string]Verdict, isRunning *bool) {
 	l.applyVerdicts(ctx, l.options.Local, verdicts, time.Now())
 	if l.isStopped {
 		return
@@ -120,12 +120,12 @@
 		taken := l.sendAll(ctx, addresses, message)
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
-		*isUnderWay = false
+		*isRunning = false
 		if ctx.Err() != nil {
 			return
 		}
 		for _, address := range taken {
-			l.noteContact(nodes[address])
+			l.recordContact(nodes[address])
 			delete(nodes, address)
 		}
 		for _, name := range nodes {
@@ -139,9 +139,9 @@
 // sendAll sends verdicts to all addresses in parallel and returns those that took them within
 // callTimeout.
 func (l *Limiter) sendAll(ctx context.Context, addresses []peer.Address, message *quotapb.Verdicts) []peer.Address {
-	limited, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return peer.SpreadAll(limited, l.options.Transport, addresses, kindVerdicts, message, func() proto.Message { return &quotapb.Taken{} })
+	return peer.SpreadAll(callCtx, l.options.Transport, addresses, kindVerdicts, message, func() proto.Message { return &quotapb.Taken{} })
 }
 
 // applyVerdicts applies verdicts that do not answer a report. Only verdicts of the coordinator to
@@ -178,13 +178,13 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.applyVerdicts(l.context, string(from), decodeVerdicts(message), now)
-	found := l.links[string(from)]
-	if found == nil || found.answers {
+	peerLink := l.links[string(from)]
+	if peerLink == nil || peerLink.answers {
 		return &quotapb.Taken{}, nil
 	}
 	// The coordinator reaches this node, so it may answer again.
-	found.nextProbe = now
-	if !found.hasFailed() {
+	peerLink.nextProbe = now
+	if !peerLink.hasFailed() {
 		// The first call to it is still in progress, as after a start.
 		return &quotapb.Taken{}, nil
 	}
--- a/pkg/quota/window_test.go
+++ b/pkg/quota/window_test.go
@@ -20,7 +20,7 @@
 	g.Expect(window.read(now)).To(BeNumerically("~", 100, 1))
 	g.Expect(window.read(now.Add(2500 * time.Millisecond))).To(BeNumerically("~", 50, 3))
 	window.add(-1, now.Add(2500*time.Millisecond))
-	g.Expect(window.read(now.Add(2500*time.Millisecond))).To(BeNumerically("~", 50, 3), "nothing is taken back from older slots")
+	g.Expect(window.read(now.Add(2500*time.Millisecond))).To(BeNumerically("~", 50, 3), "events of older slots must not be taken back")
 	wait := window.timeUntilBelow(1, now.Add(2500*time.Millisecond))
 	g.Expect(window.read(now.Add(2500*time.Millisecond + wait))).To(BeNumerically("<", 1))
 	g.Expect(window.read(now.Add(time.Hour))).To(BeZero())
