--- a/pkg/loadshed/admitter.go
+++ b/pkg/loadshed/admitter.go
@@ -115,9 +115,10 @@
 	ShareAge        time.Duration
 }
 
-// Admit decides whether a request is admitted. It needs answers of at least required of the services
-// and is bound to the regions with the key regions; sample is its value from a Sampler. The requests
-// with the greatest sampling values are admitted, so that all services and nodes admit the same ones.
+// Admit decides whether a request is admitted. It needs answers of at least required of the
+// services and is bound to the regions with the key regions; sample is its value from a Sampler.
+// The requests with the greatest sampling values are admitted, so that all services and nodes admit
+// the same ones.
 func (a *Admitter) Admit(
 	services []string, regions string, required int, class Class, sample uint64, now time.Time,
 ) Decision {
@@ -140,8 +141,8 @@
 	return decision
 }
 
-// maxSkippable bounds the services that a request leaves to others, so that the scarcest ones fit in
-// the fixed-size array in Admit.
+// maxSkippable bounds the services that a request leaves to others, so that the scarcest ones fit
+// in the fixed-size array in Admit.
 const maxSkippable = 63
 
 // limitedService is a service that admits only a part of the requests.
--- a/pkg/loadshed/admitter_test.go
+++ b/pkg/loadshed/admitter_test.go
@@ -26,7 +26,8 @@
 	return loadshed.Shares{Ranks: []loadshed.RankShare{{Priority: 1, Share: share}}}
 }
 
-// sampleAt returns the sampling value of a request that is admitted with shares of at least position.
+// sampleAt returns the sampling value of a request that is admitted with shares of at least
+// position.
 func sampleAt(position float64) uint64 { return uint64((1 - position) * math.MaxUint64 * (1 - 1e-12)) }
 
 // TestAllNodesAdmitTheSameRequests: two admitters with the same shares make the same decisions and
@@ -73,8 +74,8 @@
 	g.Expect(whole.Shortfall).To(BeNumerically("~", 0.5/0.9, 1e-6))
 }
 
-// TestAThirdOfTheServersGone: many shards are limited. The sixth smallest share decides about a request
-// that needs 31 of 36 shards, and the second smallest about one that needs 35.
+// TestAThirdOfTheServersGone: many shards are limited. The sixth smallest share decides about a
+// request that needs 31 of 36 shards, and the second smallest about one that needs 35.
 func TestAThirdOfTheServersGone(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
@@ -135,8 +136,9 @@
 	g.Expect(admitter.ShareOf(key, urgent, now.Add(3*time.Second))).To(Equal(0.5))
 }
 
-// TestImmediateRetriesGetTheSameSample: the tries of a client get the same sampling value at all nodes,
-// while each of the many requests with the same content in a flash crowd gets a value of its own.
+// TestImmediateRetriesGetTheSameSample: the tries of a client get the same sampling value at all
+// nodes, while each of the many requests with the same content in a flash crowd gets a value of its
+// own.
 func TestImmediateRetriesGetTheSameSample(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
@@ -163,8 +165,8 @@
 	}
 }
 
-// TestRequestsBoundToRegionsHaveTheirOwnShares: the servers of one region may be overloaded while the
-// others are not.
+// TestRequestsBoundToRegionsHaveTheirOwnShares: the servers of one region may be overloaded while
+// the others are not.
 func TestRequestsBoundToRegionsHaveTheirOwnShares(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
@@ -174,8 +176,8 @@
 	g.Expect(admitter.Admit(services, "", 36, urgent, sampleAt(0.5), now).IsAdmitted).To(BeTrue())
 }
 
-// TestOlderSharesThatComeLaterArePassedOver: older shares that arrive late are ignored, also after the
-// overload has ended.
+// TestOlderSharesThatComeLaterArePassedOver: older shares that arrive late are ignored, also after
+// the overload has ended.
 func TestOlderSharesThatComeLaterArePassedOver(t *testing.T) {
 	g := NewWithT(t)
 	admitter, now, key := loadshed.NewAdmitter(), time.Unix(100, 0), loadshed.Key{Service: "a"}
--- a/pkg/loadshed/divide.go
+++ b/pkg/loadshed/divide.go
@@ -8,15 +8,15 @@
 // Constants for dividing the capacity.
 const (
 	// guaranteedPart is the part of the common share that each priority and each tenant keeps,
-	// however urgent the other requests are: a caller that is served less than a quarter as often as
-	// the others takes the service to be down.
+	// however urgent the other requests are: a caller that is served less than a quarter as often
+	// as the others takes the service to be down.
 	guaranteedPart = 0.25
 	// maxHeavyTenants bounds the tenants that have a share of their own in each priority, so that
 	// the message to all nodes does not grow with the number of callers. The other tenants share
 	// the rest.
 	maxHeavyTenants = 8
-	// levelIterations is the number of bisection steps for the fair level: 30 leave an error of less
-	// than a billionth.
+	// levelIterations is the number of bisection steps for the fair level: 30 leave an error of
+	// less than a billionth.
 	levelIterations = 30
 )
 
@@ -28,8 +28,8 @@
 
 // Divide divides a capacity, in server seconds a second, among demands. More urgent priorities come
 // first. Within a priority, tenants get equal rates up to their demand. No class gets less than
-// guaranteedPart of the common share, which is the capacity divided by the sum of the demands. Divide
-// sorts demands in place.
+// guaranteedPart of the common share, which is the capacity divided by the sum of the demands.
+// Divide sorts demands in place.
 func Divide(capacity float64, demands []Demand) Shares {
 	total := sum(demands)
 	if total <= 0 || capacity >= total {
@@ -57,8 +57,8 @@
 	return shares
 }
 
-// addRank divides the capacity of one priority among its tenants, which are sorted by rate. No tenant
-// gets less than minShare.
+// addRank divides the capacity of one priority among its tenants, which are sorted by rate. No
+// tenant gets less than minShare.
 func (s *Shares) addRank(rank []Demand, capacity, minShare float64) {
 	level := fairLevel(rank, capacity, minShare)
 	heavy := len(rank)
--- a/pkg/loadshed/divide_test.go
+++ b/pkg/loadshed/divide_test.go
@@ -21,8 +21,8 @@
 	g.Expect(loadshed.Divide(0, nil).IsFull()).To(BeTrue())
 }
 
-// TestAFlashCrowdOfTheLessUrgentLeavesRoomForTheMoreUrgent: the urgent kind gets its demand, except for
-// a quarter of the common share that the less urgent kind keeps.
+// TestAFlashCrowdOfTheLessUrgentLeavesRoomForTheMoreUrgent: the urgent kind gets its demand, except
+// for a quarter of the common share that the less urgent kind keeps.
 func TestAFlashCrowdOfTheLessUrgentLeavesRoomForTheMoreUrgent(t *testing.T) {
 	g := NewWithT(t)
 	shares := loadshed.Divide(10, []loadshed.Demand{demand(1, "", 5), demand(2, "", 35)})
@@ -40,8 +40,8 @@
 	g.Expect(shares.Of(loadshed.Class{Priority: 1})).To(BeNumerically("~", 0.5, 1e-9))
 }
 
-// TestAHeavyTenantAmongManySmallOnes: the small tenants get their whole demand, and the heavy one the
-// rest.
+// TestAHeavyTenantAmongManySmallOnes: the small tenants get their whole demand, and the heavy one
+// the rest.
 func TestAHeavyTenantAmongManySmallOnes(t *testing.T) {
 	g := NewWithT(t)
 	demands := []loadshed.Demand{demand(1, "heavy", 60)}
@@ -54,8 +54,8 @@
 	g.Expect(shares.Tenants).To(HaveLen(1))
 }
 
-// TestSharesAreBoundedForManyTenants: the number of tenants with a share of their own is bounded, so
-// that messages to other nodes do not grow with the number of tenants.
+// TestSharesAreBoundedForManyTenants: the number of tenants with a share of their own is bounded,
+// so that messages to other nodes do not grow with the number of tenants.
 func TestSharesAreBoundedForManyTenants(t *testing.T) {
 	g := NewWithT(t)
 	var demands []loadshed.Demand
--- a/pkg/loadshed/loadshed.go
+++ b/pkg/loadshed/loadshed.go
@@ -25,7 +25,8 @@
 // Key identifies a load: the requests for a service that may use the same of its servers.
 type Key struct {
 	Service string
-	// Regions is the key of the regions to which the requests are bound; empty if they are not bound.
+	// Regions is the key of the regions to which the requests are bound; empty if they are not
+	// bound.
 	Regions string
 }
 
--- a/pkg/loadshed/meter.go
+++ b/pkg/loadshed/meter.go
@@ -7,8 +7,8 @@
 
 // Constants for the measurement.
 const (
-	// evaluationInterval is how often the shares are computed: a few round trips between nodes, and a
-	// tenth of the second within which returned capacity has to be used.
+	// evaluationInterval is how often the shares are computed: a few round trips between nodes, and
+	// a tenth of the second within which returned capacity has to be used.
 	evaluationInterval = 100 * time.Millisecond
 	// rateWindow is the time over which rates are averaged: it covers tens of requests even for a
 	// service with few servers, and is short compared to an overload.
@@ -31,13 +31,13 @@
 	// noticeableWaitPart is the part of the target time from which on the shares do not grow, since
 	// the servers are fully used.
 	noticeableWaitPart = 0.05
-	// minQueueLength is how many waiting requests count as an overlong queue: at low rates that many
-	// may wait while one server of a service pauses, or until it is found to be lost.
+	// minQueueLength is how many waiting requests count as an overlong queue: at low rates that
+	// many may wait while one server of a service pauses, or until it is found to be lost.
 	minQueueLength = 4
-	// minGrowingCount is how many evaluations have to find an overlong queue that grows although the
-	// servers work, and minOverlongCount how many in a row have to find an overlong queue whatever
-	// the servers do, before the load is limited: a pause of the servers for some tenths of a second
-	// must not cause refusals.
+	// minGrowingCount is how many evaluations have to find an overlong queue that grows although
+	// the servers work, and minOverlongCount how many in a row have to find an overlong queue
+	// whatever the servers do, before the load is limited: a pause of the servers for some tenths
+	// of a second must not cause refusals.
 	minGrowingCount  = 2
 	minOverlongCount = 5
 )
@@ -47,27 +47,29 @@
 	// drainPart is the part of the estimated capacity that is admitted while the queue is overlong,
 	// so that the queue drains.
 	drainPart = 0.8
-	// minRetainedPart is the least part of the estimated capacity that remains after one evaluation:
-	// when a server is lost, the answers that it still owed come from the other servers a little
-	// later, so that less work is done for a moment.
+	// minRetainedPart is the least part of the estimated capacity that remains after one
+	// evaluation: when a server is lost, the answers that it still owed come from the other servers
+	// a little later, so that less work is done for a moment.
 	minRetainedPart = 0.9
-	// usedPart is the part of the estimated capacity that has to be in use before the estimate grows:
-	// with less, other services hold the requests back, and the load shows nothing about the capacity.
+	// usedPart is the part of the estimated capacity that has to be in use before the estimate
+	// grows: with less, other services hold the requests back, and the load shows nothing about the
+	// capacity.
 	usedPart = 0.6
 	// probeGrowth is the relative growth of the estimate in each of the first probeEvaluations
-	// evaluations without a queue. After that, capacity has most likely returned: growthStep is added
-	// to the growth each time, up to maxGrowth, which makes a factor of five in nine evaluations.
+	// evaluations without a queue. After that, capacity has most likely returned: growthStep is
+	// added to the growth each time, up to maxGrowth, which makes a factor of five in nine
+	// evaluations.
 	probeGrowth      = 0.03
 	probeEvaluations = 3
 	growthStep       = 0.15
 	maxGrowth        = 0.5
 	// starvedPart is the part of the demand below which the estimate grows by maxGrowth from the
-	// second evaluation without a queue on: servers that get so little and have no queue have mostly
-	// returned from an outage.
+	// second evaluation without a queue on: servers that get so little and have no queue have
+	// mostly returned from an outage.
 	starvedPart = 0.25
-	// minAdmittedShare is the part of the demand that is always admitted, so that returned capacity is
-	// noticed. minCountedShare is the least share by which the work of a request is divided to get
-	// the demand: less urgent requests may have this share.
+	// minAdmittedShare is the part of the demand that is always admitted, so that returned capacity
+	// is noticed. minCountedShare is the least share by which the work of a request is divided to
+	// get the demand: less urgent requests may have this share.
 	minAdmittedShare = 0.05
 	minCountedShare  = minAdmittedShare * guaranteedPart
 )
@@ -80,13 +82,13 @@
 	Target time.Duration
 }
 
-// Meter measures one load and the work that the servers do for it. Work is counted in server seconds.
-// It is not safe for concurrent use.
+// Meter measures one load and the work that the servers do for it. Work is counted in server
+// seconds. It is not safe for concurrent use.
 type Meter struct {
 	// classes holds the rates of requested work, including the requests that shares refused.
 	classes map[Class]*rate
-	// admitted and admittedWork are the number and the work of the requests that were admitted since
-	// the last evaluation, and servedWork is the work that servers have done since then.
+	// admitted and admittedWork are the number and the work of the requests that were admitted
+	// since the last evaluation, and servedWork is the work that servers have done since then.
 	admitted                 int
 	admittedWork, servedWork float64
 	// lastServedWork is the work that was done in the interval before the last evaluation, and
@@ -101,17 +103,18 @@
 	// those among them that found it growing although the servers work. noQueueCount counts the
 	// evaluations since the last queue that found the estimated capacity in use.
 	overlongCount, growingCount, noQueueCount int
-	// isLimited is set while only a part of the requests is admitted; capacity is then the estimated
-	// capacity of the servers, and totalDemand what is requested of them, in work a second.
+	// isLimited is set while only a part of the requests is admitted; capacity is then the
+	// estimated capacity of the servers, and totalDemand what is requested of them, in work a
+	// second.
 	isLimited             bool
 	capacity, totalDemand float64
 	shares                Shares
 	demands               []Demand
-	// evaluations counts the evaluations since the service was last without requests for longer than
-	// shareTTL.
+	// evaluations counts the evaluations since the service was last without requests for longer
+	// than shareTTL.
 	evaluations int
-	// wasForPeers is set if this node has queried the servers on behalf of other nodes since the last
-	// evaluation, and forPeersAt is the time of the last evaluation that found it set.
+	// wasForPeers is set if this node has queried the servers on behalf of other nodes since the
+	// last evaluation, and forPeersAt is the time of the last evaluation that found it set.
 	wasForPeers bool
 	forPeersAt  time.Time
 }
@@ -143,12 +146,12 @@
 	if m.classes[class] == nil && len(m.classes) >= maxClasses {
 		class.Tenant = ""
 	}
-	found := m.classes[class]
-	if found == nil {
-		found = &rate{}
-		m.classes[class] = found
+	classRate := m.classes[class]
+	if classRate == nil {
+		classRate = &rate{}
+		m.classes[class] = classRate
 	}
-	found.pending += work.Seconds() / max(minCountedShare, min(share, 1))
+	classRate.pending += work.Seconds() / max(minCountedShare, min(share, 1))
 	m.admitted++
 	m.admittedWork += work.Seconds()
 }
@@ -156,8 +159,8 @@
 // RecordServed records that a server has answered a request that needed the given work.
 func (m *Meter) RecordServed(work time.Duration) { m.servedWork += work.Seconds() }
 
-// isForPeers reports whether this node has recently queried the servers on behalf of other nodes, so
-// that it sees more than its own requests.
+// isForPeers reports whether this node has recently queried the servers on behalf of other nodes,
+// so that it sees more than its own requests.
 func (m *Meter) isForPeers() bool {
 	return !m.forPeersAt.IsZero() && m.evaluatedAt.Sub(m.forPeersAt) <= shareTTL
 }
@@ -205,11 +208,12 @@
 	m.updateShares(m.estimate(elapsed))
 }
 
-// hasMeasured reports whether the shares are meaningful: the meter has detected an overload, or would
-// have done so by now.
+// hasMeasured reports whether the shares are meaningful: the meter has detected an overload, or
+// would have done so by now.
 func (m *Meter) hasMeasured() bool { return m.isLimited || m.evaluations >= minOverlongCount }
 
-// average updates the rates with what was recorded in the elapsed seconds since the last evaluation.
+// average updates the rates with what was recorded in the elapsed seconds since the last
+// evaluation.
 func (m *Meter) average(elapsed float64) {
 	gain := 1 - math.Exp(-elapsed/rateWindow.Seconds())
 	for class, each := range m.classes {
@@ -228,7 +232,8 @@
 	m.admitted, m.admittedWork, m.servedWork = 0, 0, 0
 }
 
-// waitExceeds reports whether the last request in the queue has to wait longer than the given seconds.
+// waitExceeds reports whether the last request in the queue has to wait longer than the given
+// seconds.
 func (m *Meter) waitExceeds(queuedWork, seconds float64) bool {
 	return queuedWork > 0 && queuedWork > m.servedRate*seconds
 }
@@ -250,8 +255,8 @@
 // from an outage.
 func (m *Meter) isStarved() bool { return m.capacity < starvedPart*m.totalDemand }
 
-// minCapacity returns a lower bound of the capacity of servers without a queue: the work that they do.
-// A starved service does without this bound, since its estimate grows faster anyway.
+// minCapacity returns a lower bound of the capacity of servers without a queue: the work that they
+// do. A starved service does without this bound, since its estimate grows faster anyway.
 func (m *Meter) minCapacity() float64 {
 	if m.isStarved() {
 		return minAdmittedShare * m.totalDemand
--- a/pkg/loadshed/meter_test.go
+++ b/pkg/loadshed/meter_test.go
@@ -108,8 +108,8 @@
 	q.shares = shares
 }
 
-// TestAFlashCrowdIsLimitedToTheCapacity: at three times the capacity, most of the capacity is used for
-// requests that are served in time, and the excess is refused.
+// TestAFlashCrowdIsLimitedToTheCapacity: at three times the capacity, most of the capacity is used
+// for requests that are served in time, and the excess is refused.
 func TestAFlashCrowdIsLimitedToTheCapacity(t *testing.T) {
 	g := NewWithT(t)
 	tested := newQueue(2)
@@ -122,7 +122,8 @@
 	g.Expect(tested.refused).To(BeNumerically(">=", 800))
 }
 
-// TestRestoredCapacityIsUsedWithinASecond: nothing is refused a second after the capacity has returned.
+// TestRestoredCapacityIsUsedWithinASecond: nothing is refused a second after the capacity has
+// returned.
 func TestRestoredCapacityIsUsedWithinASecond(t *testing.T) {
 	g := NewWithT(t)
 	tested := newQueue(0.5)
@@ -144,8 +145,8 @@
 	g.Expect(tested.refused).To(BeZero())
 }
 
-// TestAMinimumIsAlwaysAdmitted: some requests are admitted even while servers answer nothing, so that
-// their return is noticed.
+// TestAMinimumIsAlwaysAdmitted: some requests are admitted even while servers answer nothing, so
+// that their return is noticed.
 func TestAMinimumIsAlwaysAdmitted(t *testing.T) {
 	g := NewWithT(t)
 	tested := newQueue(2)
@@ -165,8 +166,8 @@
 	}
 }
 
-// TestServersThatReturnFromAnOutageAreUsedWithinASecond: nothing is refused a second after all servers
-// have returned from an outage.
+// TestServersThatReturnFromAnOutageAreUsedWithinASecond: nothing is refused a second after all
+// servers have returned from an outage.
 func TestServersThatReturnFromAnOutageAreUsedWithinASecond(t *testing.T) {
 	g := NewWithT(t)
 	tested := newQueue(3)
@@ -184,7 +185,8 @@
 
 func (emptyQueues) Backlog(loadshed.Key, time.Time) loadshed.Backlog { return loadshed.Backlog{} }
 
-// BenchmarkMetersRecordAdmitted includes the evaluations: one for ten requests, at a hundred requests a second.
+// BenchmarkMetersRecordAdmitted includes the evaluations: one for ten requests, at a hundred
+// requests a second.
 func BenchmarkMetersRecordAdmitted(b *testing.B) {
 	meters, now := loadshed.NewMeters(emptyQueues{}, loadshed.NewAdmitter()), time.Unix(100, 0)
 	b.ReportAllocs()
@@ -201,8 +203,8 @@
 	return loadshed.Backlog{Waiting: 50, Target: 200 * time.Millisecond}
 }
 
-// TestWhatANodeMeasuresOfItselfIsNotTold: a node that no longer queries servers on behalf of other nodes
-// stops publishing its measurements, since it sees only its own requests.
+// TestWhatANodeMeasuresOfItselfIsNotTold: a node that no longer queries servers on behalf of other
+// nodes stops publishing its measurements, since it sees only its own requests.
 func TestWhatANodeMeasuresOfItselfIsNotTold(t *testing.T) {
 	g := NewWithT(t)
 	meters, now, publishedAt := loadshed.NewMeters(longQueues{}, loadshed.NewAdmitter()), time.Unix(100, 0), time.Time{}
--- a/pkg/loadshed/meters.go
+++ b/pkg/loadshed/meters.go
@@ -11,8 +11,8 @@
 	// republishInterval: a service can bear smaller differences for a moment.
 	significantChange = 0.2
 	// minPublishInterval is the least time between two messages to all nodes, so that their number
-	// does not grow with the load. republishInterval is how often shares are repeated while a load is
-	// limited.
+	// does not grow with the load. republishInterval is how often shares are repeated while a load
+	// is limited.
 	minPublishInterval = 200 * time.Millisecond
 	republishInterval  = 500 * time.Millisecond
 )
@@ -42,8 +42,8 @@
 	// publish sends measurements to all nodes; nil if there are no others.
 	publish func([]Measurement)
 	meters  map[Key]*Meter
-	// lastPublished holds the shares that were last sent to all nodes, and publishedAt the time of the
-	// last message.
+	// lastPublished holds the shares that were last sent to all nodes, and publishedAt the time of
+	// the last message.
 	lastPublished map[Key]Shares
 	publishedAt   time.Time
 }
@@ -53,8 +53,8 @@
 	return &Meters{queues: queues, admitter: admitter, meters: make(map[Key]*Meter), lastPublished: make(map[Key]Shares)}
 }
 
-// SetPublisher sets the function that sends measurements to all nodes. It is called with a lock held
-// and must not block.
+// SetPublisher sets the function that sends measurements to all nodes. It is called with a lock
+// held and must not block.
 func (m *Meters) SetPublisher(publish func([]Measurement)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -99,8 +99,8 @@
 	}
 }
 
-// CurrentShares returns the shares of a load and when they were computed. They are full if the load is
-// not measured here or had no requests recently.
+// CurrentShares returns the shares of a load and when they were computed. They are full if the load
+// is not measured here or had no requests recently.
 func (m *Meters) CurrentShares(key Key, now time.Time) (Shares, time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -111,8 +111,8 @@
 	return meter.Shares()
 }
 
-// Measurement returns the shares of a load, and whether this node has measured them recently. A node
-// that has just begun to query the servers has no measurement: other nodes may know more.
+// Measurement returns the shares of a load, and whether this node has measured them recently. A
+// node that has just begun to query the servers has no measurement: other nodes may know more.
 func (m *Meters) Measurement(key Key, now time.Time) (Measurement, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/pkg/loadshed/model_test.go
+++ b/pkg/loadshed/model_test.go
@@ -91,7 +91,8 @@
 	return created
 }
 
-// run offers requests at a rate per second for a span of time; tenantOf draws the tenant of a request.
+// run offers requests at a rate per second for a span of time; tenantOf draws the tenant of a
+// request.
 func (m *model) run(rate float64, span time.Duration, tenantOf func(*rand.Rand) string) {
 	m.counts = make(map[string]*tally)
 	for end := m.now.Add(span); m.now.Before(end); m.now = m.now.Add(modelStep) {
--- a/pkg/loadshed/sampler.go
+++ b/pkg/loadshed/sampler.go
@@ -8,8 +8,9 @@
 
 // Constants for sampling.
 const (
-	// sampleSpan is how long the sampling value of the same content stays the same: the tries of one
-	// client mostly fall into one span, and no client is refused for as long as an overload lasts.
+	// sampleSpan is how long the sampling value of the same content stays the same: the tries of
+	// one client mostly fall into one span, and no client is refused for as long as an overload
+	// lasts.
 	sampleSpan = 10 * time.Second
 	// maxTries is how many requests with the same content count as tries of one client within a
 	// sampleSpan at one node.
@@ -28,9 +29,9 @@
 
 // Sampler assigns a pseudo-random sampling value to each request; Admitter admits the requests with
 // the greatest values. Tries of one client with the same content get the same value, so that an
-// immediate retry gains nothing. Where many requests have the same content, each gets a value of its
-// own: otherwise either all of them would be admitted or none. The zero value is ready for use. It is
-// safe for concurrent use.
+// immediate retry gains nothing. Where many requests have the same content, each gets a value of
+// its own: otherwise either all of them would be admitted or none. The zero value is ready for use.
+// It is safe for concurrent use.
 type Sampler struct {
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
@@ -95,8 +96,8 @@
 	lastDistinctPriority = 8
 )
 
-// WaitOrder returns the place of a request among those that wait for a server, by its sampling value
-// and its priority. The request with the greatest value is served first.
+// WaitOrder returns the place of a request among those that wait for a server, by its sampling
+// value and its priority. The request with the greatest value is served first.
 func WaitOrder(sample uint64, priority int) uint64 {
 	position := math.MaxUint64 - sample
 	return math.MaxUint64 - position>>(priorityShift*(lastDistinctPriority-min(max(priority, 0), lastDistinctPriority)))
--- a/pkg/loadshed/sampler_test.go
+++ b/pkg/loadshed/sampler_test.go
@@ -10,9 +10,9 @@
 	"github.com/bramblemast/bramblemast/pkg/loadshed"
 )
 
-// sampleRetries simulates clients that send one request each interval for the span of a sampling value,
-// each with its own content, and retry it under a new id half a second later. It returns the number of
-// retries, and how many of them got the sampling value of the first try.
+// sampleRetries simulates clients that send one request each interval for the span of a sampling
+// value, each with its own content, and retry it under a new id half a second later. It returns the
+// number of retries, and how many of them got the sampling value of the first try.
 func sampleRetries(sampler *loadshed.Sampler, interval time.Duration) (retries, same int) {
 	const span, pause = 10 * time.Second, 500 * time.Millisecond
 	random := rand.New(rand.NewPCG(3, 3))
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestLotsHoldNoMoreThanTheyNeed: the number of counters follows the number of requests in a span, is
-// bounded, and shrinks after the load. Requests with the same content need only one counter.
+// TestLotsHoldNoMoreThanTheyNeed: the number of counters follows the number of requests in a span,
+// is bounded, and shrinks after the load. Requests with the same content need only one counter.
 func TestLotsHoldNoMoreThanTheyNeed(t *testing.T) {
 	g := NewWithT(t)
 	sampler := &loadshed.Sampler{}
@@ -71,8 +71,8 @@
 	g.Expect(sampler.Slots()).To(Equal(1024))
 }
 
-// TestManyThatAskTheSameDrawForThemselves: of many requests with the same content, only a few get the
-// same sampling value, also while the number of counters grows.
+// TestManyThatAskTheSameDrawForThemselves: of many requests with the same content, only a few get
+// the same sampling value, also while the number of counters grows.
 func TestManyThatAskTheSameDrawForThemselves(t *testing.T) {
 	g := NewWithT(t)
 	sampler, random, countBySample := &loadshed.Sampler{}, rand.New(rand.NewPCG(5, 5)), make(map[uint64]int)
--- a/pkg/loadshed/scenarios_test.go
+++ b/pkg/loadshed/scenarios_test.go
@@ -19,13 +19,13 @@
 	tenantOf      func(*rand.Rand) string
 	kinds         []kind
 	// maxFailedPart is the part of the requests that may fail at their deadline: at three times the
-	// capacity, those that arrive in the 300 ms until all nodes know of the overload, and those that
-	// wait behind work which takes seconds.
+	// capacity, those that arrive in the 300 ms until all nodes know of the overload, and those
+	// that wait behind work which takes seconds.
 	maxFailedPart float64
 }
 
-// log prints the result of a scheme: the work that was done in time as a part of the achievable work,
-// and the part of each kind of requests that was answered in time.
+// log prints the result of a scheme: the work that was done in time as a part of the achievable
+// work, and the part of each kind of requests that was answered in time.
 func (s scenario) log(t *testing.T, name string, counts map[string]*tally) {
 	t.Helper()
 	all := counts["all"]
@@ -37,8 +37,8 @@
 	t.Log(line)
 }
 
-// achievableWork returns the work that the scarcest shards which requests need can do, or the demand
-// if that is less.
+// achievableWork returns the work that the scarcest shards which requests need can do, or the
+// demand if that is less.
 func (s scenario) achievableWork() float64 {
 	demand := 0.0
 	for _, each := range s.kinds {
@@ -62,8 +62,8 @@
 
 func noTenant(*rand.Rand) string { return "" }
 
-// heavyAndSmallTenants draws one heavy tenant for two thirds of the requests, and one of twenty small
-// tenants for the rest.
+// heavyAndSmallTenants draws one heavy tenant for two thirds of the requests, and one of twenty
+// small tenants for the rest.
 func heavyAndSmallTenants(random *rand.Rand) string {
 	if random.Float64() < 2.0/3 {
 		return "heavy"
@@ -81,8 +81,8 @@
 	{"a kind that costs ten times as much", modelRate, 0, 1, noTenant, kindsWithCostlyOne, 0.07},
 }
 
-// simulate runs the scenario after two seconds at a low rate, and returns the model with the counts of
-// the requests of modelSpan from the beginning of the overload.
+// simulate runs the scenario after two seconds at a low rate, and returns the model with the counts
+// of the requests of modelSpan from the beginning of the overload.
 func (s scenario) simulate(tested scheme) *model {
 	model := newModel(tested)
 	model.kinds = s.kinds
@@ -94,8 +94,9 @@
 	return model
 }
 
-// TestAdmissionSchemes prints the result of each scheme in each scenario. It checks that the implemented
-// one does most of the achievable work in time and that few requests fail at their deadline.
+// TestAdmissionSchemes prints the result of each scheme in each scenario. It checks that the
+// implemented one does most of the achievable work in time and that few requests fail at their
+// deadline.
 func TestAdmissionSchemes(t *testing.T) {
 	for _, tested := range scenarios {
 		t.Run(tested.name, func(t *testing.T) {
@@ -114,8 +115,9 @@
 	}
 }
 
-// TestTheMoreUrgentKindIsServedMoreOften: while both kinds of requests need the same servers, the more
-// urgent one is served at least as often, and the less urgent one keeps a quarter of the common rate.
+// TestTheMoreUrgentKindIsServedMoreOften: while both kinds of requests need the same servers, the
+// more urgent one is served at least as often, and the less urgent one keeps a quarter of the
+// common rate.
 func TestTheMoreUrgentKindIsServedMoreOften(t *testing.T) {
 	for _, tested := range scenarios {
 		if tested.limitedShards > 0 {
@@ -137,8 +139,8 @@
 	}
 }
 
-// TestSmallTenantsAreServedDespiteAHeavyOne: within a priority, small tenants are served as if the heavy
-// one were not there.
+// TestSmallTenantsAreServedDespiteAHeavyOne: within a priority, small tenants are served as if the
+// heavy one were not there.
 func TestSmallTenantsAreServedDespiteAHeavyOne(t *testing.T) {
 	g := NewWithT(t)
 	counts := scenarios[3].simulate(newMeasuredShares(time.Unix(100, 0))).counts
@@ -155,8 +157,8 @@
 	g.Expect(smallRate).To(BeNumerically(">=", 1.5*heavyRate))
 }
 
-// TestShortPausesOfAServerRefuseNobody: pauses of some tenths of a second of the only server of a shard
-// end within the target time of the requests, and must not be taken for an overload.
+// TestShortPausesOfAServerRefuseNobody: pauses of some tenths of a second of the only server of a
+// shard end within the target time of the requests, and must not be taken for an overload.
 func TestShortPausesOfAServerRefuseNobody(t *testing.T) {
 	g := NewWithT(t)
 	model := newModel(newMeasuredShares(time.Unix(100, 0)))
@@ -171,8 +173,8 @@
 	}
 }
 
-// TestRestoredCapacityAdmitsAllRequests: after an overload of several shards, whose returned capacity is
-// found one after the other, everything is admitted again within twelve evaluations.
+// TestRestoredCapacityAdmitsAllRequests: after an overload of several shards, whose returned
+// capacity is found one after the other, everything is admitted again within twelve evaluations.
 func TestRestoredCapacityAdmitsAllRequests(t *testing.T) {
 	g := NewWithT(t)
 	model := newModel(newMeasuredShares(time.Unix(100, 0)))
--- a/pkg/loadshed/schemes_test.go
+++ b/pkg/loadshed/schemes_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// credits grants credits to the nodes every 100 ms, as much as the servers of the scarcest shard have
-// worked.
+// credits grants credits to the nodes every 100 ms, as much as the servers of the scarcest shard
+// have worked.
 type credits struct {
 	admitAll
 	left       [modelNodes]float64
--- a/pkg/rhythm/periods.go
+++ b/pkg/rhythm/periods.go
@@ -9,19 +9,19 @@
 	// maxMultiple is how many periods the longer of two compared intervals may span: a pause during
 	// which no request is sent is not seen.
 	maxMultiple = 2
-	// periodLifetime is for how many periods a shared period or an interval is used after it was last
-	// confirmed.
+	// periodLifetime is for how many periods a shared period or an interval is used after it was
+	// last confirmed.
 	periodLifetime = 10
 )
 
-// SharedPeriod learns the period of pauses that the servers of a node have in common: servers of one
-// program pause with the same period, each with a phase of its own. The zero value has no period. It
-// is not safe for concurrent use.
+// SharedPeriod learns the period of pauses that the servers of a node have in common: servers of
+// one program pause with the same period, each with a phase of its own. The zero value has no
+// period. It is not safe for concurrent use.
 type SharedPeriod struct {
 	intervals [maxIntervals]interval
 	next      int
-	// serverCount counts the servers that have shown an interval; they are numbered from 1 in the order
-	// of their first interval.
+	// serverCount counts the servers that have shown an interval; they are numbered from 1 in the
+	// order of their first interval.
 	serverCount int
 	// period is the period that was last confirmed, at confirmedAt; zero if there is none.
 	period      time.Duration
@@ -74,9 +74,9 @@
 	return p.period
 }
 
-// commonPeriod returns the period of two intervals if the longer one is a multiple of the shorter one,
-// up to maxMultiple. It is the mean of the shorter interval and of the longer one divided by the
-// multiple.
+// commonPeriod returns the period of two intervals if the longer one is a multiple of the shorter
+// one, up to maxMultiple. It is the mean of the shorter interval and of the longer one divided by
+// the multiple.
 func commonPeriod(one, other time.Duration) (time.Duration, bool) {
 	shorter, longer := min(one, other), max(one, other)
 	if shorter < minPeriod {
--- a/pkg/rhythm/rhythm_test.go
+++ b/pkg/rhythm/rhythm_test.go
@@ -152,8 +152,8 @@
 // seeds is the number of seeds with which each model is run.
 const seeds = 20
 
-// runAllSeeds returns the sums of the counts over all seeds. Each model first learns for a while that
-// is not counted.
+// runAllSeeds returns the sums of the counts over all seeds. Each model first learns for a while
+// that is not counted.
 func runAllSeeds(create func(seed uint64) *model, learn, counted time.Duration) (sum model) {
 	for seed := range uint64(seeds) {
 		each := create(seed)
@@ -168,8 +168,8 @@
 	return sum
 }
 
-// TestRecurringPausesArePredicted: a node that sends a server 30 requests a second, like the owner of a
-// shard, skips most of the requests that would meet a periodic pause, and few others.
+// TestRecurringPausesArePredicted: a node that sends a server 30 requests a second, like the owner
+// of a shard, skips most of the requests that would meet a periodic pause, and few others.
 func TestRecurringPausesArePredicted(t *testing.T) {
 	for name, resumesWork := range map[string]bool{"work goes on after a pause": true, "all answers come at its end": false} {
 		t.Run(name, func(t *testing.T) {
@@ -187,8 +187,8 @@
 	}
 }
 
-// TestNothingIsPredictedWithoutPauses: some requests that take four times as long as usual must not be
-// taken for pauses.
+// TestNothingIsPredictedWithoutPauses: some requests that take four times as long as usual must not
+// be taken for pauses.
 func TestNothingIsPredictedWithoutPauses(t *testing.T) {
 	g := NewWithT(t)
 	for _, rate := range []float64{2, 30, 300} {
@@ -213,8 +213,8 @@
 	}
 }
 
-// TestThePeriodFollowsADriftingClock: the period of the pauses grows by 5 ms each time, and each pause
-// is off by up to 10 ms. The learned period has to follow.
+// TestThePeriodFollowsADriftingClock: the period of the pauses grows by 5 ms each time, and each
+// pause is off by up to 10 ms. The learned period has to follow.
 func TestThePeriodFollowsADriftingClock(t *testing.T) {
 	g := NewWithT(t)
 	sum := runAllSeeds(func(seed uint64) *model {
@@ -232,8 +232,8 @@
 	g.Expect(sum.skippedInVain).To(BeNumerically("<", sum.sent/100))
 }
 
-// TestASlowServerIsNotOneThatPauses: a server that is periodically slow goes on answering, and must not
-// be taken for one that pauses.
+// TestASlowServerIsNotOneThatPauses: a server that is periodically slow goes on answering, and must
+// not be taken for one that pauses.
 func TestASlowServerIsNotOneThatPauses(t *testing.T) {
 	g := NewWithT(t)
 	for _, factor := range []float64{2.5, 6, 10} {
@@ -247,8 +247,8 @@
 	}
 }
 
-// TestAPeriodThatChangesIsLearnedAnew: when the period changes, the new one is learned and the old one
-// causes few needless skips.
+// TestAPeriodThatChangesIsLearnedAnew: when the period changes, the new one is learned and the old
+// one causes few needless skips.
 func TestAPeriodThatChangesIsLearnedAnew(t *testing.T) {
 	g := NewWithT(t)
 	sum := runAllSeeds(func(seed uint64) *model {
@@ -261,8 +261,8 @@
 	g.Expect(sum.skippedInVain).To(BeNumerically("<", sum.sent/100))
 }
 
-// TestPausesThatEndAreForgotten: once a server has stopped pausing, the prediction ends within a few
-// periods.
+// TestPausesThatEndAreForgotten: once a server has stopped pausing, the prediction ends within a
+// few periods.
 func TestPausesThatEndAreForgotten(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(seeds) {
@@ -276,8 +276,8 @@
 	}
 }
 
-// TestALowRateSkipsFewRequestsInVain: two requests a second show little of a server's pauses, and must
-// not lead to wrong predictions.
+// TestALowRateSkipsFewRequestsInVain: two requests a second show little of a server's pauses, and
+// must not lead to wrong predictions.
 func TestALowRateSkipsFewRequestsInVain(t *testing.T) {
 	g := NewWithT(t)
 	sum := runAllSeeds(func(seed uint64) *model {
@@ -289,8 +289,8 @@
 	g.Expect(sum.skippedInVain).To(BeNumerically("<", sum.sent/100))
 }
 
-// TestServersShareAPeriod: a server that has paused once is predicted to pause with the period of the
-// other servers, but at its own time.
+// TestServersShareAPeriod: a server that has paused once is predicted to pause with the period of
+// the other servers, but at its own time.
 func TestServersShareAPeriod(t *testing.T) {
 	g := NewWithT(t)
 	periods := &SharedPeriod{}
@@ -313,8 +313,8 @@
 	g.Expect(third.ExpectedWait(origin.Add(13900*time.Millisecond), typical, periods)).To(BeZero(), "the third server pauses at its own time, not that of the second")
 }
 
-// TestServersOfTwoProgramsHaveSeparatePeriods: the shared period of one program is wrong for the servers
-// of another one, which has to be noticed soon.
+// TestServersOfTwoProgramsHaveSeparatePeriods: the shared period of one program is wrong for the
+// servers of another one, which has to be noticed soon.
 func TestServersOfTwoProgramsHaveSeparatePeriods(t *testing.T) {
 	g := NewWithT(t)
 	var skipped, metPause, sent, skippedInVain int
@@ -338,8 +338,8 @@
 	g.Expect(skippedInVain).To(BeNumerically("<", sent/100))
 }
 
-// TestAServerIsNeverSkippedForLong: whatever answers came, the expected wait is bounded and zero after
-// the predicted end.
+// TestAServerIsNeverSkippedForLong: whatever answers came, the expected wait is bounded and zero
+// after the predicted end.
 func TestAServerIsNeverSkippedForLong(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(7, 7))
--- a/pkg/rhythm/server.go
+++ b/pkg/rhythm/server.go
@@ -1,10 +1,10 @@
 // Package rhythm predicts the pauses of servers that pause periodically, for example to collect
 // garbage or to flush a file every few seconds, from the times of their answers.
 //
-// A pause shows as a silence: requests that were sent over some time are answered together after it.
-// Two similar intervals between pauses, of one server or of two, make a period. While a server is
-// predicted to pause, ExpectedWait returns how long a request would wait there; the caller chooses
-// the server. Without a period nothing is predicted.
+// A pause shows as a silence: requests that were sent over some time are answered together after
+// it. Two similar intervals between pauses, of one server or of two, make a period. While a server
+// is predicted to pause, ExpectedWait returns how long a request would wait there; the caller
+// chooses the server. Without a period nothing is predicted.
 //
 // Nothing here is safe for concurrent use. The package reads no clock, takes no locks and does not
 // allocate memory.
@@ -14,30 +14,30 @@
 
 // Constants for detecting and predicting pauses.
 const (
-	// minPause is the shortest silence that counts as a pause: a request that meets a shorter one can
-	// still be answered by a second server within the time that callers have.
+	// minPause is the shortest silence that counts as a pause: a request that meets a shorter one
+	// can still be answered by a second server within the time that callers have.
 	minPause = 100 * time.Millisecond
-	// minPauseFactor times the typical answer time is the shortest silence that counts, if that is more
-	// than minPause.
+	// minPauseFactor times the typical answer time is the shortest silence that counts, if that is
+	// more than minPause.
 	minPauseFactor = 2
 	// maxPauseLength bounds for how long a server is avoided because of one pause.
 	maxPauseLength = time.Second
-	// minPeriod and maxPeriod bound the periods that are learned: a server that pauses more often is
-	// just slow, and one that pauses less often affects few requests.
+	// minPeriod and maxPeriod bound the periods that are learned: a server that pauses more often
+	// is just slow, and one that pauses less often affects few requests.
 	minPeriod = time.Second
 	maxPeriod = 30 * time.Second
-	// tolerance is how far the end of a pause may be from the predicted time: the first answer after a
-	// pause comes only when the work for it is done.
+	// tolerance is how far the end of a pause may be from the predicted time: the first answer
+	// after a pause comes only when the work for it is done.
 	tolerance = 75 * time.Millisecond
-	// maxUnseenPeriods is for how many periods after the last seen pause further ones are predicted:
-	// the error of the period adds up.
+	// maxUnseenPeriods is for how many periods after the last seen pause further ones are
+	// predicted: the error of the period adds up.
 	maxUnseenPeriods = 6
-	// lengthRiseDivisor and lengthFallDivisor set how quickly the expected length of pauses follows a
-	// longer or a shorter one: it changes by the difference divided by them.
+	// lengthRiseDivisor and lengthFallDivisor set how quickly the expected length of pauses follows
+	// a longer or a shorter one: it changes by the difference divided by them.
 	lengthRiseDivisor = 2
 	lengthFallDivisor = 16
-	// probeEvery is in which of the predicted pauses since the last seen one a probe is sent, which is a
-	// normal request that shows whether the server still pauses: in every second one.
+	// probeEvery is in which of the predicted pauses since the last seen one a probe is sent, which
+	// is a normal request that shows whether the server still pauses: in every second one.
 	probeEvery = 2
 	// A probe is sent after the first 1/probeAfterDivisor of the predicted pause and while at least
 	// 1/probeBeforeDivisor of it is left, so that its answer shows the end of the pause. An answer
@@ -46,8 +46,8 @@
 	probeAfterDivisor   = 4
 	probeBeforeDivisor  = 2
 	answerMarginDivisor = 4
-	// togetherFactor is how many times longer the requests of a silence must have been sent apart than
-	// they were answered apart, if a pause has delayed them.
+	// togetherFactor is how many times longer the requests of a silence must have been sent apart
+	// than they were answered apart, if a pause has delayed them.
 	togetherFactor = 2
 )
 
@@ -62,8 +62,8 @@
 	lastPauseEnd time.Time
 	// pauseLength is the expected length of a pause of this server.
 	pauseLength time.Duration
-	// interval is the time between the last two pauses, and period the period that was confirmed; zero
-	// if unknown.
+	// interval is the time between the last two pauses, and period the period that was confirmed;
+	// zero if unknown.
 	interval time.Duration
 	period   time.Duration
 	// ignoresShared is set if a predicted pause did not come, so that only a period that the server
@@ -77,8 +77,8 @@
 
 // silence is a span without answers although some were expected, and the requests that met it.
 type silence struct {
-	// previousAnswerAt is the time of the last answer before it, and from the time at which the first
-	// answer was expected.
+	// previousAnswerAt is the time of the last answer before it, and from the time at which the
+	// first answer was expected.
 	previousAnswerAt, from time.Time
 	// firstAnswered and lastAnswered are the times of the first and the last answer after it.
 	firstAnswered, lastAnswered time.Time
@@ -88,8 +88,8 @@
 	isPause bool
 }
 
-// RecordAnswer records an answer that came at now to a request that was sent at sent. typical is the
-// time that such an answer usually takes, including the network.
+// RecordAnswer records an answer that came at now to a request that was sent at sent. typical is
+// the time that such an answer usually takes, including the network.
 func (s *Server) RecordAnswer(sent, now time.Time, typical time.Duration, shared *SharedPeriod) {
 	previous := s.lastAnswerAt
 	s.lastAnswerAt = now
@@ -119,8 +119,8 @@
 	}
 }
 
-// minSilence returns the shortest silence that counts. At a predicted time half of it is enough: the
-// only request that meets the pause is then the probe, which is sent when a part of it is over.
+// minSilence returns the shortest silence that counts. At a predicted time half of it is enough:
+// the only request that meets the pause is then the probe, which is sent when a part of it is over.
 func (s *Server) minSilence(typical time.Duration, isPredicted bool) time.Duration {
 	shortest := max(minPause, minPauseFactor*typical)
 	if isPredicted {
@@ -129,8 +129,8 @@
 	return shortest
 }
 
-// belongsToSilence reports whether an answer belongs to the last silence: it was expected during the
-// silence and comes right after its end.
+// belongsToSilence reports whether an answer belongs to the last silence: it was expected during
+// the silence and comes right after its end.
 func (s *Server) belongsToSilence(sent, now, expectedAt time.Time, typical time.Duration) bool {
 	last := &s.silence
 	return !last.firstAnswered.IsZero() && expectedAt.Before(last.firstAnswered) &&
@@ -183,7 +183,8 @@
 	_, _, isHalfway := nearestMultiple(2*elapsed, period)
 	switch {
 	case isPredicted:
-		// Half of the deviation is attributed to the period: a single pause may also be late by itself.
+		// Half of the deviation is attributed to the period: a single pause may also be late by
+		// itself.
 		s.period = period + remainder/time.Duration(2*count)
 		s.isDoubted = count > 1
 		s.updatePause(until, length, shared)
@@ -207,8 +208,8 @@
 	shared.pauseLength = adjustedLength(shared.pauseLength, length)
 }
 
-// adjustedLength returns the expected length of pauses after a seen one. A pause is seen only from the
-// time at which its first request should have been answered, so that the seen length is a lower
+// adjustedLength returns the expected length of pauses after a seen one. A pause is seen only from
+// the time at which its first request should have been answered, so that the seen length is a lower
 // bound and longer ones count more.
 func adjustedLength(known, seen time.Duration) time.Duration {
 	seen = min(seen, maxPauseLength)
@@ -247,9 +248,9 @@
 	s.ignoresShared, s.isDoubted = true, false
 }
 
-// ExpectedWait returns how long a request that is sent at now and typically takes the given time would
-// wait for the end of a predicted pause. It is zero if the request would not meet a pause, or may be
-// sent as a probe.
+// ExpectedWait returns how long a request that is sent at now and typically takes the given time
+// would wait for the end of a predicted pause. It is zero if the request would not meet a pause, or
+// may be sent as a probe.
 func (s *Server) ExpectedWait(now time.Time, typical time.Duration, shared *SharedPeriod) time.Duration {
 	end, unseen := s.nextPauseEnd(now, shared)
 	if unseen == 0 {
@@ -276,8 +277,8 @@
 	}
 }
 
-// mayProbe reports whether a request may be sent as a probe although a pause is predicted. Probes are
-// rare, since a request that is in flight when the pause begins mostly shows it.
+// mayProbe reports whether a request may be sent as a probe although a pause is predicted. Probes
+// are rare, since a request that is in flight when the pause begins mostly shows it.
 func (s *Server) mayProbe(now, end time.Time, unseen int) bool {
 	if !s.isDoubted && unseen%probeEvery != 0 || s.probedPauseEnd.Equal(end) {
 		return false
@@ -286,13 +287,14 @@
 	return left <= s.probeSpan() && left >= s.pauseLength/probeBeforeDivisor
 }
 
-// probeSpan returns how long before the end of a predicted pause a probe may be sent at the earliest.
+// probeSpan returns how long before the end of a predicted pause a probe may be sent at the
+// earliest.
 func (s *Server) probeSpan() time.Duration {
 	return s.pauseLength * (probeAfterDivisor - 1) / probeAfterDivisor
 }
 
-// nextPauseEnd returns when the next predicted pause ends, and how many periods that is after the last
-// seen pause. The number is zero if no pause is predicted.
+// nextPauseEnd returns when the next predicted pause ends, and how many periods that is after the
+// last seen pause. The number is zero if no pause is predicted.
 func (s *Server) nextPauseEnd(now time.Time, shared *SharedPeriod) (time.Time, int) {
 	if s.lastPauseEnd.IsZero() {
 		return time.Time{}, 0
@@ -308,8 +310,8 @@
 	return s.lastPauseEnd.Add(time.Duration(unseen) * period), unseen
 }
 
-// expectedLength returns the expected length of the next pause. The first seen pauses of a server show
-// little of their length, while other servers with the same period have shown more.
+// expectedLength returns the expected length of the next pause. The first seen pauses of a server
+// show little of their length, while other servers with the same period have shown more.
 func (s *Server) expectedLength(now time.Time, shared *SharedPeriod) time.Duration {
 	if period := shared.current(now); period == 0 || (s.currentPeriod(now, shared)-period).Abs() > tolerance {
 		return s.pauseLength
@@ -317,7 +319,8 @@
 	return max(s.pauseLength, shared.pauseLength)
 }
 
-// currentPeriod returns the server's own period, or else the shared one unless the server ignores it.
+// currentPeriod returns the server's own period, or else the shared one unless the server ignores
+// it.
 func (s *Server) currentPeriod(now time.Time, shared *SharedPeriod) time.Duration {
 	if s.period > 0 || s.ignoresShared {
 		return s.period
