--- a/pkg/directory/changes.go
+++ b/pkg/directory/changes.go
@@ -11,32 +11,32 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// learnTimes records the outage that a reply to a request sent at askedAt reports, and returns when
+// learnTimes records the outage that a reply to a request sent at sentAt reports, and returns when
 // the other node was known to be up to date with the store; zero if the reply does not say. A node
 // that learns of deletions from others needs to know, as they do, whether the store was lost.
-func (p *Peers) learnTimes(reply *directorypb.ChangesReply, askedAt time.Time) time.Time {
+func (p *Peers) learnTimes(reply *directorypb.ChangesReply, sentAt time.Time) time.Time {
 	if reply.RegainedAgeMs != nil && p.follower.Role() == PeerPoller {
-		p.follower.learnOutage(outageFrom(reply, askedAt))
+		p.follower.learnOutage(outageFrom(reply, sentAt))
 	}
 	if reply.KnownAgeMs == nil || p.incomplete {
 		return time.Time{}
 	}
-	return timeFromAge(askedAt, reply.KnownAgeMs)
+	return timeFromAge(sentAt, reply.KnownAgeMs)
 }
 
 // outageFrom returns the outage that a reply reports. One that began too long ago to be reported
 // began before anything that this node remembers.
-func outageFrom(reply *directorypb.ChangesReply, askedAt time.Time) outage {
-	reported := outage{from: askedAt.Add(-maxReportedAge), to: timeFromAge(askedAt, reply.RegainedAgeMs)}
+func outageFrom(reply *directorypb.ChangesReply, sentAt time.Time) outage {
+	reported := outage{from: sentAt.Add(-maxReportedAge), to: timeFromAge(sentAt, reply.RegainedAgeMs)}
 	if reply.LostAgeMs != nil {
-		reported.from = timeFromAge(askedAt, reply.LostAgeMs)
+		reported.from = timeFromAge(sentAt, reply.LostAgeMs)
 	}
 	return reported
 }
 
 // timeFromAge returns the time that a reply reports as an age.
-func timeFromAge(askedAt time.Time, ageMillis *uint32) time.Time {
-	return askedAt.Add(-time.Duration(*ageMillis) * time.Millisecond)
+func timeFromAge(sentAt time.Time, ageMillis *uint32) time.Time {
+	return sentAt.Add(-time.Duration(*ageMillis) * time.Millisecond)
 }
 
 // coverageOf returns what the last reply covers.
@@ -128,10 +128,10 @@
 	}
 }
 
-// applyRetained applies the retained states in a reply to a request sent at askedAt. A reply from a
+// applyRetained applies the retained states in a reply to a request sent at sentAt. A reply from a
 // node that was already running ends the wait of a node that has just started, since that node
 // knows what was in force.
-func (p *Peers) applyRetained(reply *directorypb.ChangesReply, askedAt time.Time) {
+func (p *Peers) applyRetained(reply *directorypb.ChangesReply, sentAt time.Time) {
 	states := make([]retainedState, 0, len(reply.Earlier))
 	for _, item := range reply.Earlier {
 		entry := p.decode(item)
@@ -140,7 +140,7 @@
 	}
 	var eraStart time.Time
 	if reply.EraAgeMs != nil && reply.Era == p.follower.replica.position().Era {
-		eraStart = timeFromAge(askedAt, reply.EraAgeMs)
+		eraStart = timeFromAge(sentAt, reply.EraAgeMs)
 	}
 	p.follower.replica.learnRetained(states, eraStart, p.follower.writeBackSpan(), time.Now())
 	if reply.Revision > 0 && !reply.AwaitsPeers {
--- a/pkg/directory/contact.go
+++ b/pkg/directory/contact.go
@@ -83,7 +83,7 @@
 const (
 	// failureOther is any failure without a kind of its own, such as a lost connection.
 	failureOther failureKind = iota
-	failureLimited
+	failureRateLimited
 	// failureBehind means that the store answered with an older state than is known.
 	failureBehind
 )
@@ -93,7 +93,7 @@
 	case errors.Is(cause, ErrStoreBehind):
 		return failureBehind
 	case errors.Is(cause, ErrRateLimited):
-		return failureLimited
+		return failureRateLimited
 	}
 	return failureOther
 }
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -44,53 +44,53 @@
 func newFakeStore() *fakeStore { return &fakeStore{changed: make(chan struct{})} }
 
 // update changes the store's state and wakes its watches.
-func (h *fakeStore) update(change func()) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
+func (s *fakeStore) update(change func()) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	change()
-	close(h.changed)
-	h.changed = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-func (h *fakeStore) write(key string, gone bool) uint64 {
+func (s *fakeStore) write(key string, gone bool) uint64 {
 	var revision uint64
-	h.update(func() {
-		revision = uint64(len(h.events) + 1)
-		h.events = append(h.events, Entry{Key: key, Revision: revision, Gone: gone, Value: []byte(strconv.Itoa(h.writes))})
-		h.writes++
+	s.update(func() {
+		revision = uint64(len(s.events) + 1)
+		s.events = append(s.events, Entry{Key: key, Revision: revision, Gone: gone, Value: []byte(strconv.Itoa(s.writes))})
+		s.writes++
 	})
 	return revision
 }
 
 // restore brings the store back from a copy that holds a number of changes.
-func (h *fakeStore) restore(changes int) {
-	h.update(func() {
-		h.events = slices.Clone(h.events[:changes])
-		h.era++
+func (s *fakeStore) restore(changes int) {
+	s.update(func() {
+		s.events = slices.Clone(s.events[:changes])
+		s.era++
 	})
 }
 
-func (h *fakeStore) Load(_ context.Context, fresh bool) (Batch, error) {
-	h.mutex.Lock()
-	loadDelay := h.loadDelay
-	h.mutex.Unlock()
+func (s *fakeStore) Load(_ context.Context, fresh bool) (Batch, error) {
+	s.mutex.Lock()
+	loadDelay := s.loadDelay
+	s.mutex.Unlock()
 	time.Sleep(loadDelay)
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.loads++
-	if h.failure != nil {
-		return Batch{}, h.failure
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.loads++
+	if s.failure != nil {
+		return Batch{}, s.failure
 	}
-	events := h.events
+	events := s.events
 	if !fresh {
-		h.copies++
-		events = events[:max(0, len(events)-h.lag)]
+		s.copies++
+		events = events[:max(0, len(events)-s.lag)]
 	}
 	latest := make(map[string]Entry)
 	for _, event := range events {
 		latest[event.Key] = event
 	}
-	batch := Batch{Era: h.era, Revision: uint64(len(events))}
+	batch := Batch{Era: s.era, Revision: uint64(len(events))}
 	for _, event := range latest {
 		if !event.Gone {
 			batch.Entries = append(batch.Entries, event)
@@ -99,23 +99,23 @@
 	return batch, nil
 }
 
-func (h *fakeStore) Watch(ctx context.Context, after uint64, wait time.Duration) (Batch, error) {
+func (s *fakeStore) Watch(ctx context.Context, after uint64, wait time.Duration) (Batch, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	h.mutex.Lock()
-	h.watches++
-	h.mutex.Unlock()
+	s.mutex.Lock()
+	s.watches++
+	s.mutex.Unlock()
 	for {
-		h.mutex.Lock()
-		batch := Batch{Era: h.era, Revision: uint64(len(h.events))}
-		failure, watchesSilent, changed := h.failure, h.watchesSilent, h.changed
-		if after < h.compactedUpTo || after > uint64(len(h.events)) {
+		s.mutex.Lock()
+		batch := Batch{Era: s.era, Revision: uint64(len(s.events))}
+		failure, watchesSilent, changed := s.failure, s.watchesSilent, s.changed
+		if after < s.compactedUpTo || after > uint64(len(s.events)) {
 			failure = ErrHistoryGone
 		}
-		if after < uint64(len(h.events)) {
-			batch.Entries = append(batch.Entries, h.events[after:]...)
+		if after < uint64(len(s.events)) {
+			batch.Entries = append(batch.Entries, s.events[after:]...)
 		}
-		h.mutex.Unlock()
+		s.mutex.Unlock()
 		if failure != nil && !watchesSilent {
 			return Batch{}, failure
 		}
@@ -133,13 +133,13 @@
 }
 
 // calls returns how often the store was read and watched.
-func (h *fakeStore) calls() (loads, watches int) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	return h.loads, h.watches
+func (s *fakeStore) calls() (loads, watches int) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.loads, s.watches
 }
 
-func (h *fakeStore) Decode(key string, value []byte, revision uint64) Entry {
+func (s *fakeStore) Decode(key string, value []byte, revision uint64) Entry {
 	return Entry{Key: key, Value: value, Revision: revision}
 }
 
--- a/pkg/directory/era_diff.go
+++ b/pkg/directory/era_diff.go
@@ -112,8 +112,8 @@
 			return true
 		}
 	}
-	for _, old := range r.tombstones {
-		if old.revision > revision {
+	for _, deleted := range r.tombstones {
+		if deleted.revision > revision {
 			return true
 		}
 	}
--- a/pkg/directory/era_retained.go
+++ b/pkg/directory/era_retained.go
@@ -114,7 +114,8 @@
 	states map[string]retainedState
 	// eraStart is when this node or another one first saw the era; zero for long ago.
 	eraStart time.Time
-	// baseline is the first revision that was seen of the era.
+	// baseline is an upper bound of the last revision of the copy that the era started from; see
+	// lastCopyRevision.
 	baseline uint64
 }
 
--- a/pkg/directory/era_test.go
+++ b/pkg/directory/era_test.go
@@ -174,22 +174,22 @@
 type monotonicObserver struct {
 	observer
 	fail func(format string, arguments ...any)
-	// mayGoBack says that states that were not written again expire, or that another node supplies
-	// a retained one.
+	// mayGoBack allows keys to go back, while states that were not written again expire or another
+	// node supplies a retained one.
 	mayGoBack bool
 	written   map[string]int
 }
 
-func (f *monotonicObserver) Changed(entry Entry) {
-	f.observer.Changed(entry)
+func (o *monotonicObserver) Changed(entry Entry) {
+	o.observer.Changed(entry)
 	number, err := strconv.Atoi(string(entry.Value))
 	if entry.Gone || err != nil {
 		return
 	}
-	if known, exists := f.written[entry.Key]; exists && number < known && !f.mayGoBack {
-		f.fail("%s went back from write %d to %d", entry.Key, known, number)
+	if known, exists := o.written[entry.Key]; exists && number < known && !o.mayGoBack {
+		o.fail("%s went back from write %d to %d", entry.Key, known, number)
 	}
-	f.written[entry.Key] = number
+	o.written[entry.Key] = number
 }
 
 // mergedDiff returns the whole state that a replica gets from the differences that another one has
--- a/pkg/directory/follower.go
+++ b/pkg/directory/follower.go
@@ -107,6 +107,8 @@
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
+
+	// contactAt is when the store last answered.
 	contactAt time.Time
 	// confirmedAt is the latest time at which the replica was known to equal the store, by an
 	// answer of the store or of another node; zero for never.
--- a/pkg/directory/peers.go
+++ b/pkg/directory/peers.go
@@ -32,7 +32,7 @@
 	// initialInterval is how long a node with an empty replica leaves the first load to the store,
 	// unless the store fails.
 	initialInterval = loadTimeout + 100*time.Millisecond
-	// maxReportedAge is the greatest age of a time that nodes report to each other.
+	// maxReportedAge is the maximum age of a time that nodes report to each other.
 	maxReportedAge = time.Minute
 	// maxInitialTurn bounds the random number at which a node begins to count its turns.
 	maxInitialTurn = 1 << 16
@@ -171,7 +171,7 @@
 	}
 }
 
-// ejectReader stops asking a reader for a while.
+// ejectReader stops polling a reader for a while.
 func (p *Peers) ejectReader(reader Node, cause error) {
 	p.readers.eject(reader.Name, time.Now())
 	p.readerEjected(reader.Name, cause)
@@ -257,17 +257,17 @@
 	return confirmedAt, nil
 }
 
-// applyReply applies the reply to a request sent at askedAt. It returns when the other node was
+// applyReply applies the reply to a request sent at sentAt. It returns when the other node was
 // known to be up to date with the store, zero if the reply does not say, and whether the store
 // knows more than this node.
-func (p *Peers) applyReply(request *directorypb.ChangesRequest, reply *directorypb.ChangesReply, known Position, askedAt time.Time) (time.Time, bool) {
+func (p *Peers) applyReply(request *directorypb.ChangesRequest, reply *directorypb.ChangesReply, known Position, sentAt time.Time) (time.Time, bool) {
 	if current := p.follower.replica.position(); reply.Era < current.Era {
 		// The other node has not learned of the restore yet and will ask this node in turn, or this
 		// node learned of the restore in the meantime.
 		return time.Time{}, false
 	}
 	p.incomplete = reply.Era == known.Era && isNewerOnly(reply, request.After)
-	confirmedAt := p.learnTimes(reply, askedAt)
+	confirmedAt := p.learnTimes(reply, sentAt)
 	if reply.Era == known.Era && reply.Revision <= known.Revision && !p.incomplete {
 		p.follower.confirm(confirmedAt)
 		return confirmedAt, false
--- a/pkg/directory/readers.go
+++ b/pkg/directory/readers.go
@@ -125,10 +125,10 @@
 // choose returns the node to poll in a turn; false if this node has become a reader.
 func (r *readers) choose(nodes []Node, turn int, now time.Time) (Node, bool) {
 	ranked := r.rank(nodes, now)
-	own := slices.Index(ranked, r.local)
-	if own < readersPerRegion {
+	ownRank := slices.Index(ranked, r.local)
+	if ownRank < readersPerRegion {
 		return Node{}, false
 	}
-	first, last := parents(own)
+	first, last := parents(ownRank)
 	return ranked[first+turn%(last-first+1)], true
 }
--- a/pkg/directory/replica.go
+++ b/pkg/directory/replica.go
@@ -254,9 +254,9 @@
 	if after == 0 {
 		return batch, wholeState
 	}
-	for key, old := range r.tombstones {
-		if old.revision > after {
-			batch.Entries = append(batch.Entries, Entry{Key: key, Revision: old.revision, Gone: true})
+	for key, deleted := range r.tombstones {
+		if deleted.revision > after {
+			batch.Entries = append(batch.Entries, Entry{Key: key, Revision: deleted.revision, Gone: true})
 		}
 	}
 	if r.areDeletionsUnknown(after) {
