--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -184,11 +184,11 @@
 		Logger:   n.logger.Named("catalog"),
 	})
 	n.catalog = catalog.New(catalog.Options{
-		Node:   n.id,
-		Zone:   n.settings.Node.Zone,
-		Region: n.settings.Node.Region,
-		OnNews: n.spreadNews,
-		Logger: n.logger.Named("catalog"),
+		Node:     n.id,
+		Zone:     n.settings.Node.Zone,
+		Region:   n.settings.Node.Region,
+		OnUpdate: n.spreadNews,
+		Logger:   n.logger.Named("catalog"),
 	})
 	n.members.HandleNews(newsKind, n.receiveNews)
 	n.exchange = catalog.NewExchange(catalog.ExchangeOptions{
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -152,13 +152,13 @@
 
 // spreadNews tells what this node found out about a back end: all of it to the
 // zone, and operators' marks to the other zones as well.
-func (n *Node) spreadNews(news catalog.News) {
+func (n *Node) spreadNews(news catalog.Update) {
 	n.tellZone(news)
 	n.exchange.Forward(context.Background(), news)
 }
 
 // tellZone broadcasts news of a back end to the nodes of the zone.
-func (n *Node) tellZone(news catalog.News) { n.news.Tell(news) }
+func (n *Node) tellZone(news catalog.Update) { n.news.Submit(news) }
 
 // broadcastNews broadcasts encoded news of back ends to the nodes of the zone.
 func (n *Node) broadcastNews(encoded []byte) error { return n.members.Broadcast(newsKind, encoded) }
@@ -166,11 +166,11 @@
 // receiveNews applies what another node found out. The broadcast reaches every
 // node of the zone by itself, so nothing is passed on here.
 func (n *Node) receiveNews(from target.NodeID, payload []byte) {
-	batch, err := catalog.DecodeNews(payload)
+	batch, err := catalog.DecodeUpdates(payload)
 	if err != nil {
 		n.logger.Warn("news of a back end can't be read", "peer", string(from), "error", err)
 		return
 	}
-	n.news.Heard(batch)
+	n.news.DropReceived(batch)
 	n.catalog.Apply(batch...)
 }
--- a/pkg/catalog/batcher.go
+++ b/pkg/catalog/batcher.go
@@ -37,7 +37,7 @@
 	// mutex guards waiting.
 	mutex sync.Mutex
 	// waiting are the changes to be sent, by VersionChange.Base.
-	waiting map[uint64]News
+	waiting map[uint64]Update
 }
 
 // NewBatcher returns a batcher.
@@ -49,13 +49,13 @@
 	if options.Logger == nil {
 		options.Logger = hclog.NewNullLogger()
 	}
-	return &Batcher{options: options, waiting: make(map[uint64]News)}
+	return &Batcher{options: options, waiting: make(map[uint64]Update)}
 }
 
-// Tell sends news, or keeps it for at most the window.
-func (b *Batcher) Tell(news News) {
+// Submit sends updates, or keeps it for at most the window.
+func (b *Batcher) Submit(news Update) {
 	if news.Change.Base == 0 {
-		b.send([]News{news})
+		b.send([]Update{news})
 		return
 	}
 	b.mutex.Lock()
@@ -68,9 +68,9 @@
 	}
 }
 
-// Heard drops the changes that a peer has told meanwhile: several nodes probe
+// DropReceived drops the changes that a peer has told meanwhile: several nodes probe
 // the same server.
-func (b *Batcher) Heard(batch []News) {
+func (b *Batcher) DropReceived(batch []Update) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for index := range batch {
@@ -84,7 +84,7 @@
 // flush sends all changes that wait.
 func (b *Batcher) flush() {
 	b.mutex.Lock()
-	batch := make([]News, 0, len(b.waiting))
+	batch := make([]Update, 0, len(b.waiting))
 	for _, news := range b.waiting {
 		batch = append(batch, news)
 	}
@@ -93,7 +93,7 @@
 	if len(batch) == 0 {
 		return
 	}
-	slices.SortFunc(batch, func(first, second News) int {
+	slices.SortFunc(batch, func(first, second Update) int {
 		return cmp.Or(
 			slices.Compare(first.Change.Versions, second.Change.Versions),
 			cmp.Compare(first.Server, second.Server),
@@ -103,8 +103,8 @@
 }
 
 // send passes a batch on, in parts if it is too large.
-func (b *Batcher) send(batch []News) {
-	encoded, err := EncodeNews(batch)
+func (b *Batcher) send(batch []Update) {
+	encoded, err := EncodeUpdates(batch)
 	if err == nil && len(encoded) > b.options.MaxBytes && len(batch) > 1 {
 		half := len(batch) / 2
 		b.send(batch[:half])
--- a/pkg/catalog/batcher_test.go
+++ b/pkg/catalog/batcher_test.go
@@ -17,17 +17,17 @@
 	messages int
 	bytes    int
 	largest  int
-	news     []News
+	updates  []Update
 }
 
 func (s *sentBatches) send(encoded []byte) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	batch, err := DecodeNews(encoded)
+	batch, err := DecodeUpdates(encoded)
 	s.messages++
 	s.bytes += len(encoded)
 	s.largest = max(s.largest, len(encoded))
-	s.news = append(s.news, batch...)
+	s.updates = append(s.updates, batch...)
 	return err
 }
 
@@ -49,8 +49,8 @@
 	for number := range batchers {
 		batchers[number] = NewBatcher(BatcherOptions{Send: sent.send})
 	}
-	teller, listener := newVersionCatalogs(servers, func(number int, news News) {
-		batchers[number%nodes].Tell(news)
+	teller, listener := newVersionCatalogs(servers, func(number int, news Update) {
+		batchers[number%nodes].Submit(news)
 	})
 	for number := range servers {
 		time.Sleep(period / servers)
@@ -58,8 +58,8 @@
 	}
 	time.Sleep(DefaultBatchWindow)
 	synctest.Wait()
-	if len(sent.news) != servers {
-		t.Fatalf("%d news of %d servers", len(sent.news), servers)
+	if len(sent.updates) != servers {
+		t.Fatalf("%d news of %d servers", len(sent.updates), servers)
 	}
 	t.Logf("%d B in %d messages, %.1f B for each server, largest message %d B",
 		sent.bytes, sent.messages, float64(sent.bytes)/servers, sent.largest)
@@ -67,7 +67,7 @@
 	if sent.bytes > bound {
 		t.Errorf("%d bytes, want at most %d", sent.bytes, bound)
 	}
-	listener.Apply(sent.news...)
+	listener.Apply(sent.updates...)
 	for _, server := range listener.View(testService).Servers {
 		if len(server.Indexes) != 2 || server.Indexes[1].Version != 2 || len(server.Indexes[1].Shards) != 1 {
 			t.Fatalf("got %+v", server)
@@ -78,17 +78,17 @@
 // newVersionCatalogs returns a function that has a catalog find the second
 // version of a server and tells the news, and another catalog that knows the
 // first versions.
-func newVersionCatalogs(servers int, onNews func(number int, news News)) (func(number int), *Catalog) {
+func newVersionCatalogs(servers int, onNews func(number int, news Update)) (func(number int), *Catalog) {
 	listener := New(Options{Node: "listener", Zone: "zone"})
 	listener.ReplaceMachines(listOf(servers))
-	tell := func(news News) { listener.Apply(news) }
-	observer := New(Options{Node: "observer", Zone: "zone", OnNews: func(news News) { tell(news) }})
+	tell := func(news Update) { listener.Apply(news) }
+	observer := New(Options{Node: "observer", Zone: "zone", OnUpdate: func(news Update) { tell(news) }})
 	observer.ReplaceMachines(listOf(servers))
 	for number := range servers {
 		observer.ReportProbe(serverID(number), time.Now(), statusOf(number, "5f0c7a52", false, 1), nil)
 	}
 	return func(number int) {
-		tell = func(news News) { onNews(number, news) }
+		tell = func(news Update) { onNews(number, news) }
 		status := statusOf(number, "5f0c7a52", false, 1)
 		status.Indexes = append(status.Indexes, backend.Index{Version: 2, Shards: status.Indexes[0].Shards})
 		observer.ReportProbe(serverID(number), time.Now(), status, nil)
@@ -101,29 +101,29 @@
 	synctest.Test(t, func(t *testing.T) {
 		sent := &sentBatches{}
 		batcher := NewBatcher(BatcherOptions{Send: sent.send, MaxBytes: 200})
-		change := func(base uint64, version target.Version) News {
-			return News{Kind: KindContents, Change: VersionChange{Base: base, Revision: 2, Versions: []target.Version{version}}}
+		change := func(base uint64, version target.Version) Update {
+			return Update{Kind: KindContents, Change: VersionChange{Base: base, Revision: 2, Versions: []target.Version{version}}}
 		}
-		batcher.Tell(change(1, 2))
-		batcher.Tell(change(2, 2))
-		batcher.Tell(News{Server: serverID(0), Operator: OperatorMark{Sequence: 1}})
-		if len(sent.news) != 1 {
-			t.Fatalf("%d news were sent at once", len(sent.news))
+		batcher.Submit(change(1, 2))
+		batcher.Submit(change(2, 2))
+		batcher.Submit(Update{Server: serverID(0), Operator: OperatorMark{Sequence: 1}})
+		if len(sent.updates) != 1 {
+			t.Fatalf("%d news were sent at once", len(sent.updates))
 		}
-		batcher.Heard([]News{change(1, 2), change(2, 3)})
+		batcher.DropReceived([]Update{change(1, 2), change(2, 3)})
 		time.Sleep(2 * DefaultBatchWindow)
 		synctest.Wait()
-		if len(sent.news) != 2 || sent.news[1].Change.Base != 2 {
-			t.Fatalf("sent %+v", sent.news)
+		if len(sent.updates) != 2 || sent.updates[1].Change.Base != 2 {
+			t.Fatalf("sent %+v", sent.updates)
 		}
 		const many = 100
 		for base := range many {
-			batcher.Tell(change(uint64(base+1), 3))
+			batcher.Submit(change(uint64(base+1), 3))
 		}
 		time.Sleep(2 * DefaultBatchWindow)
 		synctest.Wait()
-		if len(sent.news) != 2+many || sent.largest > 200 {
-			t.Fatalf("%d news, largest message %d B", len(sent.news), sent.largest)
+		if len(sent.updates) != 2+many || sent.largest > 200 {
+			t.Fatalf("%d news, largest message %d B", len(sent.updates), sent.largest)
 		}
 	})
 }
--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -68,31 +68,31 @@
 	return created
 }
 
-// update is one change of the catalog, under its mutex.
-type update struct {
-	now  time.Time
-	news []News
+// mutation is one change of the catalog, under its mutex.
+type mutation struct {
+	now     time.Time
+	updates []Update
 }
 
 // tell adds news about a server to what is sent when the change is done.
-func (c *Catalog) tell(u *update, r *record, kind NewsKind, instance *instanceFacts) {
-	news := News{Server: r.server, Kind: kind, Observer: c.options.Node, Operator: r.facts.operator}
+func (c *Catalog) tell(u *mutation, r *record, kind UpdateKind, instance *instanceFacts) {
+	news := Update{Server: r.server, Kind: kind, Observer: c.options.Node, Operator: r.facts.operator}
 	if instance != nil {
-		news.Instance = instance.news(u.now)
+		news.Instance = instance.instanceAt(u.now)
 	}
-	u.news = append(u.news, news)
+	u.updates = append(u.updates, news)
 }
 
 // change runs a change under the mutex and sends its news afterwards.
-func (c *Catalog) change(run func(u *update)) {
-	u := &update{now: c.options.Now()}
+func (c *Catalog) change(run func(u *mutation)) {
+	u := &mutation{now: c.options.Now()}
 	c.mutex.Lock()
 	run(u)
 	c.mutex.Unlock()
-	for _, news := range u.news {
+	for _, news := range u.updates {
 		c.options.Logger.Debug("news of back end", "server", news.Server, "kind", news.Kind.String(),
 			"instance", news.Instance.ID, "generation", news.Instance.Generation)
-		c.options.OnNews(news)
+		c.options.OnUpdate(news)
 	}
 }
 
@@ -138,7 +138,7 @@
 	if r.results.knownDraining(instance) {
 		return
 	}
-	c.change(func(u *update) {
+	c.change(func(u *mutation) {
 		current := r.facts.current()
 		switch {
 		case instance == "" && current == nil:
@@ -164,7 +164,7 @@
 // version, unless news of it comes first.
 func (c *Catalog) wantProbe(r *record, newest target.Version) {
 	const wait = 1500 * time.Millisecond
-	c.change(func(u *update) {
+	c.change(func(u *mutation) {
 		current := r.facts.current()
 		if current != nil && current.Contents.newestVersion() >= newest {
 			return
@@ -235,10 +235,10 @@
 	if r.results.failure() < c.options.ConsecutiveFailures {
 		return
 	}
-	c.change(func(u *update) { c.eject(u, r) })
+	c.change(func(u *mutation) { c.eject(u, r) })
 }
 
-func (c *Catalog) eject(u *update, r *record) {
+func (c *Catalog) eject(u *mutation, r *record) {
 	if r.outlier.ejected(u.now) {
 		return
 	}
@@ -255,7 +255,7 @@
 	if r == nil {
 		return errors.Wrap(ErrUnknownServer, string(server))
 	}
-	c.change(func(u *update) {
+	c.change(func(u *mutation) {
 		r.facts.operator = OperatorMark{
 			Sequence: r.facts.operator.Sequence + 1,
 			Drained:  drained,
@@ -269,9 +269,9 @@
 
 // Apply takes news from a peer. It returns those that taught something, for
 // the relay to pass on; news that is known already must not be passed on.
-func (c *Catalog) Apply(batch ...News) []News {
-	var learnt []News
-	c.change(func(u *update) {
+func (c *Catalog) Apply(batch ...Update) []Update {
+	var learnt []Update
+	c.change(func(u *mutation) {
 		for index := range batch {
 			if c.apply(u, &batch[index]) {
 				learnt = append(learnt, batch[index])
@@ -281,7 +281,7 @@
 	return learnt
 }
 
-func (c *Catalog) apply(u *update, news *News) bool {
+func (c *Catalog) apply(u *mutation, news *Update) bool {
 	if news.Server == "" {
 		return c.applyChange(u, news)
 	}
@@ -308,17 +308,17 @@
 
 // refuted delays this node's next announcement that a server is dead, since
 // another node reaches it.
-func (c *Catalog) refuted(u *update, r *record) {
+func (c *Catalog) refuted(u *mutation, r *record) {
 	if r.probe.failures < c.options.ProbeFailures {
 		return
 	}
 	const maxDoublings = 6
 	r.probe.announced = min(r.probe.announced+1, maxDoublings)
-	r.probe.announceAfter = u.now.Add(c.options.DeadAnnouncementWait << r.probe.announced)
+	r.probe.announceAfter = u.now.Add(c.options.DeadAnnouncementBackoff << r.probe.announced)
 }
 
 // settle brings a record in line after its facts changed.
-func (c *Catalog) settle(u *update, r *record, previousID string) {
+func (c *Catalog) settle(u *mutation, r *record, previousID string) {
 	current := r.facts.current()
 	if current != nil && current.ID != previousID {
 		unattributed := r.drainUnattributed
@@ -335,7 +335,7 @@
 
 // addPending makes the record of a server that the machine list has not named
 // yet, or returns nil if there are too many of them.
-func (c *Catalog) addPending(u *update, server target.ServerID) *record {
+func (c *Catalog) addPending(u *mutation, server target.ServerID) *record {
 	if c.pending >= maxPending {
 		return nil
 	}
@@ -349,11 +349,11 @@
 
 // Snapshot returns everything that is known of the servers that the machine
 // list names, for a peer that starts or was cut off.
-func (c *Catalog) Snapshot() []News {
+func (c *Catalog) Snapshot() []Update {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
-	var all []News
+	var all []Update
 	for _, r := range c.sortedRecords() {
 		if r.listing.listed {
 			all = append(all, c.recordNews(r, now)...)
@@ -364,15 +364,15 @@
 
 // recordNews returns the news that make another catalog know what this one
 // knows of a server.
-func (c *Catalog) recordNews(r *record, now time.Time) []News {
-	base := News{Server: r.server, Observer: c.options.Node, Operator: r.facts.operator}
+func (c *Catalog) recordNews(r *record, now time.Time) []Update {
+	base := Update{Server: r.server, Observer: c.options.Node, Operator: r.facts.operator}
 	if len(r.facts.instances) == 0 && base.Operator.Sequence > 0 {
-		return []News{base}
+		return []Update{base}
 	}
-	told := make([]News, 0, len(r.facts.instances))
+	told := make([]Update, 0, len(r.facts.instances))
 	for _, instance := range r.facts.instances {
 		news := base
-		news.Instance = instance.news(now)
+		news.Instance = instance.instanceAt(now)
 		told = append(told, news)
 	}
 	return told
--- a/pkg/catalog/catalog_test.go
+++ b/pkg/catalog/catalog_test.go
@@ -19,7 +19,7 @@
 		now  *clock
 		c    *Catalog
 		list machinelist.List
-		sent []News
+		sent []Update
 	)
 	const servers = 8
 
@@ -27,7 +27,7 @@
 		now, list, sent = newClock(), listOf(servers), nil
 		c = New(Options{
 			Node: "node", Zone: "zone", Region: "east", Now: now.Now,
-			OnNews: func(news News) { sent = append(sent, news) },
+			OnUpdate: func(news Update) { sent = append(sent, news) },
 		})
 		c.ReplaceMachines(list)
 		for number := range servers {
@@ -145,7 +145,7 @@
 	Describe("a server that is missing from the machine list", func() {
 		It("is kept while it answers probes, until a bound", func() {
 			c.ReplaceMachines(list[1:])
-			for passed := time.Duration(0); passed < DefaultUnlistedLimit-time.Second; passed += time.Minute {
+			for passed := time.Duration(0); passed < DefaultUnlistedTimeout-time.Second; passed += time.Minute {
 				pass(time.Minute - time.Second)
 				probe(0, statusOf(0, "first", false, 1))
 				Expect(server(0)).NotTo(BeNil())
@@ -158,7 +158,7 @@
 			c.ReplaceMachines(list[1:])
 			failProbes(0)
 			Expect(server(0)).NotTo(BeNil())
-			pass(DefaultUnlistedSilent)
+			pass(DefaultUnlistedSilentTimeout)
 			Expect(server(0)).To(BeNil())
 			c.ReplaceMachines(list)
 			Expect(server(0)).NotTo(BeNil())
@@ -167,7 +167,7 @@
 		It("may be told of one by one", func() {
 			c.ApplyMachines(nil, []target.ServerID{serverID(0), "10.9.9.9:1"})
 			failProbes(0)
-			pass(DefaultUnlistedSilent)
+			pass(DefaultUnlistedSilentTimeout)
 			Expect(server(0)).To(BeNil())
 			list[1].State = machinelist.Leaving
 			c.ApplyMachines(list[:2], nil)
@@ -182,7 +182,7 @@
 
 		It("is forgotten in the end", func() {
 			c.ReplaceMachines(list[1:])
-			pass(DefaultUnlistedLimit + DefaultRetention)
+			pass(DefaultUnlistedTimeout + DefaultRetention)
 			Expect(errors.Is(c.Drain(serverID(0), true, "author"), ErrUnknownServer)).To(BeTrue())
 		})
 	})
@@ -263,7 +263,7 @@
 		Expect(c.View("other").Servers).To(HaveLen(1))
 		Expect(c.Services()).To(Equal([]target.Service{"other", testService}))
 		c.ReplaceMachines(list[:servers])
-		pass(DefaultUnlistedLimit + DefaultRetention)
+		pass(DefaultUnlistedTimeout + DefaultRetention)
 		Expect(server(servers)).To(BeNil())
 		Expect(c.View("nothing")).To(BeNil())
 	})
--- a/pkg/catalog/change.go
+++ b/pkg/catalog/change.go
@@ -17,12 +17,12 @@
 
 // unresolvedChanges are changes of versions by their base. They came before the
 // news that they build on, or that news was lost.
-type unresolvedChanges map[uint64][]News
+type unresolvedChanges map[uint64][]Update
 
 // add keeps a change if its revision is the highest for its base. When there
 // are too many, all are dropped; what is lost by that, the next comparison with
 // a peer brings.
-func (u unresolvedChanges) add(news *News) {
+func (u unresolvedChanges) add(news *Update) {
 	if len(u) >= maxUnresolvedBases {
 		clear(u)
 	}
@@ -33,7 +33,7 @@
 		}
 		kept = nil
 	}
-	known := slices.ContainsFunc(kept, func(other News) bool { return other.Change.equal(&news.Change) })
+	known := slices.ContainsFunc(kept, func(other Update) bool { return other.Change.equal(&news.Change) })
 	if !known && len(kept) < maxChangesPerBase {
 		u[news.Change.Base] = append(kept, *news)
 	}
@@ -45,7 +45,7 @@
 
 // noteChange marks news as no more than other versions, if the base is the same
 // before and after.
-func (n *News) noteChange(before, after uint64) {
+func (n *Update) noteChange(before, after uint64) {
 	if before == 0 || before != after {
 		return
 	}
@@ -87,7 +87,7 @@
 
 // noteBases brings the bases of a server in line with its facts, and applies
 // the changes that waited for one of them.
-func (c *Catalog) noteBases(u *update, r *record) {
+func (c *Catalog) noteBases(u *mutation, r *record) {
 	bases := make([]uint64, 0, len(r.facts.instances))
 	for _, instance := range r.facts.instances {
 		if base := instance.changeBase(r.server); base != 0 {
@@ -120,7 +120,7 @@
 
 // applyChange takes a change of versions. It reports whether it taught
 // anything; one whose base is unknown is kept for later.
-func (c *Catalog) applyChange(u *update, news *News) bool {
+func (c *Catalog) applyChange(u *mutation, news *Update) bool {
 	if news.Change.Base == 0 {
 		return false
 	}
@@ -148,13 +148,13 @@
 }
 
 // wholeNews returns the news that a change of versions stands for.
-func (r *record) wholeNews(u *update, known *instanceFacts, news *News) News {
-	instance := known.news(u.now)
+func (r *record) wholeNews(u *mutation, known *instanceFacts, news *Update) Update {
+	instance := known.instanceAt(u.now)
 	shards := instance.Contents.Indexes[0].Shards
 	instance.Contents.Indexes = make([]backend.Index, 0, len(news.Change.Versions))
 	for _, version := range news.Change.Versions {
 		instance.Contents.Indexes = append(instance.Contents.Indexes, backend.Index{Version: version, Shards: shards})
 	}
 	instance.Revision = news.Change.Revision
-	return News{Server: r.server, Kind: news.Kind, Observer: news.Observer, Instance: instance}
+	return Update{Server: r.server, Kind: news.Kind, Observer: news.Observer, Instance: instance}
 }
--- a/pkg/catalog/change_encoding.go
+++ b/pkg/catalog/change_encoding.go
@@ -9,7 +9,7 @@
 
 // appendChange adds a change of versions to the last entry of a message, or to
 // a new one if that has others.
-func appendChange(message *catalogpb.NewsBatch, news *News) {
+func appendChange(message *catalogpb.NewsBatch, news *Update) {
 	var last *catalogpb.VersionChange
 	if count := len(message.VersionChanges); count > 0 {
 		last = message.VersionChanges[count-1]
@@ -39,7 +39,7 @@
 
 // changesFromProto checks and converts changes of versions, one news for each
 // process.
-func changesFromProto(message *catalogpb.VersionChange) ([]News, error) {
+func changesFromProto(message *catalogpb.VersionChange) ([]Update, error) {
 	if err := checkChange(message); err != nil {
 		return nil, err
 	}
@@ -47,13 +47,13 @@
 	for _, version := range message.Versions {
 		versions = append(versions, target.Version(version))
 	}
-	changes := make([]News, 0, len(message.Bases))
+	changes := make([]Update, 0, len(message.Bases))
 	for index, base := range message.Bases {
 		revision := message.Revisions[index]
 		if base == 0 || revision == 0 || revision > maxCounter {
 			return nil, errors.Errorf("process %d has a base or revision that is out of bounds", index)
 		}
-		changes = append(changes, News{
+		changes = append(changes, Update{
 			Kind:   KindContents,
 			Change: VersionChange{Base: base, Revision: revision, Versions: versions},
 		})
--- a/pkg/catalog/converge_test.go
+++ b/pkg/catalog/converge_test.go
@@ -12,9 +12,9 @@
 
 // drawNews makes arbitrary news about few servers and instances, so that
 // many of them contradict each other.
-func drawNews(t *rapid.T) News {
+func drawNews(t *rapid.T) Update {
 	number := rapid.IntRange(0, 1).Draw(t, "server")
-	news := News{Server: serverID(number), Observer: "peer"}
+	news := Update{Server: serverID(number), Observer: "peer"}
 	if rapid.Bool().Draw(t, "operator") {
 		news.Operator = OperatorMark{
 			Sequence: rapid.Uint64Range(1, 3).Draw(t, "sequence"),
@@ -40,7 +40,7 @@
 
 // drawNewsOrChange also makes changes of versions, for instances that other
 // news may be about.
-func drawNewsOrChange(t *rapid.T) News {
+func drawNewsOrChange(t *rapid.T) Update {
 	if rapid.Bool().Draw(t, "whole") {
 		return drawNews(t)
 	}
@@ -48,7 +48,7 @@
 	instance := Instance{ID: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "id")}
 	instance.Contents = newContents(statusOf(number, instance.ID, false, 1))
 	versions := rapid.SampledFrom([][]target.Version{{1}, {2}, {1, 2}, {2, 1}}).Draw(t, "versions")
-	return News{Kind: KindContents, Change: VersionChange{
+	return Update{Kind: KindContents, Change: VersionChange{
 		Base:     computeBase(serverID(number), &instance),
 		Revision: rapid.Uint64Range(1, 3).Draw(t, "revision"),
 		Versions: versions,
@@ -82,7 +82,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := newClock().Now
 		first, second := newTestCatalog("first", now), newTestCatalog("second", now)
-		var batch []News
+		var batch []Update
 		for range rapid.IntRange(1, 12).Draw(t, "count") {
 			batch = append(batch, drawNewsOrChange(t))
 		}
@@ -111,16 +111,16 @@
 	clock    *clock
 	catalogs []*Catalog
 	// mail holds the news that were sent to each node.
-	mail [][]News
+	mail [][]Update
 	sent int
 }
 
 func newPeers(nodes int) *peers {
-	p := &peers{clock: newClock(), mail: make([][]News, nodes)}
+	p := &peers{clock: newClock(), mail: make([][]Update, nodes)}
 	for node := range nodes {
 		created := New(Options{
 			Node: target.NodeID(fmt.Sprint(node)), Zone: "zone", Now: p.clock.Now,
-			OnNews: func(news News) { p.send(node, news) },
+			OnUpdate: func(news Update) { p.send(node, news) },
 		})
 		created.ReplaceMachines(listOf(2))
 		p.catalogs = append(p.catalogs, created)
@@ -129,13 +129,13 @@
 }
 
 // send brings news to the other nodes in its wire form.
-func (p *peers) send(from int, news News) {
+func (p *peers) send(from int, news Update) {
 	p.sent++
-	encoded, err := EncodeNews([]News{news})
+	encoded, err := EncodeUpdates([]Update{news})
 	if err != nil {
 		panic(err)
 	}
-	decoded, err := DecodeNews(encoded)
+	decoded, err := DecodeUpdates(encoded)
 	if err != nil {
 		panic(err)
 	}
--- a/pkg/catalog/doubt.go
+++ b/pkg/catalog/doubt.go
@@ -45,7 +45,7 @@
 	if r.results.doubted.Load() {
 		return
 	}
-	c.change(func(u *update) {
+	c.change(func(u *mutation) {
 		if r.doubt.active {
 			return
 		}
--- a/pkg/catalog/encoding.go
+++ b/pkg/catalog/encoding.go
@@ -24,10 +24,10 @@
 	maxCounter = 1 << 62
 )
 
-// EncodeNews returns the wire form of a batch of news. Changes of versions come
+// EncodeUpdates returns the wire form of a batch of news. Changes of versions come
 // after the others, and adjacent ones with the same versions share what is
 // equal.
-func EncodeNews(batch []News) ([]byte, error) {
+func EncodeUpdates(batch []Update) ([]byte, error) {
 	message := &catalogpb.NewsBatch{}
 	for index := range batch {
 		if news := &batch[index]; news.Change.Base != 0 {
@@ -40,14 +40,14 @@
 	return encoded, errors.Wrap(err, "encode news")
 }
 
-// DecodeNews reads the wire form of a batch. It fails as a whole if any of the
+// DecodeUpdates reads the wire form of a batch. It fails as a whole if any of the
 // news is malformed.
-func DecodeNews(encoded []byte) ([]News, error) {
+func DecodeUpdates(encoded []byte) ([]Update, error) {
 	var message catalogpb.NewsBatch
 	if err := message.UnmarshalVT(encoded); err != nil {
 		return nil, errors.Wrap(err, "decode news")
 	}
-	batch := make([]News, 0, len(message.News))
+	batch := make([]Update, 0, len(message.News))
 	for index, item := range message.News {
 		news, err := FromProto(item)
 		if err != nil {
@@ -67,7 +67,7 @@
 
 // ToProto returns the protobuf message of one news, as a whole also if it is no
 // more than a change of versions.
-func ToProto(news *News) *catalogpb.News {
+func ToProto(news *Update) *catalogpb.News {
 	message := &catalogpb.News{
 		Server:   string(news.Server),
 		Kind:     uint32(news.Kind),
@@ -143,22 +143,22 @@
 }
 
 // FromProto checks and converts one news.
-func FromProto(message *catalogpb.News) (News, error) {
+func FromProto(message *catalogpb.News) (Update, error) {
 	if _, _, err := net.SplitHostPort(message.GetServer()); err != nil || len(message.GetServer()) > maxNameBytes {
-		return News{}, errors.Errorf("server %.40q is not host:port", message.GetServer())
+		return Update{}, errors.Errorf("server %.40q is not host:port", message.GetServer())
 	}
-	news := News{
+	news := Update{
 		Server:   target.ServerID(message.Server),
-		Kind:     NewsKind(message.Kind),
+		Kind:     UpdateKind(message.Kind),
 		Observer: target.NodeID(message.Observer),
 	}
 	if len(message.Observer) > maxNameBytes {
-		return News{}, errors.New("observer is too long")
+		return Update{}, errors.New("observer is too long")
 	}
 	if mark := message.OperatorMark; mark != nil {
 		news.Operator = OperatorMark{Sequence: mark.Sequence, Drained: mark.Drained, Author: mark.Author}
 		if mark.Sequence == 0 || mark.Sequence > maxCounter || len(mark.Author) > maxNameBytes {
-			return News{}, errors.New("operator mark is out of bounds")
+			return Update{}, errors.New("operator mark is out of bounds")
 		}
 	}
 	if message.Instance == nil {
--- a/pkg/catalog/encoding_test.go
+++ b/pkg/catalog/encoding_test.go
@@ -16,17 +16,17 @@
 // TestNewsSurviveTheWire encodes and decodes arbitrary news.
 func TestNewsSurviveTheWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var batch []News
+		var batch []Update
 		for range rapid.IntRange(1, 4).Draw(t, "count") {
 			batch = append(batch, drawNewsOrChange(t))
 		}
 		// Changes of versions come last.
-		slices.SortStableFunc(batch, func(a, b News) int { return cmp.Compare(a.Change.Base, b.Change.Base) })
-		encoded, err := EncodeNews(batch)
+		slices.SortStableFunc(batch, func(a, b Update) int { return cmp.Compare(a.Change.Base, b.Change.Base) })
+		encoded, err := EncodeUpdates(batch)
 		if err != nil {
 			t.Fatal(err)
 		}
-		decoded, err := DecodeNews(encoded)
+		decoded, err := DecodeUpdates(encoded)
 		if err != nil || !reflect.DeepEqual(batch, decoded) {
 			t.Fatalf("sent %+v, got %+v, %v", batch, decoded, err)
 		}
@@ -55,8 +55,8 @@
 // TestSizesOfNews measures what a change of one server costs on the wire. A
 // server that holds one part, and a drain that needs no contents, are small.
 func TestSizesOfNews(t *testing.T) {
-	var sent []News
-	c := New(Options{Node: "4f9c2b7e@10.1.2.3:7000", Zone: "zone", OnNews: func(news News) { sent = append(sent, news) }})
+	var sent []Update
+	c := New(Options{Node: "4f9c2b7e@10.1.2.3:7000", Zone: "zone", OnUpdate: func(news Update) { sent = append(sent, news) }})
 	c.ReplaceMachines(listOf(1))
 	c.ReportProbe(serverID(0), time.Now(), statusOf(0, "5f0c7a52", false, 1), nil)
 	c.ReportProbe(serverID(0), time.Now(), statusOf(0, "5f0c7a52", false, 2), nil)
@@ -80,9 +80,9 @@
 // FuzzDecodeNews feeds malformed news: what is accepted is within bounds, has
 // one wire form, and never breaks a catalog.
 func FuzzDecodeNews(f *testing.F) {
-	seed := News{Server: serverID(0), Observer: "peer", Operator: OperatorMark{Sequence: 1, Drained: true}}
+	seed := Update{Server: serverID(0), Observer: "peer", Operator: OperatorMark{Sequence: 1, Drained: true}}
 	seed.Instance = Instance{ID: "x", Generation: 1, Revision: 1, Contents: newContents(statusOf(0, "x", false, 1))}
-	encoded, err := EncodeNews([]News{seed})
+	encoded, err := EncodeUpdates([]Update{seed})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -90,20 +90,20 @@
 	f.Add([]byte{0x0a, 0x00})
 	change := seed
 	change.noteChange(1, 1)
-	if encoded, err = EncodeNews([]News{seed, change}); err != nil {
+	if encoded, err = EncodeUpdates([]Update{seed, change}); err != nil {
 		f.Fatal(err)
 	}
 	f.Add(encoded)
 	f.Fuzz(func(t *testing.T, encoded []byte) {
-		batch, err := DecodeNews(encoded)
+		batch, err := DecodeUpdates(encoded)
 		if err != nil {
 			return
 		}
-		again, err := EncodeNews(batch)
+		again, err := EncodeUpdates(batch)
 		if err != nil {
 			t.Fatal(err)
 		}
-		decoded, err := DecodeNews(again)
+		decoded, err := DecodeUpdates(again)
 		if err != nil || !reflect.DeepEqual(batch, decoded) {
 			t.Fatalf("%+v becomes %+v, %v", batch, decoded, err)
 		}
--- a/pkg/catalog/exchange.go
+++ b/pkg/catalog/exchange.go
@@ -44,7 +44,7 @@
 	Remote func() []peer.Address
 	// OnForwarded receives the news that came from another zone and taught
 	// something, to be told to this zone. It must not block.
-	OnForwarded func(news News)
+	OnForwarded func(news Update)
 	// Interval is the mean time between two comparisons with a peer, and
 	// RemoteInterval with a remote one.
 	Interval       time.Duration
@@ -63,7 +63,7 @@
 		o.Remote = func() []peer.Address { return nil }
 	}
 	if o.OnForwarded == nil {
-		o.OnForwarded = func(News) {}
+		o.OnForwarded = func(Update) {}
 	}
 	if o.Random == nil {
 		o.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -182,8 +182,8 @@
 	return reply.More && len(learnt) > 0, nil
 }
 
-func (e *Exchange) apply(messages []*catalogpb.News) ([]News, error) {
-	batch := make([]News, 0, len(messages))
+func (e *Exchange) apply(messages []*catalogpb.News) ([]Update, error) {
+	batch := make([]Update, 0, len(messages))
 	for _, message := range messages {
 		news, err := FromProto(message)
 		if err != nil {
@@ -194,7 +194,7 @@
 	return e.options.Catalog.Apply(batch...), nil
 }
 
-func (e *Exchange) tellZone(learnt []News) {
+func (e *Exchange) tellZone(learnt []Update) {
 	for _, news := range learnt {
 		e.options.OnForwarded(news)
 	}
@@ -202,7 +202,7 @@
 
 // Forward sends an operator's mark to the other zones at once. Other news is
 // left out. A call that fails is made up for by the next comparison.
-func (e *Exchange) Forward(ctx context.Context, news News) {
+func (e *Exchange) Forward(ctx context.Context, news Update) {
 	if news.Operator.Sequence == 0 || news.Kind != KindOperator {
 		return
 	}
--- a/pkg/catalog/exchange_test.go
+++ b/pkg/catalog/exchange_test.go
@@ -22,7 +22,7 @@
 	exchange *Exchange
 	// mutex guards told, the news for the own zone that came from another.
 	mutex sync.Mutex
-	told  []News
+	told  []Update
 }
 
 func newExchangeNode(network *peer.Network, name string, servers int, peers, remote []peer.Address) *exchangeNode {
@@ -34,7 +34,7 @@
 		Peers:     func() []peer.Address { return peers },
 		Remote:    func() []peer.Address { return remote },
 		Random:    rand.New(rand.NewPCG(1, uint64(len(name)))),
-		OnForwarded: func(news News) {
+		OnForwarded: func(news Update) {
 			node.mutex.Lock()
 			defer node.mutex.Unlock()
 			node.told = append(node.told, news)
--- a/pkg/catalog/facts.go
+++ b/pkg/catalog/facts.go
@@ -86,7 +86,7 @@
 }
 
 // merge adds news to the facts and reports whether it taught anything.
-func (f *facts) merge(news *News, now time.Time) bool {
+func (f *facts) merge(news *Update, now time.Time) bool {
 	changed := false
 	if news.Operator.supersedes(f.operator) {
 		f.operator = news.Operator
@@ -153,7 +153,7 @@
 }
 
 // news returns the facts about an instance as news. The uptime is that of now.
-func (i *instanceFacts) news(now time.Time) Instance {
+func (i *instanceFacts) instanceAt(now time.Time) Instance {
 	told := i.Instance
 	if told.Contents != nil {
 		contents := *told.Contents
--- a/pkg/catalog/machine_test.go
+++ b/pkg/catalog/machine_test.go
@@ -77,7 +77,7 @@
 	oracles []*oracle
 	// instances is the number of starts of each server.
 	instances []int
-	news      []News
+	updates   []Update
 	// old is an earlier view with its contents at that time.
 	old         *View
 	oldContents string
@@ -87,7 +87,7 @@
 	m := &machine{clock: newClock(), list: listOf(machineServers), instances: make([]int, machineServers)}
 	m.catalog = New(Options{
 		Node: "node", Zone: "zone", Now: m.clock.Now,
-		OnNews: func(news News) { m.news = append(m.news, news) },
+		OnUpdate: func(news Update) { m.updates = append(m.updates, news) },
 	})
 	m.catalog.ReplaceMachines(m.list)
 	for range machineServers {
@@ -155,11 +155,11 @@
 
 // ApplyOwnNews plays news back that this node sent itself, as a relay may.
 func (m *machine) ApplyOwnNews(t *rapid.T) {
-	if len(m.news) == 0 {
+	if len(m.updates) == 0 {
 		return
 	}
-	sent := len(m.news)
-	if learnt := m.catalog.Apply(rapid.SampledFrom(m.news).Draw(t, "news")); len(learnt) > 0 || len(m.news) > sent {
+	sent := len(m.updates)
+	if learnt := m.catalog.Apply(rapid.SampledFrom(m.updates).Draw(t, "news")); len(learnt) > 0 || len(m.updates) > sent {
 		t.Fatalf("own news taught %v", learnt)
 	}
 }
--- a/pkg/catalog/machines.go
+++ b/pkg/catalog/machines.go
@@ -18,9 +18,9 @@
 )
 
 // ReplaceMachines takes a new reading of the machine list. A server that is
-// missing from it is kept for a while; see Options.UnlistedSilent.
+// missing from it is kept for a while; see Options.UnlistedSilentTimeout.
 func (c *Catalog) ReplaceMachines(list machinelist.List) {
-	c.change(func(u *update) {
+	c.change(func(u *mutation) {
 		c.listed = len(list)
 		spread := c.discoverySpread()
 		present := make(map[target.ServerID]struct{}, len(list))
@@ -41,7 +41,7 @@
 // ApplyMachines takes what changed since the last reading of the machine list:
 // entries that are new or differ, and servers that are missing from it now.
 func (c *Catalog) ApplyMachines(changed machinelist.List, removed []target.ServerID) {
-	c.change(func(u *update) {
+	c.change(func(u *mutation) {
 		spread := c.discoverySpread()
 		for _, entry := range changed {
 			c.list(u, entry, spread)
@@ -60,7 +60,7 @@
 }
 
 // list takes one entry of the machine list.
-func (c *Catalog) list(u *update, entry machinelist.Entry, spread time.Duration) {
+func (c *Catalog) list(u *mutation, entry machinelist.Entry, spread time.Duration) {
 	r := c.find(entry.Server)
 	if r == nil {
 		r = newRecord(entry.Server)
@@ -87,7 +87,7 @@
 // come. The time depends on node and server, so that the nodes of a zone do not
 // all probe a new server at once and news can come first. Servers of other
 // regions are left to the nodes that are to probe them.
-func (c *Catalog) wantFirstProbe(u *update, r *record, spread time.Duration) {
+func (c *Catalog) wantFirstProbe(u *mutation, r *record, spread time.Duration) {
 	if r.listing.distance(c.options.Zone, c.options.Region) > distanceRegion {
 		return
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-func (c *Catalog) unlist(u *update, r *record) {
+func (c *Catalog) unlist(u *mutation, r *record) {
 	r.listing.listed = false
 	r.listing.unlistedSince = u.now
 	c.watchLocked(r)
@@ -155,7 +155,7 @@
 // about twice a second. It looks only at servers with recent results and at
 // those that are missing from the machine list.
 func (c *Catalog) Refresh() {
-	c.change(func(u *update) {
+	c.change(func(u *mutation) {
 		for r := range c.watched {
 			c.refreshResults(u, r)
 			c.refreshListing(u, r)
@@ -167,7 +167,7 @@
 	})
 }
 
-func (c *Catalog) refreshResults(u *update, r *record) {
+func (c *Catalog) refreshResults(u *mutation, r *record) {
 	if r.outlier.roll(&r.results) > 0 {
 		if !r.answeredRecently(u.now, &c.options) {
 			c.touched(r)
@@ -184,7 +184,7 @@
 	}
 }
 
-func (c *Catalog) refreshListing(u *update, r *record) {
+func (c *Catalog) refreshListing(u *mutation, r *record) {
 	if r.listing.listed {
 		return
 	}
@@ -192,7 +192,7 @@
 		c.touched(r)
 		c.membership.Add(1)
 	}
-	if u.now.Sub(r.listing.unlistedSince) >= c.options.UnlistedLimit+c.options.Retention {
+	if u.now.Sub(r.listing.unlistedSince) >= c.options.UnlistedTimeout+c.options.Retention {
 		c.forget(r)
 	}
 }
--- a/pkg/catalog/news.go
+++ b/pkg/catalog/news.go
@@ -8,13 +8,13 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// NewsKind says what changed. It is for logs and metrics: merging looks only
-// at the other fields of News.
-type NewsKind uint32
+// UpdateKind says what changed. It is for logs and metrics: merging looks only
+// at the other fields of Update.
+type UpdateKind uint32
 
 // The kinds of news.
 const (
-	KindOther NewsKind = iota
+	KindOther UpdateKind = iota
 	// KindDiscovered: the first instance of a server was probed.
 	KindDiscovered
 	// KindDraining: an instance said that it takes no new work.
@@ -32,21 +32,21 @@
 var kindNames = [...]string{"other", "discovered", "draining", "dead", "returned", "contents", "operator"}
 
 // String returns the name used in logs.
-func (k NewsKind) String() string {
+func (k UpdateKind) String() string {
 	if int(k) >= len(kindNames) {
 		return kindNames[KindOther]
 	}
 	return kindNames[k]
 }
 
-// News is what one node tells others about one server: facts about one of its
+// Update is what one node tells others about one server: facts about one of its
 // instances and the operators' mark.
 //
 // Facts only grow (see Instance and OperatorMark), so a catalog that applies
 // the same news in any order, once or often, ends in the same state.
-type News struct {
+type Update struct {
 	Server   target.ServerID
-	Kind     NewsKind
+	Kind     UpdateKind
 	Observer target.NodeID
 	Instance Instance
 	Operator OperatorMark
--- a/pkg/catalog/options.go
+++ b/pkg/catalog/options.go
@@ -10,18 +10,18 @@
 
 // Defaults of Options.
 const (
-	DefaultWarmUp               = 30 * time.Second
-	DefaultProbeFailures        = 3
-	DefaultConsecutiveFailures  = 5
-	DefaultFailureShare         = 0.5
-	DefaultMinResults           = 20
-	DefaultEjectionTime         = 2 * time.Second
-	DefaultMaxEjectionTime      = time.Minute
-	DefaultUnlistedSilent       = 10 * time.Second
-	DefaultUnlistedLimit        = 10 * time.Minute
-	DefaultRetention            = 15 * time.Minute
-	DefaultAnswerFreshness      = 5 * time.Second
-	DefaultDeadAnnouncementWait = 3 * time.Second
+	DefaultWarmUp                  = 30 * time.Second
+	DefaultProbeFailures           = 3
+	DefaultConsecutiveFailures     = 5
+	DefaultFailureShare            = 0.5
+	DefaultMinResults              = 20
+	DefaultEjectionTime            = 2 * time.Second
+	DefaultMaxEjectionTime         = time.Minute
+	DefaultUnlistedSilentTimeout   = 10 * time.Second
+	DefaultUnlistedTimeout         = 10 * time.Minute
+	DefaultRetention               = 15 * time.Minute
+	DefaultAnswerFreshness         = 5 * time.Second
+	DefaultDeadAnnouncementBackoff = 3 * time.Second
 )
 
 // Options sets up a Catalog. Only Node and Zone are required.
@@ -49,24 +49,24 @@
 	// that follows, up to MaxEjectionTime.
 	EjectionTime    time.Duration
 	MaxEjectionTime time.Duration
-	// UnlistedSilent is the time after which a server that is missing from the
-	// machine list and does not answer probes is removed, UnlistedLimit that
+	// UnlistedSilentTimeout is the time after which a server that is missing from the
+	// machine list and does not answer probes is removed, UnlistedTimeout that
 	// of one that does answer. Retention is how long after that it is
 	// remembered.
-	UnlistedSilent time.Duration
-	UnlistedLimit  time.Duration
-	Retention      time.Duration
+	UnlistedSilentTimeout time.Duration
+	UnlistedTimeout       time.Duration
+	Retention             time.Duration
 	// AnswerFreshness is how long after a good answer to a sub-request a
 	// server is not suspected, whatever probes say.
 	AnswerFreshness time.Duration
-	// DeadAnnouncementWait is the least time between two times that this node
+	// DeadAnnouncementBackoff is the least time between two times that this node
 	// announces the same server as dead; it doubles with each refutation.
-	DeadAnnouncementWait time.Duration
+	DeadAnnouncementBackoff time.Duration
 
-	// OnNews receives the news that this node has to tell its peers. It is
+	// OnUpdate receives the news that this node has to tell its peers. It is
 	// called outside all locks, from the goroutine that brought the change,
 	// and must not block. Nil means none.
-	OnNews func(news News)
+	OnUpdate func(news Update)
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 	// Logger is nil for none.
@@ -77,11 +77,11 @@
 	setDuration(&o.WarmUp, DefaultWarmUp)
 	setDuration(&o.EjectionTime, DefaultEjectionTime)
 	setDuration(&o.MaxEjectionTime, DefaultMaxEjectionTime)
-	setDuration(&o.UnlistedSilent, DefaultUnlistedSilent)
-	setDuration(&o.UnlistedLimit, DefaultUnlistedLimit)
+	setDuration(&o.UnlistedSilentTimeout, DefaultUnlistedSilentTimeout)
+	setDuration(&o.UnlistedTimeout, DefaultUnlistedTimeout)
 	setDuration(&o.Retention, DefaultRetention)
 	setDuration(&o.AnswerFreshness, DefaultAnswerFreshness)
-	setDuration(&o.DeadAnnouncementWait, DefaultDeadAnnouncementWait)
+	setDuration(&o.DeadAnnouncementBackoff, DefaultDeadAnnouncementBackoff)
 	if o.ProbeFailures <= 0 {
 		o.ProbeFailures = DefaultProbeFailures
 	}
@@ -94,8 +94,8 @@
 	if o.MinResults <= 0 {
 		o.MinResults = DefaultMinResults
 	}
-	if o.OnNews == nil {
-		o.OnNews = func(News) {}
+	if o.OnUpdate == nil {
+		o.OnUpdate = func(Update) {}
 	}
 	if o.Now == nil {
 		o.Now = time.Now
--- a/pkg/catalog/probe.go
+++ b/pkg/catalog/probe.go
@@ -25,7 +25,7 @@
 	if err == nil {
 		err = checkStatus(status)
 	}
-	c.change(func(u *update) {
+	c.change(func(u *mutation) {
 		if err != nil {
 			c.probeFailed(u, r, err)
 		} else {
@@ -37,7 +37,7 @@
 
 // probeFailed counts a failed probe. After some in a row the server is
 // suspected here, and announced as dead unless it answers sub-requests.
-func (c *Catalog) probeFailed(u *update, r *record, cause error) {
+func (c *Catalog) probeFailed(u *mutation, r *record, cause error) {
 	r.probe.failures++
 	if r.probe.failures < c.options.ProbeFailures {
 		return
@@ -57,7 +57,7 @@
 
 // probeAnswered takes a status. It is fresh evidence, unless the server was
 // replaced while the probe was on its way.
-func (c *Catalog) probeAnswered(u *update, r *record, sentAt time.Time, status *backend.Status, tellContents bool) {
+func (c *Catalog) probeAnswered(u *mutation, r *record, sentAt time.Time, status *backend.Status, tellContents bool) {
 	if r.probe.failures >= c.options.ProbeFailures {
 		c.touched(r)
 	}
@@ -87,12 +87,12 @@
 	}
 	c.tell(u, r, kind, r.facts.current())
 	if kind == KindContents {
-		u.news[len(u.news)-1].noteChange(previousBase, r.facts.current().changeBase(r.server))
+		u.updates[len(u.updates)-1].noteChange(previousBase, r.facts.current().changeBase(r.server))
 	}
 }
 
 // observe joins a status with the facts. It returns what changed.
-func (c *Catalog) observe(u *update, r *record, status *backend.Status) (NewsKind, bool) {
+func (c *Catalog) observe(u *mutation, r *record, status *backend.Status) (UpdateKind, bool) {
 	previous := r.facts.current()
 	kind, changed := KindOther, false
 	instance := r.facts.instance(status.Instance)
@@ -128,7 +128,7 @@
 
 // startOf returns when a process started. One that takes the place of another
 // started after that was last seen, whatever uptime it claims.
-func (c *Catalog) startOf(u *update, r *record, previous *instanceFacts, uptime time.Duration) time.Time {
+func (c *Catalog) startOf(u *mutation, r *record, previous *instanceFacts, uptime time.Duration) time.Time {
 	started := u.now.Add(-uptime)
 	if previous != nil && started.Before(r.probe.lastOK) {
 		return r.probe.lastOK
--- a/pkg/catalog/probeloop.go
+++ b/pkg/catalog/probeloop.go
@@ -15,11 +15,11 @@
 
 // Defaults of ProbeOptions.
 const (
-	DefaultProbeInterval   = time.Second
-	DefaultProbeTimeout    = 500 * time.Millisecond
-	DefaultProbers         = 2
-	DefaultProbesPerSecond = 100
-	DefaultProbesAtOnce    = 64
+	DefaultProbeInterval       = time.Second
+	DefaultProbeTimeout        = 500 * time.Millisecond
+	DefaultProbers             = 2
+	DefaultProbesPerSecond     = 100
+	DefaultMaxConcurrentProbes = 64
 )
 
 const (
@@ -47,8 +47,8 @@
 	// grows when it would have to even then.
 	Probers         int
 	ProbesPerSecond int
-	// ProbesAtOnce bounds the probes that run at once.
-	ProbesAtOnce int
+	// MaxConcurrentProbes bounds the probes that run at once.
+	MaxConcurrentProbes int
 	// Random is the source of jitter; nil means a random seed.
 	Random *rand.Rand
 }
@@ -65,8 +65,8 @@
 	if o.ProbesPerSecond <= 0 {
 		o.ProbesPerSecond = DefaultProbesPerSecond
 	}
-	if o.ProbesAtOnce <= 0 {
-		o.ProbesAtOnce = DefaultProbesAtOnce
+	if o.MaxConcurrentProbes <= 0 {
+		o.MaxConcurrentProbes = DefaultMaxConcurrentProbes
 	}
 	if o.Random == nil {
 		o.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -108,7 +108,7 @@
 	options = options.withDefaults()
 	return &ProbeLoop{
 		options:  options,
-		slots:    make(chan struct{}, options.ProbesAtOnce),
+		slots:    make(chan struct{}, options.MaxConcurrentProbes),
 		schedule: make(map[target.ServerID]*scheduled),
 	}
 }
--- a/pkg/catalog/probeloop_test.go
+++ b/pkg/catalog/probeloop_test.go
@@ -88,7 +88,7 @@
 		z.members = append(z.members, target.NodeID(fmt.Sprintf("node%d", number)))
 	}
 	for _, node := range z.members {
-		created := New(Options{Node: node, Zone: "zone", OnNews: func(news News) { z.relay(node, news) }})
+		created := New(Options{Node: node, Zone: "zone", OnUpdate: func(news Update) { z.relay(node, news) }})
 		created.ReplaceMachines(listOf(servers))
 		z.catalogs = append(z.catalogs, created)
 	}
@@ -116,7 +116,7 @@
 }
 
 // relay sends news to all other nodes, each after a time of its own.
-func (z *zone) relay(from target.NodeID, news News) {
+func (z *zone) relay(from target.NodeID, news Update) {
 	z.mutex.Lock()
 	z.told++
 	z.mutex.Unlock()
--- a/pkg/catalog/record.go
+++ b/pkg/catalog/record.go
@@ -141,7 +141,7 @@
 		return false
 	}
 	missing := now.Sub(r.listing.unlistedSince)
-	return missing >= options.UnlistedLimit || (missing >= options.UnlistedSilent && r.silent(now, options))
+	return missing >= options.UnlistedTimeout || (missing >= options.UnlistedSilentTimeout && r.silent(now, options))
 }
 
 // silent reports whether nothing shows that the server still runs.
