--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -113,7 +113,7 @@
 	limits *limits
 	// known is what this node knows of the room at services; announcer tells others of it and
 	// is nil if the node has no address for its peers.
-	known     *fanout.Room
+	known     *fanout.AdmissionControl
 	announcer *owner.Announcer
 	// teller tells other nodes of suspect requests; nil if the node has no address for its peers.
 	teller *quarantine.Gossiper
@@ -147,7 +147,7 @@
 	})
 	node.state.quarantine = node.quarantine
 	local := directory.Node{Name: settings.Node.Name, Zone: settings.Node.Zone}
-	node.known = fanout.NewRoom(node.state.fleet)
+	node.known = fanout.NewAdmissionControl(node.state.fleet)
 	if err := node.openPeers(settings, &local); err != nil {
 		return nil, err
 	}
--- a/internal/edge/events.go
+++ b/internal/edge/events.go
@@ -130,11 +130,11 @@
 	result := record.Result
 	list = append(list, "parts", record.Parts, "required", record.Required, "total", record.Total)
 	list = append(appendCounts(list, result), "shed", result.Shed, "outcome", result.Outcome.String())
-	if result.Asked > 0 {
-		list = append(list, "owners_asked", result.Asked)
+	if result.OwnersAsked > 0 {
+		list = append(list, "owners_asked", result.OwnersAsked)
 	}
-	if len(result.Owners) > 0 {
-		list = append(list, "owners", result.Owners)
+	if len(result.OwnerRecords) > 0 {
+		list = append(list, "owners", result.OwnerRecords)
 	}
 	list = appendAdmission(list, result)
 	if record.Policy.Template != "" {
@@ -150,8 +150,8 @@
 // appendCounts lists how many sub-requests were sent, and why.
 func appendCounts(list []any, result fanout.Result) []any {
 	list = append(list, "sent", result.Sent, "hedges", result.Hedges, "retries", result.Retries, "budget_denied", result.Denied)
-	if result.Broken > 0 {
-		list = append(list, "connections_broken", result.Broken)
+	if result.BrokenConnections > 0 {
+		list = append(list, "connections_broken", result.BrokenConnections)
 	}
 	return list
 }
--- a/internal/edge/figures.go
+++ b/internal/edge/figures.go
@@ -127,7 +127,7 @@
 	f.sent(route, arm, "first", result.Sent-result.Hedges-result.Retries)
 	f.sent(route, arm, "hedge", result.Hedges)
 	f.sent(route, arm, "retry", result.Retries)
-	f.countBroken(route, result.Broken)
+	f.countBroken(route, result.BrokenConnections)
 	if result.Denied > 0 {
 		f.denied.WithLabelValues(route, arm).Add(float64(result.Denied))
 	}
@@ -151,9 +151,9 @@
 // countOwned takes one question of another node.
 func (f *figures) countOwned(record owner.Record) {
 	result := record.Result
-	f.countBroken(record.Kind, result.Broken)
-	f.owned.WithLabelValues(record.Kind, "answered").Add(float64(result.Got))
-	if missing := len(record.Services) - result.Got; missing > 0 {
+	f.countBroken(record.Kind, result.BrokenConnections)
+	f.owned.WithLabelValues(record.Kind, "answered").Add(float64(result.AnsweredCount))
+	if missing := len(record.Services) - result.AnsweredCount; missing > 0 {
 		f.owned.WithLabelValues(record.Kind, "missing").Add(float64(missing))
 	}
 }
--- a/internal/edge/owners.go
+++ b/internal/edge/owners.go
@@ -52,7 +52,7 @@
 func (e *events) RecordOwned(record owner.Record) {
 	e.figures.countOwned(record)
 	result := record.Result
-	isWhole := result.Got == len(record.Services)
+	isWhole := result.AnsweredCount == len(record.Services)
 	if isWhole && e.successes.Add(1)%sampleEvery != 1 {
 		return
 	}
@@ -61,7 +61,7 @@
 	}
 	list := []any{
 		"request", record.RequestID, "route", record.Kind, "asked_by", record.AskedBy, "reason", string(result.Reason),
-		"took_ms", float64(record.Took.Microseconds()) / 1000, "parts", result.Got, "total", len(record.Services),
+		"took_ms", float64(record.Took.Microseconds()) / 1000, "parts", result.AnsweredCount, "total", len(record.Services),
 	}
 	list = appendCounts(list, result)
 	if len(result.Attempts) > 0 {
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -111,7 +111,7 @@
 		tally[causeOfAttempt(attempt)]++
 	}
 	switch {
-	case line.Reason == string(fanout.StopNotOffered) && line.Shed > 0:
+	case line.Reason == string(fanout.StopOverloaded) && line.Shed > 0:
 		return CauseNotOffered
 	case line.Shed > 0 && line.Parts < line.Required:
 		return CauseNoRoom
--- a/internal/front/conversation.go
+++ b/internal/front/conversation.go
@@ -59,7 +59,7 @@
 		Target:      target(c.route, c.began), Deadline: c.deadline, Assumed: assumedTime(c.route),
 		Hedge: c.policy.Hedge, Stop: c.policy.Stop, ExtraShare: c.policy.ExtraShare, TopRecords: c.route.TopRecords,
 	}
-	plan.Patience = time.Until(c.deadline)
+	plan.MaxServerWait = time.Until(c.deadline)
 	if c.route.Gathered() {
 		plan.Services, plan.Required = c.route.Shards, c.route.RequiredShards()
 	} else {
@@ -97,24 +97,24 @@
 // One that succeeds although a server is full is no sign of overload: single
 // servers are slow, fail and refuse at any load.
 func isShortOfRoom(plan fanout.Plan, result fanout.Result) bool {
-	return result.Shed > 0 && result.Got < plan.Required && result.Reason != fanout.StopCancelled
+	return result.Shed > 0 && result.AnsweredCount < plan.Required && result.Reason != fanout.StopCancelled
 }
 
 // answerGathered merges the parts, if they are enough.
 func (c *conversation) answerGathered(plan fanout.Plan, result fanout.Result) {
-	if result.Got < plan.Required || result.Reason == fanout.StopCancelled {
+	if result.AnsweredCount < plan.Required || result.Reason == fanout.StopCancelled {
 		c.giveUp(plan, result)
 		return
 	}
 	header := c.writer.Header()
-	bodies := make([][]byte, 0, result.Got)
+	bodies := make([][]byte, 0, result.AnsweredCount)
 	for _, part := range result.Parts {
 		if part != nil {
 			bodies = append(bodies, part.Body)
 			header.Add(c.handler.dialect.Parts, part.Evidence)
 		}
 	}
-	if missing := len(result.Parts) - result.Got; missing > 0 {
+	if missing := len(result.Parts) - result.AnsweredCount; missing > 0 {
 		header.Set(c.handler.dialect.MissingParts, strconv.Itoa(missing))
 	}
 	body := gather.Greatest(bodies, c.route.TopRecords)
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -68,7 +68,7 @@
 	Owners fanout.Owners
 	// Room is what nodes tell each other of the room at services; nil for one that this node
 	// keeps for itself.
-	Room     *fanout.Room
+	Room     *fanout.AdmissionControl
 	Policies Policies
 	// Limits holds tenants to their limits; nil for none.
 	Limits Limits
@@ -103,13 +103,13 @@
 	}
 	runner := fanout.Runner{
 		Fleet: options.Fleet, Budget: options.Budget, Dialect: &handler.dialect.Dialect, Linger: lingerAfterAnswer,
-		Quarantine: options.Quarantine, Room: options.Room,
+		Quarantine: options.Quarantine, Admission: options.Room,
 	}
-	if runner.Room == nil {
-		runner.Room = fanout.NewRoom(options.Fleet)
+	if runner.Admission == nil {
+		runner.Admission = fanout.NewAdmissionControl(options.Fleet)
 	}
 	gatherer, forwarder := runner, runner
-	gatherer.Sound, forwarder.Sound = isPart, isWholeAnswer
+	gatherer.IsUsable, forwarder.IsUsable = isPart, isWholeAnswer
 	gatherer.Owners = options.Owners
 	handler.gatherer, handler.forwarder = &gatherer, &forwarder
 	return handler
--- a/internal/front/record.go
+++ b/internal/front/record.go
@@ -55,9 +55,9 @@
 func (c *conversation) record(status int, plan fanout.Plan, result fanout.Result) {
 	c.handler.events.Record(Record{
 		ID: c.id, Host: c.received.Host, Path: c.received.RequestURI, Route: c.route.Name, Tenant: c.tenantName(),
-		Version: c.version, Policy: c.policy, Status: status, Took: time.Since(c.began), Reason: string(result.Reason), Parts: result.Got,
+		Version: c.version, Policy: c.policy, Status: status, Took: time.Since(c.began), Reason: string(result.Reason), Parts: result.AnsweredCount,
 		Required: plan.Required, Total: len(plan.Services), Result: result, Services: plan.Services,
-		RetryAfter: c.toldWait, Fingerprint: c.fingerprintIf(result.Broken > 0 || result.Reason == fanout.StopQuarantined),
+		RetryAfter: c.toldWait, Fingerprint: c.fingerprintIf(result.BrokenConnections > 0 || result.Reason == fanout.StopQuarantined),
 	})
 }
 
--- a/internal/front/tenant_test.go
+++ b/internal/front/tenant_test.go
@@ -43,7 +43,7 @@
 
 func (silentOwner) Cancel()     {}
 func (silentOwner) Grant([]int) {}
-func (silentOwner) Silent()     {}
+func (silentOwner) MarkSilent() {}
 
 // keyedNode is a handler of one gathered route for the tenant "desk" with the key "k-desk".
 func keyedNode(owners fanout.Owners, news func() KeyNews) *Handler {
--- a/pkg/fanout/admission.go
+++ b/pkg/fanout/admission.go
@@ -29,7 +29,7 @@
 
 // isLetIn decides whether the request is begun, by what is known of the room at its services.
 func (r *run) isLetIn() bool {
-	room := r.runner.Room
+	room := r.runner.Admission
 	if room == nil {
 		return true
 	}
@@ -40,7 +40,7 @@
 
 // isShort reports whether only a part of the requests like this one is let in.
 func (r *run) isShort(now time.Time) bool {
-	return r.runner.Room != nil && (r.admission.Share < 1 || r.admit(now).Share < 1)
+	return r.runner.Admission != nil && (r.admission.Share < 1 || r.admit(now).Share < 1)
 }
 
 // scarceHedgePart is the part of the time to the target after which, at the earliest, a sub-request
@@ -52,12 +52,12 @@
 // isScarce reports whether the service of a part has room for only a part of the requests like
 // this one.
 func (r *run) isScarce(part *part, now time.Time) bool {
-	return r.runner.Room != nil && r.runner.Room.Admitter.ShareOf(r.load(part.service), r.class(), now) < 1
+	return r.runner.Admission != nil && r.runner.Admission.Admitter.ShareOf(r.load(part.service), r.class(), now) < 1
 }
 
 // admit decides about the request by what is known of its services at a moment.
 func (r *run) admit(now time.Time) loadshed.Decision {
-	return r.runner.Room.Admitter.Admit(r.plan.Services, r.regions().Key(), r.plan.Required, r.class(), r.lot, now)
+	return r.runner.Admission.Admitter.Admit(r.plan.Services, r.regions().Key(), r.plan.Required, r.class(), r.lot, now)
 }
 
 // spareOthers marks the services that have no room for the request and without which it can be
@@ -65,7 +65,7 @@
 func (r *run) spareOthers() {
 	spared := r.admission.Skipped
 	if r.plan.Collect != nil {
-		spared = r.plan.Collect.Spared
+		spared = r.plan.Collect.Skipped
 	}
 	for _, index := range spared {
 		if index >= 0 && index < len(r.parts) {
@@ -151,14 +151,14 @@
 func (r *run) noteOffered(index int, now time.Time) {
 	part := &r.parts[index]
 	isForOwner := (len(r.groups) > 0 || r.isKeptFromOwners) && !part.owned
-	if r.runner.Room == nil || isForOwner || part.spared {
+	if r.runner.Admission == nil || isForOwner || part.spared {
 		return
 	}
 	if r.work == 0 {
 		r.work = r.runner.Fleet.Profile(r.plan.Kind, r.plan.Assumed).Mean
 	}
 	part.isOffered = true
-	r.runner.Room.Meters.RecordAdmitted(r.load(part.service), loadshed.AdmittedRequest{
+	r.runner.Admission.Meters.RecordAdmitted(r.load(part.service), loadshed.AdmittedRequest{
 		Class: r.class(), Work: r.work, Share: r.admittedShare(index, now), ForPeers: part.owned,
 	}, now)
 }
@@ -168,7 +168,7 @@
 func (r *run) admittedShare(index int, now time.Time) float64 {
 	switch collect := r.plan.Collect; {
 	case collect == nil:
-		return r.runner.Room.Admitter.ShareOf(r.load(r.parts[index].service), r.class(), now)
+		return r.runner.Admission.Admitter.ShareOf(r.load(r.parts[index].service), r.class(), now)
 	case collect.AdmittedShares != nil:
 		return collect.AdmittedShares[index]
 	}
@@ -178,12 +178,12 @@
 // admittedShares returns the part of the requests like this one that each service has room
 // for; nil if none is short of it.
 func (r *run) admittedShares(services []string, now time.Time) []float64 {
-	if r.runner.Room == nil || r.runner.Room.Admitter.AdmitsAll() {
+	if r.runner.Admission == nil || r.runner.Admission.Admitter.AdmitsAll() {
 		return nil
 	}
 	shares := make([]float64, len(services))
 	for position, service := range services {
-		shares[position] = r.runner.Room.Admitter.ShareOf(r.load(service), r.class(), now)
+		shares[position] = r.runner.Admission.Admitter.ShareOf(r.load(service), r.class(), now)
 	}
 	return shares
 }
@@ -191,6 +191,6 @@
 // noteServedPart counts a part that was noted as offered and is answered.
 func (r *run) noteServedPart(part *part) {
 	if part.isOffered {
-		r.runner.Room.Meters.RecordServed(r.load(part.service), r.work)
+		r.runner.Admission.Meters.RecordServed(r.load(part.service), r.work)
 	}
 }
--- a/pkg/fanout/admission_test.go
+++ b/pkg/fanout/admission_test.go
@@ -30,10 +30,10 @@
 }
 
 // inRoom gives the world's node the board of what it was told.
-func (w *world) inRoom() *fanout.Room {
+func (w *world) inRoom() *fanout.AdmissionControl {
 	w.runner.Owners = selfOwner{}
-	w.runner.Room = fanout.NewRoom(w.fleet)
-	return w.runner.Room
+	w.runner.Admission = fanout.NewAdmissionControl(w.fleet)
+	return w.runner.Admission
 }
 
 func share(part float64) loadshed.Shares {
@@ -51,7 +51,7 @@
 		asked.Required = 2
 		result, took := w.run(asked)
 		g.Expect(took).To(BeZero())
-		g.Expect(result.Reason).To(Equal(fanout.StopNotOffered))
+		g.Expect(result.Reason).To(Equal(fanout.StopOverloaded))
 		g.Expect(result.Outcome).To(Equal(outcome.NotRun))
 		g.Expect(result.Admission.LimitingService).To(Equal("a"))
 		g.Expect(w.arrivals("a1", "b1")).To(BeZero())
@@ -73,14 +73,14 @@
 		for range 2 {
 			runs.Go(func() {
 				result, _ := w.run(plan("a"))
-				g.Expect(result.Got).To(Equal(1))
+				g.Expect(result.AnsweredCount).To(Equal(1))
 			})
 			time.Sleep(time.Millisecond)
 		}
 		room.Admitter.Update(loadshed.Key{Service: "a"}, share(0), time.Now())
 		result, took := w.run(plan("a", "b", "c"))
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
-		g.Expect(result.Got).To(Equal(2))
+		g.Expect(result.AnsweredCount).To(Equal(2))
 		g.Expect(took).To(BeNumerically("<", 20*time.Millisecond))
 		runs.Wait()
 		g.Expect(w.arrivals("a1")).To(Equal(2))
@@ -97,7 +97,7 @@
 		asked := plan("a", "b", "c")
 		asked.MaxAttempts = 1
 		result, _ := w.run(asked)
-		g.Expect(result.Got).To(Equal(2))
+		g.Expect(result.AnsweredCount).To(Equal(2))
 		g.Expect(w.arrivals("a1")).To(Equal(1))
 	})
 }
@@ -109,7 +109,7 @@
 		room := w.inRoom()
 		for range 50 {
 			result, _ := w.run(plan("a"))
-			g.Expect(result.Got).To(Equal(1))
+			g.Expect(result.AnsweredCount).To(Equal(1))
 		}
 		g.Expect(room.Admitter.AdmitsAll()).To(BeTrue())
 		shares, _ := room.Meters.CurrentShares(loadshed.Key{Service: "a"}, time.Now())
@@ -128,7 +128,7 @@
 		asked := plan(service)
 		asked.Target = time.Now().Add(400 * time.Millisecond)
 		result, _ := w.run(asked)
-		g.Expect(result.Got).To(Equal(1))
+		g.Expect(result.AnsweredCount).To(Equal(1))
 		return result.Hedges
 	}
 	in(t, func(g *WithT, w *world) {
--- a/pkg/fanout/decide.go
+++ b/pkg/fanout/decide.go
@@ -26,7 +26,7 @@
 	case r.got+r.open < r.plan.Required:
 		return StopExhausted, true
 	case r.isRefused(now):
-		return StopNotOffered, true
+		return StopOverloaded, true
 	case r.got >= r.plan.Required && r.stops(now):
 		return StopRule, true
 	case r.got >= r.plan.Required && r.allAbsent():
--- a/pkg/fanout/divided_test.go
+++ b/pkg/fanout/divided_test.go
@@ -31,12 +31,12 @@
 		owners := &countedOwners{scriptedOwners: scriptedOwners{"a": {{time.Millisecond, answeredBy("a")}}}}
 		w.runner.Owners = owners
 		result, _ := w.run(plan("a"))
-		g.Expect(result.Got).To(Equal(1))
+		g.Expect(result.AnsweredCount).To(Equal(1))
 		g.Expect(owners.divided).To(Equal(1))
 		w.leaveToOthers("a")
 		for range 5 {
 			result, _ = w.run(plan("a"))
-			g.Expect(result.Reason).To(Equal(fanout.StopNotOffered))
+			g.Expect(result.Reason).To(Equal(fanout.StopOverloaded))
 		}
 		g.Expect(owners.divided).To(Equal(1))
 	})
@@ -50,14 +50,14 @@
 		w := newDeadlyWorld(fourShards, threeCopies)
 		defer w.close()
 		owners := &countedOwners{}
-		w.runner.Owners, w.runner.Room = owners, fanout.NewRoom(w.fleet)
+		w.runner.Owners, w.runner.Admission = owners, fanout.NewAdmissionControl(w.fleet)
 		w.suspect("/suspect")
 		tried := plan(fourShards...)
 		tried.Required = len(fourShards)
-		g.Expect(w.send(tried, "/suspect").Got).To(Equal(len(fourShards)))
+		g.Expect(w.send(tried, "/suspect").AnsweredCount).To(Equal(len(fourShards)))
 		g.Expect(owners.divided).To(BeZero())
 		now := time.Now()
-		_, judgedAt := w.runner.Room.Meters.CurrentShares(loadshed.Key{Service: "a"}, now)
+		_, judgedAt := w.runner.Admission.Meters.CurrentShares(loadshed.Key{Service: "a"}, now)
 		g.Expect(judgedAt).To(Equal(now), "not measured")
 	})
 }
--- a/pkg/fanout/due_test.go
+++ b/pkg/fanout/due_test.go
@@ -17,7 +17,7 @@
 func TestAResultGoesBeforeWhatIsDue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		runner := &Runner{Sound: func(*exchange.Response) bool { return true }}
+		runner := &Runner{IsUsable: func(*exchange.Response) bool { return true }}
 		now := time.Now()
 		plan := Plan{Services: []string{"a"}, Required: 1, Repeatable: true, MaxAttempts: 2, Deadline: now.Add(time.Second)}
 		stalled := newRun(runner, plan, &exchange.Request{})
--- a/pkg/fanout/fanout.go
+++ b/pkg/fanout/fanout.go
@@ -48,7 +48,7 @@
 	// Assumed is the typical time of the kind until one is measured.
 	Assumed time.Duration
 	// Patience is how long a part waits while no server can be asked.
-	Patience time.Duration
+	MaxServerWait time.Duration
 	// Hedge decides when a second server is asked.
 	Hedge policy.HedgePolicy
 	// Stop may end the wait before the target, once the required parts are in.
@@ -76,15 +76,15 @@
 	// Granted brings positions of which one further server may be asked.
 	Granted <-chan []int
 	// Lot is the request's lot at the other node; zero to draw one from its id.
-	Lot uint64
+	SamplingValue uint64
 	// Spared are the positions of services that are left to requests that need them.
-	Spared []int
+	Skipped []int
 	// AdmittedShares are, for each service, the part of the requests like this one that the
 	// other node took it to have room for; nil for all.
 	AdmittedShares []float64
 	// Within is the time after which a report is due; before it the answers are kept
 	// back, so that most runs send one message.
-	Within time.Duration
+	ReportInterval time.Duration
 }
 
 // Budget pays for sub-requests beyond the first of each part.
@@ -106,9 +106,9 @@
 	StopRule      StopReason = "stop_rule"
 	StopDeadline  StopReason = "deadline"
 	StopExhausted StopReason = "no_server_left"
-	// StopNotOffered means that no server has begun to run any part, and that the
+	// StopOverloaded means that no server has begun to run any part, and that the
 	// servers have more to do than they can.
-	StopNotOffered StopReason = "not_offered"
+	StopOverloaded StopReason = "not_offered"
 	// StopUnservable means that the known servers of too many services may not be asked
 	// for the request: they stand in regions to which it is not to go, or in zones that are
 	// being evacuated.
@@ -127,9 +127,9 @@
 	Failures []error
 	// Refusals holds for each part the last answer that is not a success but
 	// was made by a server, or nil.
-	Refusals []*exchange.Response
-	Got      int
-	Reason   StopReason
+	Refusals      []*exchange.Response
+	AnsweredCount int
+	Reason        StopReason
 	// Outcome is Completed if any server is known to have run the request,
 	// NotRun if none has or will, and Unknown otherwise.
 	Outcome outcome.Outcome
@@ -142,24 +142,24 @@
 	// Denied counts extra sub-requests that the budget did not pay for.
 	Denied int
 	// Broken counts the sub-requests whose server ended the connection before its answer.
-	Broken int
+	BrokenConnections int
 	// Attempts are the sub-requests of the parts that were not answered by the
 	// first server that was asked; at most maxAttemptRecords.
 	Attempts []AttemptRecord
 	// Asked counts the owners that were asked for parts, and Owners tells of those
 	// that did not answer whole at first.
-	Asked  int
-	Owners []OwnerRecord
+	OwnersAsked  int
+	OwnerRecords []OwnerRecord
 	// MayRun says of each part without an answer whether a server may have run it.
 	MayRun []bool
-	// EndedServers are those that ended while they had the request, if it is kept from
+	// CrashedServers are those that ended while they had the request, if it is kept from
 	// others.
-	EndedServers []fleet.Incarnation
+	CrashedServers []fleet.Incarnation
 	// Admission is the decision by which the request was let in or not.
 	Admission loadshed.Decision
-	// NoRoom says of each part whether a server refused it for want of room, or none
+	// ShedParts says of each part whether a server refused it for want of room, or none
 	// was free.
-	NoRoom []bool
+	ShedParts []bool
 }
 
 // AttemptRecord is the story of one sub-request, for logs.
@@ -184,7 +184,7 @@
 	Budget  Budget
 	Dialect *exchange.Dialect
 	// Sound reports whether an answer is a usable part.
-	Sound func(answer *exchange.Response) bool
+	IsUsable func(answer *exchange.Response) bool
 	// Linger is for how long an attempt that nobody waits for may go on, so
 	// that its connection can be used again.
 	Linger time.Duration
@@ -194,11 +194,11 @@
 	// Quarantine keeps requests from servers that end when they run them; nil for none.
 	Quarantine *quarantine.Guard
 	// Room is what is known of the room at services; nil to let everything in.
-	Room *Room
+	Admission *AdmissionControl
 }
 
 // Room is what a node knows of the room at services.
-type Room struct {
+type AdmissionControl struct {
 	// Admitter holds the shares that this node received and measured, Meters measures the services
 	// whose servers it asks, and Sampler assigns sampling values to its clients' requests.
 	Admitter *loadshed.Admitter
@@ -206,14 +206,14 @@
 	Sampler  *loadshed.Sampler
 }
 
-// NewRoom returns what a node knows that has measured nothing and was told nothing.
-func NewRoom(queues loadshed.Queues) *Room {
+// NewAdmissionControl returns what a node knows that has measured nothing and was told nothing.
+func NewAdmissionControl(queues loadshed.Queues) *AdmissionControl {
 	admitter := loadshed.NewAdmitter()
-	return &Room{Admitter: admitter, Meters: loadshed.NewMeters(queues, admitter), Sampler: &loadshed.Sampler{}}
+	return &AdmissionControl{Admitter: admitter, Meters: loadshed.NewMeters(queues, admitter), Sampler: &loadshed.Sampler{}}
 }
 
 // Sweep forgets what is old. It is called every second or so.
-func (r *Room) Sweep(now time.Time) {
+func (r *AdmissionControl) Sweep(now time.Time) {
 	r.Admitter.Sweep(now)
 	r.Meters.Sweep(now)
 }
--- a/pkg/fanout/fanout_test.go
+++ b/pkg/fanout/fanout_test.go
@@ -72,7 +72,7 @@
 	})
 	w.runner = &fanout.Runner{
 		Fleet: w.fleet, Budget: w.budget, Dialect: &exchangetest.Dialect, Linger: 350 * time.Millisecond,
-		Sound: func(answer *exchange.Response) bool { return answer.Status == http.StatusOK && answer.Evidence != "" },
+		IsUsable: func(answer *exchange.Response) bool { return answer.Status == http.StatusOK && answer.Evidence != "" },
 	}
 	return w
 }
@@ -115,7 +115,7 @@
 	return fanout.Plan{
 		Kind: "k", Services: services, Required: (len(services) + 1) / 2, Repeatable: true, MaxAttempts: 2,
 		Target: now.Add(200 * time.Millisecond), Deadline: now.Add(time.Second), Assumed: 20 * time.Millisecond,
-		Patience: 100 * time.Millisecond, Hedge: hedge, ExtraShare: 1,
+		MaxServerWait: 100 * time.Millisecond, Hedge: hedge, ExtraShare: 1,
 	}
 }
 
@@ -172,7 +172,7 @@
 		w.add("b", "b1", quick("b"))
 		result, took := w.run(plan("a", "b"))
 		g.Expect(result.Reason).To(Equal(fanout.StopTarget))
-		g.Expect(result.Got).To(Equal(1))
+		g.Expect(result.AnsweredCount).To(Equal(1))
 		g.Expect(took).To(Equal(200 * time.Millisecond))
 		g.Expect(w.arrivals("a2")).To(BeZero())
 		g.Expect(result.Denied).To(BeNumerically(">", 0))
@@ -203,7 +203,7 @@
 			w.add("a", name, exchangetest.Answer{Status: 500, Cut: -1, Header: map[string]string{"Mark": "m"}})
 		}
 		result, _ := w.run(plan("a"))
-		g.Expect(result.Got).To(BeZero())
+		g.Expect(result.AnsweredCount).To(BeZero())
 		g.Expect(result.Refusals[0].Status).To(Equal(500))
 		g.Expect(result.Outcome).To(Equal(outcome.Completed))
 		g.Expect(w.arrivals("a1", "a2", "a3", "a4")).To(Equal(2))
@@ -259,12 +259,12 @@
 		w.add("a", "a2", quick("second"))
 		time.AfterFunc(60*time.Millisecond, func() { w.budget.allow(1) })
 		result, took := w.run(plan("a"))
-		g.Expect(result.Got).To(Equal(1))
+		g.Expect(result.AnsweredCount).To(Equal(1))
 		g.Expect(result.Retries).To(Equal(1))
 		g.Expect(took).To(BeNumerically(">=", 60*time.Millisecond))
 
 		result, took = w.run(plan("a"))
-		g.Expect(result.Got).To(Equal(1), "the refusal is remembered")
+		g.Expect(result.AnsweredCount).To(Equal(1), "the refusal is remembered")
 		g.Expect(took).To(BeNumerically("<", 60*time.Millisecond))
 	})
 	in(t, func(g *WithT, w *world) {
@@ -272,7 +272,7 @@
 		w.add("a", "a1", exchangetest.Answer{Status: 503, Cut: -1, Header: map[string]string{"Refused": "1"}})
 		w.add("a", "a2", quick("never"))
 		result, took := w.run(plan("a"))
-		g.Expect(result.Got).To(BeZero())
+		g.Expect(result.AnsweredCount).To(BeZero())
 		g.Expect(took).To(BeNumerically("~", 120*time.Millisecond, 30*time.Millisecond))
 		g.Expect(result.Outcome).To(Equal(outcome.NotRun))
 	})
@@ -296,20 +296,20 @@
 		w.add("a", "a1", quick("a"))
 		result, took := w.run(plan("a", "b"))
 		g.Expect(result.Reason).To(Equal(fanout.StopExhausted))
-		g.Expect(result.Got).To(Equal(1))
+		g.Expect(result.AnsweredCount).To(Equal(1))
 		g.Expect(took).To(BeNumerically("<", 50*time.Millisecond))
 
 		whole := plan("a", "b")
 		whole.Required = 2
 		time.AfterFunc(50*time.Millisecond, func() { w.add("b", "b1", quick("b")) })
 		result, took = w.run(whole)
-		g.Expect(result.Got).To(Equal(2))
+		g.Expect(result.AnsweredCount).To(Equal(2))
 		g.Expect(took).To(BeNumerically("<", 120*time.Millisecond))
 
 		lacking := plan("a", "c")
 		lacking.Required = 2
 		result, took = w.run(lacking)
-		g.Expect(result.Got).To(Equal(1))
+		g.Expect(result.AnsweredCount).To(Equal(1))
 		g.Expect(took).To(BeNumerically("<=", 130*time.Millisecond), "it is given up when the patience ends")
 	})
 }
@@ -331,7 +331,7 @@
 		}
 		g.Expect(taken).To(BeNumerically(">", 0))
 		result, took := w.run(plan("a"))
-		g.Expect(result.Got).To(Equal(1))
+		g.Expect(result.AnsweredCount).To(Equal(1))
 		g.Expect(took).To(BeNumerically(">=", 60*time.Millisecond))
 	})
 }
@@ -392,7 +392,7 @@
 		w.fleet.Apply(fleet.Server{ID: "a1", Service: "a", Address: "a1", Zone: "z", Slots: 5}, time.Now())
 		patient := plan("a")
 		patient.Deadline = time.Now().Add(3 * time.Second)
-		patient.Patience = 3 * time.Second
+		patient.MaxServerWait = 3 * time.Second
 		result, _ := w.run(patient)
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 		g.Expect(string(result.Parts[0].Body)).To(Equal("at last"))
--- a/pkg/fanout/kept_back_test.go
+++ b/pkg/fanout/kept_back_test.go
@@ -128,8 +128,8 @@
 		w.endFirst("a1", "a2", "a3")
 		began := time.Now()
 		result := w.send(plan(fourShards...), "/ordinary")
-		g.Expect(result.Got).To(Equal(4))
-		g.Expect(result.Broken).To(Equal(1))
+		g.Expect(result.AnsweredCount).To(Equal(4))
+		g.Expect(result.BrokenConnections).To(Equal(1))
 		g.Expect(time.Since(began)).To(BeNumerically("~", 32*time.Millisecond, 10*time.Millisecond), "10 ms, a recheck, 10 ms")
 	})
 }
@@ -151,7 +151,7 @@
 		}
 		began := time.Now()
 		result := w.send(plan("a", "b"), "/ordinary")
-		g.Expect(result.Got).To(Equal(1))
+		g.Expect(result.AnsweredCount).To(Equal(1))
 		g.Expect(time.Since(began)).To(BeNumerically("<", 500*time.Millisecond))
 	})
 }
@@ -191,7 +191,7 @@
 		wanted.Required = len(fourShards)
 		began := time.Now()
 		result := w.send(wanted, "/shared")
-		g.Expect(result.Got).To(Equal(len(fourShards)))
+		g.Expect(result.AnsweredCount).To(Equal(len(fourShards)))
 		g.Expect(time.Since(began)).To(BeNumerically("<", 60*time.Millisecond))
 		g.Expect(w.runner.Quarantine.IsIdle()).To(BeTrue())
 	})
@@ -213,7 +213,7 @@
 		tried := plan(fourShards...)
 		tried.Required = len(fourShards)
 		result = w.send(tried, "/shared")
-		g.Expect(result.Got).To(Equal(len(fourShards)))
+		g.Expect(result.AnsweredCount).To(Equal(len(fourShards)))
 		g.Expect(w.standing("/shared")).To(Equal(quarantine.Clear))
 	})
 }
@@ -235,7 +235,7 @@
 		g.Expect(w.standing(deadlyTarget)).To(Equal(quarantine.Suspect))
 		needed := plan(shards...)
 		needed.Required = len(shards)
-		g.Expect(w.send(needed, "/ordinary").Got).To(Equal(len(shards)), "each shard has a server")
+		g.Expect(w.send(needed, "/ordinary").AnsweredCount).To(Equal(len(shards)), "each shard has a server")
 		result = w.send(plan(shards...), deadlyTarget)
 		g.Expect(result.Outcome).To(Equal(outcome.NotRun))
 
@@ -244,7 +244,7 @@
 		g.Expect(w.arrivedFor(deadlyTarget)).To(Equal(len(shards)+1), "tried once, with shard b")
 		needed = plan(shards...)
 		needed.Required = len(shards)
-		g.Expect(w.send(needed, "/other").Got).To(Equal(len(shards)))
+		g.Expect(w.send(needed, "/other").AnsweredCount).To(Equal(len(shards)))
 	})
 }
 
@@ -260,7 +260,7 @@
 		wanted.Required = len(fourShards)
 		began := time.Now()
 		result := w.send(wanted, "/shared")
-		g.Expect(result.Got).To(Equal(len(fourShards)))
+		g.Expect(result.AnsweredCount).To(Equal(len(fourShards)))
 		g.Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond))
 		g.Expect(w.standing("/shared")).To(Equal(quarantine.Clear))
 	})
@@ -275,10 +275,10 @@
 		time.AfterFunc(100*time.Millisecond, func() { w.suspect("/waits") })
 		time.AfterFunc(200*time.Millisecond, func() { w.add("late", "late1", exchangetest.Whole("x")) })
 		waiting := plan("late")
-		waiting.Patience = time.Second
+		waiting.MaxServerWait = time.Second
 		w.fleet.Apply(fleet.Server{ID: "gone", Service: "late", Address: "gone", Zone: "z"}, time.Now())
 		result := w.send(waiting, "/waits")
-		g.Expect(result.Got).To(Equal(1))
+		g.Expect(result.AnsweredCount).To(Equal(1))
 		g.Expect(w.standing("/waits")).To(Equal(quarantine.Clear))
 
 		w.suspect("/refused")
--- a/pkg/fanout/kept_shard_test.go
+++ b/pkg/fanout/kept_shard_test.go
@@ -64,16 +64,16 @@
 		defer w.close()
 		for began := time.Now(); time.Since(began) < repeatFor; time.Sleep(repeatEvery) {
 			result := w.send(plan(fourShards...), deadlyTarget)
-			g.Expect(result.Got).To(Equal(3))
+			g.Expect(result.AnsweredCount).To(Equal(3))
 			g.Expect(result.Parts[0]).To(BeNil())
 		}
 		t.Logf("%d servers ended", ended.Load())
 		g.Expect(ended.Load()).To(BeNumerically("<=", mostEndsOfAShard))
 		whole := plan(fourShards...)
 		whole.Required = len(fourShards)
-		g.Expect(w.send(whole, "/ordinary").Got).To(Equal(len(fourShards)))
+		g.Expect(w.send(whole, "/ordinary").AnsweredCount).To(Equal(len(fourShards)))
 		began := time.Now()
-		g.Expect(w.send(plan(fourShards...), deadlyTarget).Got).To(Equal(3))
+		g.Expect(w.send(plan(fourShards...), deadlyTarget).AnsweredCount).To(Equal(3))
 		g.Expect(time.Since(began)).To(BeNumerically("<", 50*time.Millisecond), "nothing waits for the shard")
 	})
 }
@@ -119,7 +119,7 @@
 		w.endFirst("a1", "a2", "a3", "a4")
 		wanted := plan(fourShards...)
 		wanted.Required, wanted.MaxAttempts = len(fourShards), 4
-		g.Expect(w.send(wanted, "/shared").Got).To(Equal(len(fourShards)))
+		g.Expect(w.send(wanted, "/shared").AnsweredCount).To(Equal(len(fourShards)))
 		g.Expect(w.runner.Quarantine.IsIdle()).To(BeTrue())
 	})
 }
@@ -147,8 +147,8 @@
 		wanted := plan(fourShards...)
 		wanted.Required, wanted.MaxAttempts = len(fourShards)-1, 4
 		result := w.send(wanted, "/ordinary")
-		g.Expect(result.Got).To(Equal(len(fourShards) - 1))
-		g.Expect(result.Broken).To(Equal(3))
+		g.Expect(result.AnsweredCount).To(Equal(len(fourShards) - 1))
+		g.Expect(result.BrokenConnections).To(Equal(3))
 		g.Expect(w.runner.Quarantine.IsIdle()).To(BeTrue())
 	})
 }
--- a/pkg/fanout/launch.go
+++ b/pkg/fanout/launch.go
@@ -290,7 +290,7 @@
 		return fleet.WrongInstance
 	case answer.Header.Get(r.Dialect.NotRun) != "":
 		return fleet.Refused
-	case !r.Sound(answer):
+	case !r.IsUsable(answer):
 		return fleet.Failed
 	}
 	return fleet.Answered
--- a/pkg/fanout/owners.go
+++ b/pkg/fanout/owners.go
@@ -38,20 +38,20 @@
 	Required int
 	Request  *exchange.Request
 	// Lot orders the request among others.
-	Lot uint64
+	SamplingValue uint64
 	// Spared are the positions of services that are left to those that need them.
-	Spared []int
+	Skipped []int
 	// AdmittedShares are, for each service, the part of the requests like this one that the
 	// asking node takes the service to have room for; nil for all.
 	AdmittedShares []float64
-	// ReportWithin is the time after which the owner reports what it has.
-	ReportWithin time.Duration
+	// ReportInterval is the time after which the owner reports what it has.
+	ReportInterval time.Duration
 }
 
-// Leeway is how much later than ReportWithin a report may come before its owner is taken for
+// Leeway is how much later than ReportInterval a report may come before its owner is taken for
 // silent: the time for the ways there and back, and for the delays of two processes.
 func (q *Question) Leeway() time.Duration {
-	return time.Duration((silenceFactor - 1) * float64(q.ReportWithin))
+	return time.Duration((silenceFactor - 1) * float64(q.ReportInterval))
 }
 
 // Pending is a question under way.
@@ -60,8 +60,8 @@
 	Cancel()
 	// Grant lets the owner ask one further server of each service at the positions.
 	Grant(indexes []int)
-	// Silent tells that no report came in time.
-	Silent()
+	// MarkSilent tells that no report came in time.
+	MarkSilent()
 }
 
 // Report is what an owner has got since its last report.
@@ -78,9 +78,9 @@
 	Ended bool
 	// Err is why nothing more comes; an *outcome.Error.
 	Err error
-	// EndedServers are those that ended while they had the request, if the owner keeps it
+	// CrashedServers are those that ended while they had the request, if the owner keeps it
 	// from others.
-	EndedServers []fleet.Incarnation
+	CrashedServers []fleet.Incarnation
 	// Sent, Hedges, Retries and Denied count as in Result.
 	Sent, Hedges, Retries, Denied int
 }
@@ -109,7 +109,7 @@
 	// a small processor, and its silence is to be noticed also without a target.
 	leastReport    = 20 * time.Millisecond
 	greatestReport = 250 * time.Millisecond
-	// silenceFactor times ReportWithin is when an owner without a report is taken
+	// silenceFactor times ReportInterval is when an owner without a report is taken
 	// for silent: the report's way, and the delays of two busy processes.
 	silenceFactor = 1.5
 	// stallSlack is how late a timer may fire before silence is put down to this
@@ -141,10 +141,10 @@
 // askOwners asks the owners of the plan's services.
 func (r *run) askOwners(now time.Time) {
 	if r.plan.Collect != nil {
-		if r.plan.Collect.Lot != 0 {
-			r.lot = r.plan.Collect.Lot
+		if r.plan.Collect.SamplingValue != 0 {
+			r.lot = r.plan.Collect.SamplingValue
 		}
-		r.fresh, r.reportAt = make(map[int]*exchange.Response), now.Add(r.plan.Collect.Within)
+		r.fresh, r.reportAt = make(map[int]*exchange.Response), now.Add(r.plan.Collect.ReportInterval)
 		for index := range r.parts {
 			r.parts[index].owned = true
 		}
@@ -189,7 +189,7 @@
 	required := (r.plan.Required*len(services) + len(r.parts) - 1) / len(r.parts)
 	asked.pending = r.runner.Owners.Ask(Question{
 		Owner: group.Owner, Services: services, Plan: &r.plan, Required: required, Request: r.request,
-		ReportWithin: asked.within, Lot: r.lot, Spared: r.sparedOf(group.Indexes),
+		ReportInterval: asked.within, SamplingValue: r.lot, Skipped: r.sparedOf(group.Indexes),
 		AdmittedShares: r.admittedShares(services, now),
 	}, func(report Report) { r.inbox.put(asked, report) })
 }
@@ -220,7 +220,7 @@
 		from.silentAt = now.Add(from.patience())
 	}
 	r.takeAnswers(from, report.Answers, now)
-	r.learnEnded(report.EndedServers, now)
+	r.learnEnded(report.CrashedServers, now)
 	r.grant(from, report.Wanted)
 	r.sent += report.Sent
 	r.hedges += report.Hedges
@@ -245,7 +245,7 @@
 // are merged. They take the place of what this node has got for the same parts itself.
 func (r *run) takeAnswers(from *question, answers map[int]*exchange.Response, now time.Time) {
 	for position, answer := range answers {
-		if position < 0 || position >= len(from.indexes) || !r.runner.Sound(answer) || from.told[position] {
+		if position < 0 || position >= len(from.indexes) || !r.runner.IsUsable(answer) || from.told[position] {
 			return
 		}
 	}
@@ -351,7 +351,7 @@
 			continue
 		}
 		asked.silentAt, asked.result = time.Time{}, "silent"
-		asked.pending.Silent()
+		asked.pending.MarkSilent()
 		for _, index := range asked.indexes {
 			if part := &r.parts[index]; part.question == asked && part.answer == nil {
 				r.askBeside(index, now)
@@ -371,7 +371,7 @@
 		return nil
 	}
 	fresh, wants := r.fresh, r.wants
-	r.fresh, r.wants, r.told, r.reportAt = make(map[int]*exchange.Response), nil, true, now.Add(collect.Within)
+	r.fresh, r.wants, r.told, r.reportAt = make(map[int]*exchange.Response), nil, true, now.Add(collect.ReportInterval)
 	return collect.Report(fresh, wants)
 }
 
--- a/pkg/fanout/regions_test.go
+++ b/pkg/fanout/regions_test.go
@@ -46,7 +46,7 @@
 		w.add("a", "a-near", exchangetest.Answer{Hang: true})
 		w.add("a", "a-far", quick("A"))
 		result, _ := w.run(boundPlan(only("here"), "a"))
-		g.Expect(result.Got).To(BeZero())
+		g.Expect(result.AnsweredCount).To(BeZero())
 		g.Expect(w.arrivals("a-near")).To(Equal(1))
 		g.Expect(w.arrivals("a-far")).To(BeZero())
 	})
@@ -62,7 +62,7 @@
 		regions := only("here", "there")
 		time.AfterFunc(10*time.Millisecond, func() { regions.Store(only("here").Load()) })
 		result, _ := w.run(boundPlan(regions, "a"))
-		g.Expect(result.Got).To(BeZero())
+		g.Expect(result.AnsweredCount).To(BeZero())
 		g.Expect(w.arrivals("a-far")).To(BeZero())
 	})
 }
@@ -82,7 +82,7 @@
 		w.add("a", "a-far", quick("A"))
 		w.add("b", "b-far", quick("B"))
 		result, _ = w.run(boundPlan(only("there"), "a", "b", "c"))
-		g.Expect(result.Got).To(Equal(2), "enough shards have a server there")
+		g.Expect(result.AnsweredCount).To(Equal(2), "enough shards have a server there")
 		g.Expect(w.arrivals("a-near", "b-near", "c-near")).To(BeZero())
 	})
 }
--- a/pkg/fanout/result.go
+++ b/pkg/fanout/result.go
@@ -104,11 +104,11 @@
 func (r *run) result(reason StopReason) Result {
 	result := Result{
 		Parts: make([]*exchange.Response, len(r.parts)), Failures: make([]error, len(r.parts)),
-		Refusals: make([]*exchange.Response, len(r.parts)),
-		Got:      r.got, Reason: reason, Hedges: r.hedges, Retries: r.retries, Sent: r.sent, Denied: r.denied, Broken: r.broken,
-		Attempts: r.records(time.Now()), Asked: len(r.questions), Owners: r.ownerRecords(),
-		EndedServers: r.endedServers(), Admission: r.admission,
-		MayRun: make([]bool, len(r.parts)), NoRoom: make([]bool, len(r.parts)),
+		Refusals:      make([]*exchange.Response, len(r.parts)),
+		AnsweredCount: r.got, Reason: reason, Hedges: r.hedges, Retries: r.retries, Sent: r.sent, Denied: r.denied, BrokenConnections: r.broken,
+		Attempts: r.records(time.Now()), OwnersAsked: len(r.questions), OwnerRecords: r.ownerRecords(),
+		CrashedServers: r.endedServers(), Admission: r.admission,
+		MayRun: make([]bool, len(r.parts)), ShedParts: make([]bool, len(r.parts)),
 	}
 	ran, mayRun := false, false
 	for index := range r.parts {
@@ -117,7 +117,7 @@
 		if each.answer == nil && each.shed {
 			result.Shed++
 		}
-		result.MayRun[index], result.NoRoom[index] = each.mayHaveRun(), each.shed
+		result.MayRun[index], result.ShedParts[index] = each.mayHaveRun(), each.shed
 		ran = ran || each.ran
 		mayRun = mayRun || each.executions > 0
 	}
@@ -144,7 +144,7 @@
 	case !r.isServable():
 		return StopUnservable
 	case !r.isLetIn():
-		return StopNotOffered
+		return StopOverloaded
 	}
 	return ""
 }
@@ -166,7 +166,7 @@
 	}
 	for index := range r.parts {
 		part := &r.parts[index]
-		part.shed = reason == StopNotOffered
+		part.shed = reason == StopOverloaded
 		part.failure = &outcome.Error{Step: "let in", Peer: part.service, Outcome: outcome.NotRun, Reason: cause}
 	}
 	return r.result(reason)
--- a/pkg/fanout/run.go
+++ b/pkg/fanout/run.go
@@ -239,7 +239,7 @@
 	if part.answer != nil {
 		return
 	}
-	if result.err == nil && r.runner.Sound(result.answer) {
+	if result.err == nil && r.runner.IsUsable(result.answer) {
 		r.accept(index, result.answer, now)
 		return
 	}
@@ -332,7 +332,7 @@
 	if part.idleSince.IsZero() {
 		part.idleSince = now
 	}
-	if now.Sub(part.idleSince) < r.plan.Patience && !r.isHopeless(part, now) {
+	if now.Sub(part.idleSince) < r.plan.MaxServerWait && !r.isHopeless(part, now) {
 		return true
 	}
 	r.closePart(part)
--- a/pkg/fanout/spared_test.go
+++ b/pkg/fanout/spared_test.go
@@ -42,7 +42,7 @@
 type ignored struct{}
 
 func (ignored) Cancel()     {}
-func (ignored) Silent()     {}
+func (ignored) MarkSilent() {}
 func (ignored) Grant([]int) {}
 
 func answeredBy(owner string) fanout.Report {
@@ -57,8 +57,8 @@
 // leaveToOthers makes a service short of room, so that requests that have enough without it leave
 // it to others.
 func (w *world) leaveToOthers(service string) {
-	w.runner.Room = fanout.NewRoom(w.fleet)
-	w.runner.Room.Admitter.Update(loadshed.Key{Service: service}, share(0), time.Now())
+	w.runner.Admission = fanout.NewAdmissionControl(w.fleet)
+	w.runner.Admission.Admitter.Update(loadshed.Key{Service: service}, share(0), time.Now())
 }
 
 // TestASparedPartStaysWithItsOwner once another part has failed: the one server that may run the
@@ -75,7 +75,7 @@
 		asked := plan("a", "b", "c")
 		asked.MaxAttempts = 1
 		result, took := w.run(asked)
-		g.Expect(result.Got).To(Equal(2))
+		g.Expect(result.AnsweredCount).To(Equal(2))
 		g.Expect(took).To(Equal(20 * time.Millisecond))
 		g.Expect(w.arrivals("a1")).To(BeZero())
 	})
@@ -101,7 +101,7 @@
 				}
 				w.leaveToOthers("a")
 				result, took := w.run(plan("a", "b", "c"))
-				g.Expect(result.Got).To(Equal(2))
+				g.Expect(result.AnsweredCount).To(Equal(2))
 				g.Expect(took).To(BeNumerically("<", 150*time.Millisecond))
 				g.Expect(w.budget.spent).To(Equal(expected.spent))
 				g.Expect(w.arrivals("a1")).To(Equal(expected.asked))
--- a/pkg/fanout/turned_away_test.go
+++ b/pkg/fanout/turned_away_test.go
@@ -44,7 +44,7 @@
 		w.add("s", "full", exchangetest.Whole("x"))
 		w.add("s", "free", exchangetest.Whole("x"))
 		result, _ := w.run(plan("s"))
-		g.Expect(result.Got).To(Equal(1))
+		g.Expect(result.AnsweredCount).To(Equal(1))
 		g.Expect(result.Denied).To(BeZero())
 		g.Expect(w.arrivals("full", "free")).To(Equal(1))
 		time.Sleep(time.Minute)
--- a/pkg/owner/announcer.go
+++ b/pkg/owner/announcer.go
@@ -35,7 +35,7 @@
 // Announcer tells the nodes of the region what this node measures, as an owner, of the room at
 // services, and takes what other owners tell. It is safe for concurrent use.
 type Announcer struct {
-	known     *fanout.Room
+	known     *fanout.AdmissionControl
 	roster    *Roster
 	transport peer.Transport
 	told      func([]loadshed.Measurement)
@@ -49,7 +49,7 @@
 // AnnouncerOptions are the parts of an Announcer.
 type AnnouncerOptions struct {
 	// Known is what this node measures, and takes what others tell.
-	Known *fanout.Room
+	Known *fanout.AdmissionControl
 	// Roster has the nodes that are told.
 	Roster    *Roster
 	Transport peer.Transport
--- a/pkg/owner/announcer_test.go
+++ b/pkg/owner/announcer_test.go
@@ -27,7 +27,7 @@
 type roomNode struct {
 	announcer *owner.Announcer
 	board     *loadshed.Admitter
-	known     *fanout.Room
+	known     *fanout.AdmissionControl
 	queues    *crowdedQueues
 	told      atomic.Int64
 }
@@ -47,7 +47,7 @@
 		done := make(chan struct{}, len(known))
 		for _, each := range known {
 			created := &roomNode{queues: &crowdedQueues{}}
-			created.known = fanout.NewRoom(created.queues)
+			created.known = fanout.NewAdmissionControl(created.queues)
 			created.board = created.known.Admitter
 			roster := owner.NewRoster(each, map[string]string{"z": "r", "y": "r", "x": "q"}, noServers{})
 			roster.SetNodes(known)
--- a/pkg/owner/client.go
+++ b/pkg/owner/client.go
@@ -87,8 +87,8 @@
 // errSilent is why an owner that reports nothing is left out.
 var errSilent = errors.New("no report came in time")
 
-// Silent implements fanout.Pending.
-func (p *pending) Silent() {
+// MarkSilent implements fanout.Pending.
+func (p *pending) MarkSilent() {
 	p.isLate.Store(true)
 	p.NoteSilence()
 	p.lose(p.leeway, errSilent)
@@ -98,7 +98,7 @@
 type unsent struct{}
 
 func (unsent) Cancel()     {}
-func (unsent) Silent()     {}
+func (unsent) MarkSilent() {}
 func (unsent) Grant([]int) {}
 
 // Ask implements fanout.Owners.
@@ -222,10 +222,10 @@
 		HasBody: request.HasBody, Kind: plan.Kind, Services: question.Services, Required: uint32(question.Required),
 		MaxAttempts: uint32(plan.MaxAttempts), TopRecords: uint32(plan.TopRecords),
 		DeadlineUs: microseconds(plan.Deadline.Sub(now)), AssumedUs: microseconds(plan.Assumed),
-		ReportUs: microseconds(question.ReportWithin), Version: plan.Version,
-		Tenant: plan.Tenant, Priority: int32(plan.Priority), Lot: question.Lot, AdmittedShares: question.AdmittedShares,
+		ReportUs: microseconds(question.ReportInterval), Version: plan.Version,
+		Tenant: plan.Tenant, Priority: int32(plan.Priority), Lot: question.SamplingValue, AdmittedShares: question.AdmittedShares,
 	}
-	for _, position := range question.Spared {
+	for _, position := range question.Skipped {
 		encoded.Spared = append(encoded.Spared, uint32(position))
 	}
 	if plan.Regions != nil {
@@ -257,7 +257,7 @@
 		Sent: int(encoded.Sent), Hedges: int(encoded.Hedges), Retries: int(encoded.Retries), Denied: int(encoded.Denied),
 	}
 	for _, each := range encoded.EndedIncarnations {
-		report.EndedServers = append(report.EndedServers, fleet.Incarnation{ID: each.Id, Start: fleet.Start(each.Start)})
+		report.CrashedServers = append(report.CrashedServers, fleet.Incarnation{ID: each.Id, Start: fleet.Start(each.Start)})
 	}
 	for _, index := range encoded.Wanted {
 		report.Wanted = append(report.Wanted, int(index))
--- a/pkg/owner/cluster_test.go
+++ b/pkg/owner/cluster_test.go
@@ -219,7 +219,7 @@
 	created.client = owner.NewClient(created.roster, created.transport, loadshed.NewAdmitter(), created)
 	runner := fanout.Runner{
 		Fleet: created.fleet, Budget: created.budget, Dialect: &exchangetest.Dialect, Linger: 350 * time.Millisecond,
-		Sound: func(answer *exchange.Response) bool { return answer.Status == http.StatusOK && answer.Evidence != "" },
+		IsUsable: func(answer *exchange.Response) bool { return answer.Status == http.StatusOK && answer.Evidence != "" },
 	}
 	runner.Quarantine = quarantine.New(quarantine.Options{
 		Ledger: c.claims, LedgerUnavailable: func() bool { return false }, Dialer: c.servers, Events: c.claims,
@@ -255,7 +255,7 @@
 	plan := fanout.Plan{
 		Kind: "k", Services: c.services, Required: c.required, Repeatable: true, MaxAttempts: maxAttempts, TopRecords: 2 * shardCount,
 		Target: began.Add(200 * time.Millisecond), Deadline: began.Add(time.Second), Assumed: 10 * time.Millisecond,
-		Patience: time.Second, Hedge: hedge, ExtraShare: 1,
+		MaxServerWait: time.Second, Hedge: hedge, ExtraShare: 1,
 	}
 	request := &exchange.Request{Method: "GET", Target: "/", ID: "r", Header: http.Header{"Name": {"value"}}}
 	// Attempts that nobody waits for still look at it when the next request is sent.
--- a/pkg/owner/deadline_test.go
+++ b/pkg/owner/deadline_test.go
@@ -28,7 +28,7 @@
 		began := time.Now()
 		plan := fanout.Plan{
 			Kind: "k", Services: c.services, Required: c.required, Repeatable: true, MaxAttempts: maxAttempts,
-			Deadline: began.Add(4900 * time.Microsecond), Assumed: 10 * time.Millisecond, Patience: time.Second, Hedge: hedge, ExtraShare: 1,
+			Deadline: began.Add(4900 * time.Microsecond), Assumed: 10 * time.Millisecond, MaxServerWait: time.Second, Hedge: hedge, ExtraShare: 1,
 		}
 		result := asker.runner.Run(c.t.Context(), plan, &exchange.Request{Method: "GET", Target: "/", ID: "r"})
 		g.Expect(result.Reason).To(Equal(fanout.StopDeadline))
--- a/pkg/owner/deadly_test.go
+++ b/pkg/owner/deadly_test.go
@@ -55,7 +55,7 @@
 		asker, owners := c.outsider()
 		c.endAll()
 		result, took := c.ask(c.t.Context(), asker)
-		g.Expect(result.Got).To(BeZero())
+		g.Expect(result.AnsweredCount).To(BeZero())
 		g.Expect(result.Outcome).To(Equal(outcome.Unknown))
 		g.Expect(took).To(BeNumerically("<", 200*time.Millisecond))
 		ended := c.arrivals("near") + c.arrivals("far")
@@ -94,7 +94,7 @@
 		}
 		for range 4 {
 			result, _ := c.ask(c.t.Context(), asker)
-			g.Expect(result.Got).To(Equal(shardCount - 1))
+			g.Expect(result.AnsweredCount).To(Equal(shardCount - 1))
 			g.Expect(result.Parts[0]).To(BeNil())
 		}
 		g.Expect(arrived()).To(Equal(quarantine.ImmediateTrials), "two trials of the asking node")
@@ -102,7 +102,7 @@
 		for _, each := range c.nodes {
 			if runner := each.runner; runner.Quarantine.IsIdle() {
 				result, _ := c.ask(c.t.Context(), each)
-				g.Expect(result.Got).To(BeNumerically(">=", shardCount-1))
+				g.Expect(result.AnsweredCount).To(BeNumerically(">=", shardCount-1))
 				g.Expect(arrived()-quarantine.ImmediateTrials).To(BeNumerically("<=", maxAttempts), "what it asks itself")
 				return
 			}
--- a/pkg/owner/fuzz_test.go
+++ b/pkg/owner/fuzz_test.go
@@ -46,8 +46,8 @@
 	}}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		before := allocated()
-		if decoded, _, err := decodeReport(body); err == nil && len(decoded.EndedServers) > len(body) {
-			t.Fatalf("%d servers from %d bytes", len(decoded.EndedServers), len(body))
+		if decoded, _, err := decodeReport(body); err == nil && len(decoded.CrashedServers) > len(body) {
+			t.Fatalf("%d servers from %d bytes", len(decoded.CrashedServers), len(body))
 		}
 		asked := &ownerpb.Question{}
 		if asked.UnmarshalVT(body) == nil {
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -25,7 +25,7 @@
 		asker, _ := c.outsider()
 		result, took := c.ask(c.t.Context(), asker)
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
-		g.Expect(result.Asked).To(Equal(groupCount))
+		g.Expect(result.OwnersAsked).To(Equal(groupCount))
 		g.Expect(took).To(BeNumerically("<", 20*time.Millisecond))
 		g.Expect(c.executions()).To(Equal(1))
 		g.Expect(asker.budget.earned).To(BeZero(), "owners pay for what they send")
@@ -43,7 +43,7 @@
 		_, owners := c.outsider()
 		result, _ := c.ask(c.t.Context(), c.node(owners[0]))
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
-		g.Expect(result.Asked).To(BeNumerically("<", groupCount))
+		g.Expect(result.OwnersAsked).To(BeNumerically("<", groupCount))
 		g.Expect(c.executions()).To(Equal(1))
 	})
 }
@@ -54,7 +54,7 @@
 		asker.fleet.SetCallers(fleet.Callers{Total: 2, ByZone: map[string]int{"z": 2}})
 		result, _ := c.ask(c.t.Context(), asker)
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
-		g.Expect(result.Asked).To(BeZero())
+		g.Expect(result.OwnersAsked).To(BeZero())
 		g.Expect(asker.budget.earned).To(Equal(shardCount))
 	})
 }
@@ -69,7 +69,7 @@
 		g.Expect(c.executions()).To(Equal(1))
 		g.Expect(asker.budget.spent).To(BeZero(), "nothing was sent to the owner")
 		result, _ = c.ask(c.t.Context(), asker)
-		g.Expect(result.Owners).To(BeEmpty(), "the next in rank has taken its place")
+		g.Expect(result.OwnerRecords).To(BeEmpty(), "the next in rank has taken its place")
 	})
 }
 
@@ -209,7 +209,7 @@
 		})
 		result, _ := c.ask(c.t.Context(), asker)
 		g.Expect(result.Reason).To(Equal(fanout.StopTarget))
-		g.Expect(result.Got).To(Equal(shardCount - 1))
+		g.Expect(result.AnsweredCount).To(Equal(shardCount - 1))
 	})
 }
 
--- a/pkg/owner/parts_test.go
+++ b/pkg/owner/parts_test.go
@@ -73,7 +73,7 @@
 		for _, each := range known {
 			roster := owner.NewRoster(each, map[string]string{"z": "r"}, noServers{})
 			roster.SetNodes(known)
-			room := fanout.NewRoom(&crowdedQueues{})
+			room := fanout.NewAdmissionControl(&crowdedQueues{})
 			announcer := owner.NewAnnouncer(owner.AnnouncerOptions{
 				Known: room, Roster: roster, Told: func([]loadshed.Measurement) {},
 				Transport: counted{region.network.Transport(peer.Address(each.Name)), region, each.Name},
--- a/pkg/owner/regions_test.go
+++ b/pkg/owner/regions_test.go
@@ -24,8 +24,8 @@
 		asker, _ := c.outsider()
 		c.regions = route.OnlyRegions([]string{"q"})
 		result, _ := c.ask(c.t.Context(), asker)
-		g.Expect(result.Asked).To(BeZero(), "no owner")
-		g.Expect(result.Got).To(Equal(shardCount))
+		g.Expect(result.OwnersAsked).To(BeZero(), "no owner")
+		g.Expect(result.AnsweredCount).To(Equal(shardCount))
 		g.Expect(c.arrivals("near")).To(BeZero())
 		g.Expect(c.arrivals("far")).To(Equal(shardCount))
 	})
@@ -41,8 +41,8 @@
 		}
 		c.regions = route.OnlyRegions([]string{"r"})
 		result, _ := c.ask(c.t.Context(), asker)
-		g.Expect(result.Asked).To(Equal(groupCount))
-		g.Expect(result.Got).To(BeZero())
+		g.Expect(result.OwnersAsked).To(Equal(groupCount))
+		g.Expect(result.AnsweredCount).To(BeZero())
 		g.Expect(c.arrivals("far")).To(BeZero())
 
 		c.regions = route.OnlyRegions([]string{"r", "q"})
--- a/pkg/owner/server.go
+++ b/pkg/owner/server.go
@@ -175,8 +175,8 @@
 		Kind: question.Kind, Tenant: question.Tenant, Priority: int(question.Priority),
 		Services: question.Services, Required: int(question.Required), Repeatable: true,
 		MaxAttempts: int(question.MaxAttempts), Deadline: began.Add(left), Assumed: span(question.AssumedUs),
-		Patience: left, Hedge: hedge, ExtraShare: share,
-		Collect: &fanout.Collect{Within: span(question.ReportUs), Lot: question.Lot},
+		MaxServerWait: left, Hedge: hedge, ExtraShare: share,
+		Collect: &fanout.Collect{ReportInterval: span(question.ReportUs), SamplingValue: question.Lot},
 	}
 	asked := Asked{
 		Host: question.Host, Target: question.Target, Version: question.Version, Tenant: question.Tenant,
@@ -184,7 +184,7 @@
 	}
 	plan.Regions = func() route.Regions { return s.options.Regions(asked) }
 	for _, position := range question.Spared {
-		plan.Collect.Spared = append(plan.Collect.Spared, int(position))
+		plan.Collect.Skipped = append(plan.Collect.Skipped, int(position))
 	}
 	if len(question.AdmittedShares) == len(question.Services) {
 		plan.Collect.AdmittedShares = question.AdmittedShares
@@ -236,7 +236,7 @@
 	report.Ended = true
 	report.Sent, report.Hedges = uint32(result.Sent), uint32(result.Hedges)
 	report.Retries, report.Denied = uint32(result.Retries), uint32(result.Denied)
-	for _, each := range result.EndedServers {
+	for _, each := range result.CrashedServers {
 		ended := &ownerpb.Incarnation{Id: each.ID, Start: int64(each.Start)}
 		report.EndedIncarnations = append(report.EndedIncarnations, ended)
 	}
@@ -245,7 +245,7 @@
 			continue
 		}
 		failure := &ownerpb.Failure{
-			Index: uint32(index), Cause: "no answer", Shed: result.NoRoom[index], NotRun: !result.MayRun[index],
+			Index: uint32(index), Cause: "no answer", Shed: result.ShedParts[index], NotRun: !result.MayRun[index],
 		}
 		if err := result.Failures[index]; err != nil {
 			failure.Cause = err.Error()
