--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -165,10 +165,10 @@
 
 func newFleet(settings *Settings) *fleet.Fleet {
 	return fleet.New(fleet.Settings{
-		Node:        settings.Node.Name,
-		Local:       fleet.Place{Zone: settings.Node.Zone, Region: settings.Node.Region},
-		Regions:     settings.Zones,
-		LeaveWithin: settings.leaveWithin(), WarmUpBounds: settings.warmUpBounds(),
+		Node:       settings.Node.Name,
+		Local:      fleet.Place{Zone: settings.Node.Zone, Region: settings.Node.Region},
+		Regions:    settings.Zones,
+		LeaveGrace: settings.leaveWithin(), WarmUpBounds: settings.warmUpBounds(),
 		Dialer: newServerDialer(),
 		Random: newRandom(),
 	})
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -67,7 +67,7 @@
 	})
 	n.figures.gauge("servers", "Servers that the platform lists.", func() float64 { return float64(n.state.fleet.Len()) })
 	n.figures.gauge("servers_pausing", "Servers that pause by a clock and whose next pause is foreseen.", func() float64 {
-		return float64(n.state.fleet.Pausing(time.Now()))
+		return float64(n.state.fleet.CountPredictedPauses(time.Now()))
 	})
 	n.figures.gauge("nodes", "Nodes that are registered.", func() float64 { return float64(len(n.state.knownNodes())) })
 	n.figures.gauge("client_connections", "Open connections of clients.", func() float64 { return float64(n.listener.Open()) })
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -49,7 +49,7 @@
 	}
 	n.settings.Store(offered)
 	n.state.budgets.setBounds(offered.Bounds)
-	n.state.fleet.SetLeaveWithin(offered.leaveWithin())
+	n.state.fleet.SetLeaveGrace(offered.leaveWithin())
 	n.state.fleet.SetWarmUpBounds(offered.warmUpBounds())
 	n.follower.SetStalenessBound(offered.newsAge())
 	n.follower.SetWriteBackSpan(offered.writeBackSpan())
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -150,9 +150,9 @@
 	switch change.Kind {
 	case fleet.Unchanged:
 		return
-	case fleet.Mistaken, fleet.StillMistaken:
+	case fleet.Invalid, fleet.StillInvalid:
 		entry.Problem = errNoStart
-		s.tellRefused(entry, change.Kind == fleet.Mistaken)
+		s.tellRefused(entry, change.Kind == fleet.Invalid)
 		return
 	case fleet.Restarted:
 		s.quarantine.RecordReplacement(change.Replaced, now)
@@ -180,7 +180,7 @@
 // known under its key is left as if the key had gone; for anything else the last good state stays
 // in force.
 func (s *state) refuse(entry directory.Entry) {
-	isKnown := entry.ServerID != "" && s.fleet.Refuse(entry.ServerID, time.Now())
+	isKnown := entry.ServerID != "" && s.fleet.RejectEntry(entry.ServerID, time.Now())
 	s.tellRefused(entry, isKnown)
 }
 
--- a/pkg/fanout/fanout_test.go
+++ b/pkg/fanout/fanout_test.go
@@ -68,7 +68,7 @@
 		known: make(map[string]bool),
 	}
 	w.fleet = fleet.New(fleet.Settings{
-		Local: fleet.Place{Zone: "z"}, LeaveWithin: time.Second, Dialer: w.network, Random: rand.New(rand.NewPCG(1, 1)),
+		Local: fleet.Place{Zone: "z"}, LeaveGrace: time.Second, Dialer: w.network, Random: rand.New(rand.NewPCG(1, 1)),
 	})
 	w.runner = &fanout.Runner{
 		Fleet: w.fleet, Budget: w.budget, Dialect: &exchangetest.Dialect, Linger: 350 * time.Millisecond,
--- a/pkg/fanout/kept_back.go
+++ b/pkg/fanout/kept_back.go
@@ -100,7 +100,7 @@
 	if len(r.parts) == 1 || len(ended) < spareAfter {
 		return true
 	}
-	inReach, all := r.runner.Fleet.CountInReach(part.service, r.regions(), ended, now)
+	inReach, all := r.runner.Fleet.CountReachable(part.service, r.regions(), ended, now)
 	return inReach >= 2 || inReach == all
 }
 
--- a/pkg/fanout/launch.go
+++ b/pkg/fanout/launch.go
@@ -170,7 +170,7 @@
 	return fleet.Choice{
 		Service: part.service, Kind: r.plan.Kind, Assumed: r.plan.Assumed,
 		Target: r.targetSpan(), Span: r.plan.Deadline.Sub(r.began),
-		Rank: r.rank(part), Excluded: excluded, Owned: part.owned, Regions: r.regions(),
+		Rank: r.rank(part), Excluded: excluded, AsOwner: part.owned, Regions: r.regions(),
 	}
 }
 
@@ -178,7 +178,7 @@
 func (r *run) rank(part *part) fleet.Rank {
 	return fleet.Rank{
 		Needed: r.isNeeded(part), Target: r.plan.Target, Deadline: r.plan.Deadline,
-		Lot: loadshed.WaitOrder(r.lot, r.plan.Priority),
+		WaitOrder: loadshed.WaitOrder(r.lot, r.plan.Priority),
 	}
 }
 
--- a/pkg/fanout/regions_test.go
+++ b/pkg/fanout/regions_test.go
@@ -18,7 +18,7 @@
 // inRegions gives the world's zones a region each.
 func (w *world) inRegions() {
 	w.fleet = fleet.New(fleet.Settings{
-		Local: fleet.Place{Zone: "z", Region: "here"}, LeaveWithin: time.Second, Dialer: w.network,
+		Local: fleet.Place{Zone: "z", Region: "here"}, LeaveGrace: time.Second, Dialer: w.network,
 		Regions: map[string]string{"z": "here", "far": "there"}, Random: rand.New(rand.NewPCG(1, 1)),
 	})
 	w.runner.Fleet = w.fleet
--- a/pkg/fanout/result.go
+++ b/pkg/fanout/result.go
@@ -95,8 +95,8 @@
 	}
 	return AttemptRecord{
 		Service: part.service, Server: sent.lease.Server.ID, Zone: sent.lease.Server.Zone,
-		SentMillis: sent.lease.Began().Sub(r.began).Milliseconds(),
-		TookMillis: ended.Sub(sent.lease.Began()).Milliseconds(), Result: result,
+		SentMillis: sent.lease.AcquiredAt().Sub(r.began).Milliseconds(),
+		TookMillis: ended.Sub(sent.lease.AcquiredAt()).Milliseconds(), Result: result,
 	}
 }
 
--- a/pkg/fanout/run.go
+++ b/pkg/fanout/run.go
@@ -343,7 +343,7 @@
 // expected before it ends: an outage lasts about as long again as it has. A gathered
 // request keeps what it has got.
 func (r *run) isHopeless(part *part, now time.Time) bool {
-	return len(r.parts) == 1 && part.absent && r.runner.Fleet.AbsentFor(r.load(part.service), now) >= r.plan.Deadline.Sub(now)
+	return len(r.parts) == 1 && part.absent && r.runner.Fleet.NoServerDuration(r.load(part.service), now) >= r.plan.Deadline.Sub(now)
 }
 
 // closePart ends the search for a server of a part.
--- a/pkg/fanout/turned_away_test.go
+++ b/pkg/fanout/turned_away_test.go
@@ -37,7 +37,7 @@
 		w := newWorld()
 		w.budget.allowed = 0
 		w.fleet = fleet.New(fleet.Settings{
-			Local: fleet.Place{Zone: "z"}, LeaveWithin: time.Second,
+			Local: fleet.Place{Zone: "z"}, LeaveGrace: time.Second,
 			Dialer: resettingDialer{Network: w.network, address: "full"}, Random: rand.New(rand.NewPCG(1, 1)),
 		})
 		w.runner.Fleet = w.fleet
--- a/pkg/fleet/absence.go
+++ b/pkg/fleet/absence.go
@@ -35,9 +35,9 @@
 	maps.DeleteFunc(f.absences, func(key loadshed.Key, _ absence) bool { return key.Service == service })
 }
 
-// AbsentFor returns for how long requests for a service have found no server; zero if
+// NoServerDuration returns for how long requests for a service have found no server; zero if
 // they find one or nothing is known lately. It is expected to last about as long again.
-func (f *Fleet) AbsentFor(key loadshed.Key, now time.Time) time.Duration {
+func (f *Fleet) NoServerDuration(key loadshed.Key, now time.Time) time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	known, isKnown := f.absences[key]
--- a/pkg/fleet/choose.go
+++ b/pkg/fleet/choose.go
@@ -45,9 +45,9 @@
 	Excluded []*Lease
 	// Regions are those in which the request may be served.
 	Regions route.Regions
-	// Owned says that this node asks the service on behalf of the nodes around it,
+	// AsOwner says that this node asks the service on behalf of the nodes around it,
 	// so that it may use their share of the connections of its servers.
-	Owned bool
+	AsOwner bool
 }
 
 // Availability says why there is no server.
@@ -132,7 +132,7 @@
 	var bestCost, leavingCost time.Duration
 	availability := Absent
 	for _, each := range f.services[choice.Service] {
-		if choice.Owned {
+		if choice.AsOwner {
 			each.ownedAt = now
 		}
 		if !f.mayAsk(choice, each) || f.isOut(each, now) {
--- a/pkg/fleet/cold_test.go
+++ b/pkg/fleet/cold_test.go
@@ -123,7 +123,7 @@
 	bounds := fleet.WarmUpBounds{Factor: 1.5, Extra: 5}
 	tested := newColdNodes(65, 1, fleet.WarmUp{Span: 3 * time.Second, PerSecond: 60}, bounds, now)
 	owned := choice
-	owned.Owned = true
+	owned.AsOwner = true
 	sent := 0
 	for number, node := range tested.fleets {
 		node.SetConnections(map[string]int{"s": 64})
--- a/pkg/fleet/evacuation_test.go
+++ b/pkg/fleet/evacuation_test.go
@@ -34,7 +34,7 @@
 	g.Expect(counts[2]).To(BeNumerically("~", 37, 20))
 	g.Expect(counts[3]).To(BeNumerically("<", 25))
 	g.Expect(counts[4]).To(BeZero())
-	g.Expect(tested.Places("s")).NotTo(ContainElement("near"))
+	g.Expect(tested.ServingZones("s")).NotTo(ContainElement("near"))
 }
 
 func TestWhatWasQueuedForAnEvacuatedServerIsNotSent(t *testing.T) {
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -24,9 +24,9 @@
 	Local Place
 	// Regions maps each zone to its region.
 	Regions map[string]string
-	// LeaveWithin is how long after a server was known to leave it may still be
+	// LeaveGrace is how long after a server was known to leave it may still be
 	// asked if its service has no other.
-	LeaveWithin time.Duration
+	LeaveGrace time.Duration
 	// WarmUpBounds bound the requests to cold servers; see SetWarmUpBounds.
 	WarmUpBounds WarmUpBounds
 	Dialer       exchange.Dialer
@@ -74,7 +74,7 @@
 func New(settings Settings) *Fleet {
 	return &Fleet{
 		settings:    settings,
-		leaveWithin: settings.LeaveWithin, warmUpBounds: settings.WarmUpBounds,
+		leaveWithin: settings.LeaveGrace, warmUpBounds: settings.WarmUpBounds,
 		members:       make(map[string]*member),
 		services:      make(map[string][]*member),
 		zones:         make(map[string]*zoneTimes),
@@ -96,7 +96,7 @@
 	known := f.members[server.ID]
 	switch {
 	case known == nil && server.Start == 0 && f.startExpected[server.ID]:
-		return Change{Kind: StillMistaken}
+		return Change{Kind: StillInvalid}
 	case known == nil:
 		f.add(server, now)
 		return Change{Kind: Added}
@@ -220,8 +220,8 @@
 	f.boundIdle()
 }
 
-// SetLeaveWithin takes for how long a leaving server may be asked if its service has no other.
-func (f *Fleet) SetLeaveWithin(span time.Duration) {
+// SetLeaveGrace takes for how long a leaving server may be asked if its service has no other.
+func (f *Fleet) SetLeaveGrace(span time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.leaveWithin = span
@@ -258,8 +258,8 @@
 	return count
 }
 
-// Pausing returns the number of listed servers whose next pause is foreseen.
-func (f *Fleet) Pausing(now time.Time) int {
+// CountPredictedPauses returns the number of listed servers whose next pause is foreseen.
+func (f *Fleet) CountPredictedPauses(now time.Time) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	count := 0
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -18,7 +18,7 @@
 // newFleet has one server in each of the zones near, far and farther.
 func newFleet(now time.Time) *fleet.Fleet {
 	tested := fleet.New(fleet.Settings{
-		Local: fleet.Place{Zone: "near", Region: "here"}, LeaveWithin: leaveWithin,
+		Local: fleet.Place{Zone: "near", Region: "here"}, LeaveGrace: leaveWithin,
 		Regions: map[string]string{"near": "here", "far": "there", "farther": "elsewhere"},
 		Random:  rand.New(rand.NewPCG(1, 1)),
 	})
--- a/pkg/fleet/incarnation.go
+++ b/pkg/fleet/incarnation.go
@@ -41,11 +41,11 @@
 	Moved ChangeKind = "moved"
 	// Restarted means that another process of the server has taken the place of the known one.
 	Restarted ChangeKind = "started again"
-	// Mistaken means that the entry lacks the start that the server has told before, so that
+	// Invalid means that the entry lacks the start that the server has told before, so that
 	// another writer made it. The server is left as if it had gone from the list.
-	Mistaken ChangeKind = "mistaken"
-	// StillMistaken is the same of an entry whose server was left already.
-	StillMistaken ChangeKind = "still mistaken"
+	Invalid ChangeKind = "mistaken"
+	// StillInvalid is the same of an entry whose server was left already.
+	StillInvalid ChangeKind = "still mistaken"
 )
 
 // Change tells of one entry of the platform's list what it changed.
@@ -69,23 +69,23 @@
 	return Change{Kind: Restarted, Replaced: known.Incarnation()}
 }
 
-// Refuse notes that the entry of an id is there but names no server: it cannot be read, or is not
+// RejectEntry notes that the entry of an id is there but names no server: it cannot be read, or is not
 // the server's own. The server that was listed under the id is left as if it had gone from the
-// list, until it is listed again. Refuse reports whether there was one.
-func (f *Fleet) Refuse(id string, now time.Time) bool {
+// list, until it is listed again. RejectEntry reports whether there was one.
+func (f *Fleet) RejectEntry(id string, now time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	known := f.members[id]
-	return known != nil && f.leaveMistaken(known, now).Kind == Mistaken
+	return known != nil && f.leaveMistaken(known, now).Kind == Invalid
 }
 
-// leaveMistaken is Refuse for a known server. The mutex is held.
+// leaveMistaken is RejectEntry for a known server. The mutex is held.
 func (f *Fleet) leaveMistaken(known *member, now time.Time) Change {
 	if known.Start != 0 {
 		f.startExpected[known.ID] = true
 	}
 	if !f.unlist(known, now, now) {
-		return Change{Kind: StillMistaken}
+		return Change{Kind: StillInvalid}
 	}
-	return Change{Kind: Mistaken}
+	return Change{Kind: Invalid}
 }
--- a/pkg/fleet/incarnation_test.go
+++ b/pkg/fleet/incarnation_test.go
@@ -14,7 +14,7 @@
 // newRestarting has one server near and one far, which have told their starts.
 func newRestarting(now time.Time) *fleet.Fleet {
 	tested := fleet.New(fleet.Settings{
-		Local: fleet.Place{Zone: "near", Region: "here"}, LeaveWithin: leaveWithin,
+		Local: fleet.Place{Zone: "near", Region: "here"}, LeaveGrace: leaveWithin,
 		Regions: map[string]string{"near": "here", "far": "there"}, Random: rand.New(rand.NewPCG(1, 1)),
 	})
 	tested.Apply(started("near", 1000), now)
@@ -63,7 +63,7 @@
 			}
 		},
 		"gone":   func(tested *fleet.Fleet) { tested.Remove("near", time.Time{}, now) },
-		"refuse": func(tested *fleet.Fleet) { tested.Refuse("near", now) },
+		"refuse": func(tested *fleet.Fleet) { tested.RejectEntry("near", now) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -152,8 +152,8 @@
 func TestAnEntryThatNamesNoServer(t *testing.T) {
 	mistaken := started("near", 0)
 	for name, refuse := range map[string]func(*fleet.Fleet, time.Time) bool{
-		"unreadable":    func(f *fleet.Fleet, now time.Time) bool { return f.Refuse("near", now) },
-		"without start": func(f *fleet.Fleet, now time.Time) bool { return f.Apply(mistaken, now).Kind == fleet.Mistaken },
+		"unreadable":    func(f *fleet.Fleet, now time.Time) bool { return f.RejectEntry("near", now) },
+		"without start": func(f *fleet.Fleet, now time.Time) bool { return f.Apply(mistaken, now).Kind == fleet.Invalid },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -162,14 +162,14 @@
 			g.Expect(refuse(tested, now)).To(BeTrue())
 			g.Expect(refuse(tested, now)).To(BeFalse(), "once for each change")
 			g.Expect(ask(tested, &now, 20*time.Millisecond)).To(Equal("far"))
-			g.Expect(tested.Knows([]string{"s"})).To(BeTrue(), "the others hold")
+			g.Expect(tested.HasServersFor([]string{"s"})).To(BeTrue(), "the others hold")
 			g.Expect(tested.Apply(started("near", 1000), now).Kind).To(Equal(fleet.Returned))
 			g.Expect(ask(tested, &now, 20*time.Millisecond)).To(Equal("near"))
 
 			refuse(tested, now)
 			now = now.Add(leaveWithin + time.Second)
 			tested.Sweep(now)
-			g.Expect(tested.Apply(mistaken, now)).To(Equal(fleet.Change{Kind: fleet.StillMistaken}))
+			g.Expect(tested.Apply(mistaken, now)).To(Equal(fleet.Change{Kind: fleet.StillInvalid}))
 			g.Expect(tested.Len()).To(Equal(1))
 			g.Expect(tested.Apply(started("near", 1000), now).Kind).To(Equal(fleet.Added))
 			tested.Remove("near", time.Time{}, now)
@@ -184,11 +184,11 @@
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	tested := newRestarting(now)
-	g.Expect(tested.Apply(started("near", 0), now).Kind).To(Equal(fleet.Mistaken))
-	g.Expect(tested.Apply(started("near", 0), now).Kind).To(Equal(fleet.StillMistaken), "its server is left already")
+	g.Expect(tested.Apply(started("near", 0), now).Kind).To(Equal(fleet.Invalid))
+	g.Expect(tested.Apply(started("near", 0), now).Kind).To(Equal(fleet.StillInvalid), "its server is left already")
 	now = now.Add(leaveWithin + time.Second)
 	tested.Sweep(now)
-	g.Expect(tested.Apply(started("near", 0), now).Kind).To(Equal(fleet.StillMistaken), "its server is forgotten")
+	g.Expect(tested.Apply(started("near", 0), now).Kind).To(Equal(fleet.StillInvalid), "its server is forgotten")
 	g.Expect(tested.Apply(started("near", 1000), now).Kind).To(Equal(fleet.Added))
-	g.Expect(tested.Apply(started("near", 0), now).Kind).To(Equal(fleet.Mistaken))
+	g.Expect(tested.Apply(started("near", 0), now).Kind).To(Equal(fleet.Invalid))
 }
--- a/pkg/fleet/lease.go
+++ b/pkg/fleet/lease.go
@@ -30,8 +30,8 @@
 	target time.Duration
 }
 
-// Began returns when the lease was taken.
-func (l *Lease) Began() time.Time { return l.began }
+// AcquiredAt returns when the lease was taken.
+func (l *Lease) AcquiredAt() time.Time { return l.began }
 
 // Result is what a finished request showed of its server.
 type Result int
--- a/pkg/fleet/pauses_test.go
+++ b/pkg/fleet/pauses_test.go
@@ -54,8 +54,8 @@
 		g.Expect(lease.Server.ID).To(Equal(each.wanted), "%s before the end", each.before)
 		tested.Cancel(lease)
 	}
-	g.Expect(tested.Pausing(until)).To(Equal(1))
-	g.Expect(tested.Pausing(until.Add(time.Minute))).To(BeZero(), "not seen for long")
+	g.Expect(tested.CountPredictedPauses(until)).To(Equal(1))
+	g.Expect(tested.CountPredictedPauses(until.Add(time.Minute))).To(BeZero(), "not seen for long")
 }
 
 // TestTheLastServerIsAskedWhileItIsForeseenToPause: nothing waits for the end of a pause that is
@@ -63,7 +63,7 @@
 func TestTheLastServerIsAskedWhileItIsForeseenToPause(t *testing.T) {
 	g := NewWithT(t)
 	tested := fleet.New(fleet.Settings{
-		Local: fleet.Place{Zone: "near", Region: "here"}, LeaveWithin: leaveWithin,
+		Local: fleet.Place{Zone: "near", Region: "here"}, LeaveGrace: leaveWithin,
 		Regions: map[string]string{"near": "here"}, Random: rand.New(rand.NewPCG(1, 1)),
 	})
 	tested.Apply(started("near", 1000), time.Unix(0, 0))
--- a/pkg/fleet/places.go
+++ b/pkg/fleet/places.go
@@ -7,16 +7,16 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// Generation changes whenever Places may have.
+// Generation changes whenever the result of ServingZones may have changed.
 func (f *Fleet) Generation() uint64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.generation
 }
 
-// Places returns the zones in which a service has servers that are listed and stay, but for those
+// ServingZones returns the zones in which a service has servers that are listed and stay, but for those
 // that are being evacuated.
-func (f *Fleet) Places(service string) []string {
+func (f *Fleet) ServingZones(service string) []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	var zones []string
@@ -31,8 +31,8 @@
 	return zones
 }
 
-// Knows reports whether each of the services has a listed server.
-func (f *Fleet) Knows(services []string) bool {
+// HasServersFor reports whether each of the services has a listed server.
+func (f *Fleet) HasServersFor(services []string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, service := range services {
@@ -72,10 +72,10 @@
 	return !isKnown
 }
 
-// CountInReach returns how many servers of a service may be asked in the regions as all, and how
+// CountReachable returns how many servers of a service may be asked in the regions as all, and how
 // many of them seem to be in reach: without some that have ended, and those whose last connection
 // could not be opened.
-func (f *Fleet) CountInReach(
+func (f *Fleet) CountReachable(
 	service string, regions route.Regions, ended []Incarnation, now time.Time,
 ) (inReach, all int) {
 	f.mutex.Lock()
@@ -92,10 +92,10 @@
 	return inReach, all
 }
 
-// IsCrowded reports whether there are more nodes than a server of a service can
+// HasScarceConnections reports whether there are more nodes than a server of a service can
 // keep a connection for: each node alone then opens connections again and again,
 // and sees too little of a server to know how it fares.
-func (f *Fleet) IsCrowded(service string) bool {
+func (f *Fleet) HasScarceConnections(service string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.crowds(float64(f.connections[service]))
--- a/pkg/fleet/regions_test.go
+++ b/pkg/fleet/regions_test.go
@@ -70,7 +70,7 @@
 	g.Expect(first.Server.ID).To(Equal("near"))
 	woken := false
 	waiting := bound("there")
-	waiting.Rank = fleet.Rank{Needed: true, Lot: 9}
+	waiting.Rank = fleet.Rank{Needed: true, WaitOrder: 9}
 	tested.Await(&fleet.Waiter{Choice: waiting, Wake: func() { woken = true }})
 	tested.Finish(first, fleet.Answered, 0, now)
 	g.Expect(woken).To(BeFalse())
@@ -101,10 +101,10 @@
 	now := time.Unix(0, 0)
 	tested := newFleet(now)
 	count := func(regions route.Regions, ended ...fleet.Incarnation) [2]int {
-		inReach, all := tested.CountInReach("s", regions, ended, now)
+		inReach, all := tested.CountReachable("s", regions, ended, now)
 		return [2]int{inReach, all}
 	}
-	_, all := tested.CountInReach("s", route.Regions{}, nil, now)
+	_, all := tested.CountReachable("s", route.Regions{}, nil, now)
 	g.Expect(count(route.Regions{})).To(Equal([2]int{all, all}))
 	g.Expect(count(route.Regions{}, fleet.Incarnation{ID: "far"})).To(Equal([2]int{all - 1, all}))
 	g.Expect(count(route.OnlyRegions([]string{"there"}))).To(Equal([2]int{1, 1}))
--- a/pkg/owner/announcer_test.go
+++ b/pkg/owner/announcer_test.go
@@ -71,10 +71,10 @@
 
 type noServers struct{}
 
-func (noServers) Generation() uint64     { return 0 }
-func (noServers) Places(string) []string { return nil }
-func (noServers) IsCrowded(string) bool  { return true }
-func (noServers) Knows([]string) bool    { return true }
+func (noServers) Generation() uint64               { return 0 }
+func (noServers) ServingZones(string) []string     { return nil }
+func (noServers) HasScarceConnections(string) bool { return true }
+func (noServers) HasServersFor([]string) bool      { return true }
 
 // load offers requests of a service to a node for a while.
 func (n *roomNode) load(span time.Duration) {
--- a/pkg/owner/cluster_test.go
+++ b/pkg/owner/cluster_test.go
@@ -202,7 +202,7 @@
 		transport: c.network.Transport(peer.Address(name)), budget: &budget{}, lost: map[string]int{},
 	}
 	created.fleet = fleet.New(fleet.Settings{
-		Local: fleet.Place{Zone: "z", Region: "r"}, Regions: map[string]string{"z": "r", "y": "q"}, LeaveWithin: time.Second,
+		Local: fleet.Place{Zone: "z", Region: "r"}, Regions: map[string]string{"z": "r", "y": "q"}, LeaveGrace: time.Second,
 		Dialer: c.servers, Random: rand.New(rand.NewPCG(1, uint64(len(c.nodes)))),
 	})
 	connections := map[string]int{}
--- a/pkg/owner/roster.go
+++ b/pkg/owner/roster.go
@@ -30,15 +30,15 @@
 // Servers tells what is known of the servers of services; *fleet.Fleet implements
 // it.
 type Servers interface {
-	// Generation changes whenever Places may have.
+	// Generation changes whenever the result of ServingZones may have changed.
 	Generation() uint64
-	// Places returns the zones in which a service has servers.
-	Places(service string) []string
-	// IsCrowded reports whether there are more nodes than a server of a service can
+	// ServingZones returns the zones in which a service has servers.
+	ServingZones(service string) []string
+	// HasScarceConnections reports whether there are more nodes than a server of a service can
 	// keep a connection for.
-	IsCrowded(service string) bool
-	// Knows reports whether each of the services has a listed server.
-	Knows(services []string) bool
+	HasScarceConnections(service string) bool
+	// HasServersFor reports whether each of the services has a listed server.
+	HasServersFor(services []string) bool
 }
 
 // Roster divides services into groups and ranks the nodes for each.
@@ -108,7 +108,7 @@
 // each node can keep connections of its own, and none for a request that may not be sent
 // on within this node's region, where all owners are.
 func (r *Roster) Divide(services []string, regions route.Regions) []fanout.Group {
-	if len(services) == 0 || !r.servers.IsCrowded(services[0]) || !regions.Allow(r.regions[r.local.Zone]) {
+	if len(services) == 0 || !r.servers.HasScarceConnections(services[0]) || !regions.Allow(r.regions[r.local.Zone]) {
 		return nil
 	}
 	now := time.Now()
@@ -178,7 +178,7 @@
 // one; without any it is this node's own. The mutex is held.
 func (r *Roster) ownerZone(service string) string {
 	var zones []string
-	for _, zone := range r.servers.Places(service) {
+	for _, zone := range r.servers.ServingZones(service) {
 		if directory.SameRegion(r.regions, zone, r.local.Zone) && len(r.byZone[zone]) > 0 {
 			zones = append(zones, zone)
 		}
--- a/pkg/owner/roster_test.go
+++ b/pkg/owner/roster_test.go
@@ -18,10 +18,10 @@
 	generation uint64
 }
 
-func (s *servers) Generation() uint64             { return s.generation }
-func (s *servers) Places(service string) []string { return s.places[service] }
-func (s *servers) IsCrowded(string) bool          { return true }
-func (s *servers) Knows([]string) bool            { return true }
+func (s *servers) Generation() uint64                   { return s.generation }
+func (s *servers) ServingZones(service string) []string { return s.places[service] }
+func (s *servers) HasScarceConnections(string) bool     { return true }
+func (s *servers) HasServersFor([]string) bool          { return true }
 
 // regions has two zones each.
 var regions = map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
--- a/pkg/owner/server.go
+++ b/pkg/owner/server.go
@@ -88,7 +88,7 @@
 	if s.options.Draining() {
 		return refusal(outcome.ReasonDraining)
 	}
-	if len(question.Services) == 0 || !s.options.Servers.Knows(question.Services) {
+	if len(question.Services) == 0 || !s.options.Servers.HasServersFor(question.Services) {
 		return refusal(outcome.ReasonNoReplica)
 	}
 	began := time.Now()
