--- a/pkg/quota/meter_test.go
+++ b/pkg/quota/meter_test.go
@@ -228,8 +228,8 @@
 	g := NewWithT(t)
 	limit := route.RateLimit{PerSecond: 10, Burst: 10}
 	// admittedIsolated returns what one of six nodes admits in a window while isolated. Isolation
-	// starts when it is told that the tenant is within its limit again, the given span after the
-	// tenant was at its limit.
+	// starts when it receives a share of 1 again, the given span after the tenant was at its
+	// limit.
 	admittedIsolated := func(span time.Duration) (admitted int) {
 		meter := quota.NewMeter("caller", limit, bounds, 6, true, start)
 		meter.SetMode(quota.WithFirst, start)
@@ -282,8 +282,8 @@
 		return admitted
 	}
 	for name, meter := range map[string]*quota.Meter{
-		"told before":        meterWithShare(limit, 1, 0),
-		"never asked so far": quota.NewMeter("caller", limit, bounds, 67, true, start),
+		"with an earlier verdict": meterWithShare(limit, 1, 0),
+		"without any verdict":     quota.NewMeter("caller", limit, bounds, 67, true, start),
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
--- a/pkg/quota/simulation_test.go
+++ b/pkg/quota/simulation_test.go
@@ -42,7 +42,7 @@
 	waits    []time.Duration
 }
 
-// simulated is one node.
+// simulatedNode is one node of a deployment.
 type simulatedNode struct {
 	name    string
 	limiter *quota.Limiter
--- a/pkg/quota/snapshot.go
+++ b/pkg/quota/snapshot.go
@@ -41,8 +41,8 @@
 	Coordinated        []CoordinatedTenant
 	CoordinatedLeftOut int
 	// Served are the tenants for which this node has received requests or a share since its start,
-	// largest limits first. The snapshot of one tenant contains it even without either.
-	// ServedLeftOut is the number of tenants omitted beyond snapshotTenants.
+	// largest limits first. The snapshot of one tenant with a limit contains it even without
+	// either. ServedLeftOut is the number of tenants omitted beyond snapshotTenants.
 	Served        []ServedTenant
 	ServedLeftOut int
 }
--- a/pkg/quota/snapshot_test.go
+++ b/pkg/quota/snapshot_test.go
@@ -44,17 +44,17 @@
 	refused  map[quota.Refusal]uint64
 	window   float64
 	entitled float64
-	standing map[quota.Mode]int
+	modes    map[quota.Mode]int
 }
 
 func sumServed(all []quota.Snapshot) servedTotals {
-	sum := servedTotals{refused: make(map[quota.Refusal]uint64), standing: make(map[quota.Mode]int)}
+	sum := servedTotals{refused: make(map[quota.Refusal]uint64), modes: make(map[quota.Mode]int)}
 	for _, one := range all {
 		for _, served := range one.Served {
 			sum.admitted += served.Admitted
 			sum.window += served.AdmittedInWindow
 			sum.entitled += served.EntitledPerSecond
-			sum.standing[served.Mode]++
+			sum.modes[served.Mode]++
 			for reason, count := range served.Refused {
 				sum.refused[reason] += count
 			}
@@ -108,7 +108,7 @@
 	g.Expect(sum.totalRefused()).To(Equal(uint64(refused)))
 	g.Expect(sum.refused[quota.BeyondShare]).To(BeNumerically(">", refused/2))
 	g.Expect(sum.refused).NotTo(HaveKey(quota.BeyondEntitlement))
-	g.Expect(sum.standing).To(Equal(map[quota.Mode]int{quota.WithFirst: count}))
+	g.Expect(sum.modes).To(Equal(map[quota.Mode]int{quota.WithFirst: count}))
 	g.Expect(sum.window).To(BeNumerically("~", lately, 10))
 	g.Expect(sum.entitled).To(BeNumerically("<=", 1.3*coordinated.Limit.PerSecond))
 	for _, one := range all {
--- a/pkg/quota/startup_account_test.go
+++ b/pkg/quota/startup_account_test.go
@@ -15,13 +15,13 @@
 // under other coordinators, at a limit of 60 a second. A tenant within its limit is still served.
 func TestACoordinatorThatStartsCountsWhatEarlierOnesGranted(t *testing.T) {
 	g := NewWithT(t)
-	shareAfter := func(asked, admitted int) float64 {
+	shareAfter := func(requests, admitted int) float64 {
 		now := start.Add(time.Second)
 		account := quota.NewAccount(largeLimit, bounds, now, now)
 		account.SetProcessStart(start)
 		for number := range 10 {
 			now = now.Add(50 * time.Millisecond)
-			usage := quota.Usage{Incarnation: 1, Requests: uint64(asked), Admitted: int64(admitted), NewRequests: 1, NewAdmitted: int64(admitted), Share: 1}
+			usage := quota.Usage{Incarnation: 1, Requests: uint64(requests), Admitted: int64(admitted), NewRequests: 1, NewAdmitted: int64(admitted), Share: 1}
 			account.AddReport(fmt.Sprint(number), usage, firstCoordinatorView, now)
 		}
 		return account.Verdict(firstCoordinatorView, now).Share
--- a/pkg/quota/weigh_test.go
+++ b/pkg/quota/weigh_test.go
@@ -14,7 +14,7 @@
 		for _, tenant := range []string{"large", "small"} {
 			name := fmt.Sprintf("%d nodes, %s, ", count, tenant)
 			limit := tenants()[tenant]
-			b.Run(name+"share of lots", func(b *testing.B) {
+			b.Run(name+"admitted share", func(b *testing.B) {
 				for range b.N {
 					measureLimiter(b, count, tenant)
 				}
