--- a/pkg/fanout/launch.go
+++ b/pkg/fanout/launch.go
@@ -178,7 +178,7 @@
 func (r *run) rank(part *part) fleet.Rank {
 	return fleet.Rank{
 		Needed: r.isNeeded(part), Target: r.plan.Target, Deadline: r.plan.Deadline,
-		WaitOrder: loadshed.WaitOrder(r.lot, r.plan.Priority),
+		QueueOrder: loadshed.WaitOrder(r.lot, r.plan.Priority),
 	}
 }
 
--- a/pkg/fleet/regions_test.go
+++ b/pkg/fleet/regions_test.go
@@ -70,7 +70,7 @@
 	g.Expect(first.Server.ID).To(Equal("near"))
 	woken := false
 	waiting := bound("there")
-	waiting.Rank = fleet.Rank{Needed: true, WaitOrder: 9}
+	waiting.Rank = fleet.Rank{Needed: true, QueueOrder: 9}
 	tested.Await(&fleet.Waiter{Choice: waiting, Wake: func() { woken = true }})
 	tested.Finish(first, fleet.Answered, 0, now)
 	g.Expect(woken).To(BeFalse())
--- a/pkg/fleet/waiting.go
+++ b/pkg/fleet/waiting.go
@@ -13,9 +13,9 @@
 	Needed bool
 	// Target is until when an answer is of full value; zero if always.
 	Target time.Time
-	// WaitOrder orders requests that are alike; it is the same for all sub-requests of
+	// QueueOrder orders requests that are alike; it is the same for all sub-requests of
 	// a request.
-	WaitOrder uint64
+	QueueOrder uint64
 	// Deadline is when the request ends.
 	Deadline time.Time
 }
@@ -34,7 +34,7 @@
 	case isInTime != isOtherInTime:
 		return isInTime
 	case isInTime:
-		return r.WaitOrder > other.WaitOrder
+		return r.QueueOrder > other.QueueOrder
 	}
 	return r.Deadline.Before(other.Deadline)
 }
--- a/pkg/fleet/waiting_test.go
+++ b/pkg/fleet/waiting_test.go
@@ -34,17 +34,17 @@
 	tested, lease := newBusyFleet(now)
 	var order []string
 	for name, rank := range map[string]fleet.Rank{
-		"3 late, ends soon":      {Needed: true, Target: late, Deadline: now.Add(time.Second), WaitOrder: 9},
-		"4 late, ends later":     {Needed: true, Target: late, Deadline: now.Add(time.Minute), WaitOrder: 9},
-		"1 in time, greater lot": {Needed: true, Target: inTime, WaitOrder: 7},
-		"2 in time, smaller lot": {Needed: true, Target: inTime, WaitOrder: 3},
-		"5 not needed":           {Target: inTime, WaitOrder: 8},
+		"3 late, ends soon":      {Needed: true, Target: late, Deadline: now.Add(time.Second), QueueOrder: 9},
+		"4 late, ends later":     {Needed: true, Target: late, Deadline: now.Add(time.Minute), QueueOrder: 9},
+		"1 in time, greater lot": {Needed: true, Target: inTime, QueueOrder: 7},
+		"2 in time, smaller lot": {Needed: true, Target: inTime, QueueOrder: 3},
+		"5 not needed":           {Target: inTime, QueueOrder: 8},
 	} {
 		tested.Await(&fleet.Waiter{Choice: ranked(rank), Wake: func() { order = append(order, name) }})
 	}
 	for range 5 {
 		tested.Finish(lease, fleet.Answered, 0, now)
-		lease, _ = tested.Acquire(ranked(fleet.Rank{Needed: true, Target: inTime, WaitOrder: 10}), now)
+		lease, _ = tested.Acquire(ranked(fleet.Rank{Needed: true, Target: inTime, QueueOrder: 10}), now)
 		g.Expect(lease).NotTo(BeNil())
 	}
 	g.Expect(order).To(Equal([]string{
@@ -59,14 +59,14 @@
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
 	tested := fleet.New(fleet.Settings{Random: rand.New(rand.NewPCG(1, 1))})
-	tested.Await(&fleet.Waiter{Choice: ranked(fleet.Rank{Needed: true, WaitOrder: 5}), Wake: func() {}})
+	tested.Await(&fleet.Waiter{Choice: ranked(fleet.Rank{Needed: true, QueueOrder: 5}), Wake: func() {}})
 	tested.Apply(fleet.Server{ID: "new", Service: "s", Address: "new", Slots: 1}, now)
-	lease, availability := tested.Acquire(ranked(fleet.Rank{Needed: true, WaitOrder: 4}), now)
+	lease, availability := tested.Acquire(ranked(fleet.Rank{Needed: true, QueueOrder: 4}), now)
 	g.Expect(lease).To(BeNil())
 	g.Expect(availability).To(Equal(fleet.Busy))
-	lease, _ = tested.Acquire(ranked(fleet.Rank{WaitOrder: 9}), now)
+	lease, _ = tested.Acquire(ranked(fleet.Rank{QueueOrder: 9}), now)
 	g.Expect(lease).To(BeNil(), "a hedge waits for what is needed")
-	lease, _ = tested.Acquire(ranked(fleet.Rank{Needed: true, WaitOrder: 6}), now)
+	lease, _ = tested.Acquire(ranked(fleet.Rank{Needed: true, QueueOrder: 6}), now)
 	g.Expect(lease).NotTo(BeNil())
 }
 
