--- a/pkg/catalog/batcher.go
+++ b/pkg/catalog/batcher.go
@@ -53,9 +53,9 @@
 }
 
 // Submit sends updates, or keeps it for at most the window.
-func (b *Batcher) Submit(news Update) {
-	if news.Change.Base == 0 {
-		b.send([]Update{news})
+func (b *Batcher) Submit(update Update) {
+	if update.Change.Base == 0 {
+		b.send([]Update{update})
 		return
 	}
 	b.mutex.Lock()
@@ -63,8 +63,8 @@
 	if len(b.waiting) == 0 {
 		time.AfterFunc(b.options.Window, b.flush)
 	}
-	if b.waiting[news.Change.Base].Change.Revision <= news.Change.Revision {
-		b.waiting[news.Change.Base] = news
+	if b.waiting[update.Change.Base].Change.Revision <= update.Change.Revision {
+		b.waiting[update.Change.Base] = update
 	}
 }
 
@@ -85,8 +85,8 @@
 func (b *Batcher) flush() {
 	b.mutex.Lock()
 	batch := make([]Update, 0, len(b.waiting))
-	for _, news := range b.waiting {
-		batch = append(batch, news)
+	for _, update := range b.waiting {
+		batch = append(batch, update)
 	}
 	clear(b.waiting)
 	b.mutex.Unlock()
--- a/pkg/catalog/batcher_test.go
+++ b/pkg/catalog/batcher_test.go
@@ -37,24 +37,24 @@
 func TestNewVersionOverAZone(t *testing.T) {
 	for _, period := range []time.Duration{time.Second, time.Hour} {
 		t.Run(period.String(), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { newVersionOver(t, period) })
+			synctest.Test(t, func(t *testing.T) { testNewVersion(t, period) })
 		})
 	}
 }
 
-func newVersionOver(t *testing.T, period time.Duration) {
+func testNewVersion(t *testing.T, period time.Duration) {
 	const nodes, servers = 318, 5300
 	sent := &sentBatches{}
 	batchers := make([]*Batcher, nodes)
 	for number := range batchers {
 		batchers[number] = NewBatcher(BatcherOptions{Send: sent.send})
 	}
-	teller, listener := newVersionCatalogs(servers, func(number int, news Update) {
-		batchers[number%nodes].Submit(news)
+	reportNewVersion, receiver := newVersionCatalogs(servers, func(number int, update Update) {
+		batchers[number%nodes].Submit(update)
 	})
 	for number := range servers {
 		time.Sleep(period / servers)
-		teller(number)
+		reportNewVersion(number)
 	}
 	time.Sleep(DefaultBatchWindow)
 	synctest.Wait()
@@ -67,8 +67,8 @@
 	if sent.bytes > bound {
 		t.Errorf("%d bytes, want at most %d", sent.bytes, bound)
 	}
-	listener.Apply(sent.updates...)
-	for _, server := range listener.View(testService).Servers {
+	receiver.Apply(sent.updates...)
+	for _, server := range receiver.View(testService).Servers {
 		if len(server.Indexes) != 2 || server.Indexes[1].Version != 2 || len(server.Indexes[1].Shards) != 1 {
 			t.Fatalf("got %+v", server)
 		}
@@ -78,21 +78,21 @@
 // newVersionCatalogs returns a function that has a catalog find the second
 // version of a server and tells the news, and another catalog that knows the
 // first versions.
-func newVersionCatalogs(servers int, onNews func(number int, news Update)) (func(number int), *Catalog) {
-	listener := New(Options{Node: "listener", Zone: "zone"})
-	listener.ReplaceMachines(listOf(servers))
-	tell := func(news Update) { listener.Apply(news) }
-	observer := New(Options{Node: "observer", Zone: "zone", OnUpdate: func(news Update) { tell(news) }})
+func newVersionCatalogs(servers int, onUpdate func(number int, update Update)) (func(number int), *Catalog) {
+	receiver := New(Options{Node: "listener", Zone: "zone"})
+	receiver.ReplaceMachines(listOf(servers))
+	deliver := func(update Update) { receiver.Apply(update) }
+	observer := New(Options{Node: "observer", Zone: "zone", OnUpdate: func(update Update) { deliver(update) }})
 	observer.ReplaceMachines(listOf(servers))
 	for number := range servers {
 		observer.ReportProbe(serverID(number), time.Now(), statusOf(number, "5f0c7a52", false, 1), nil)
 	}
 	return func(number int) {
-		tell = func(news Update) { onNews(number, news) }
+		deliver = func(update Update) { onUpdate(number, update) }
 		status := statusOf(number, "5f0c7a52", false, 1)
 		status.Indexes = append(status.Indexes, backend.Index{Version: 2, Shards: status.Indexes[0].Shards})
 		observer.ReportProbe(serverID(number), time.Now(), status, nil)
-	}, listener
+	}, receiver
 }
 
 // TestBatcherSendsOnce has a peer tell the same change first, and other news
--- a/pkg/catalog/build.go
+++ b/pkg/catalog/build.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// buildShare bounds the share of time spent on building one view: after a
-	// build that took t, the next one waits for buildShare times t.
-	buildShare = 20
+	// buildCostFactor bounds the share of time spent on building one view: after a
+	// build that took t, the next one waits for buildCostFactor times t.
+	buildCostFactor = 20
 	// warmUpSteps is the number of steps in which a weight grows.
 	warmUpSteps = 20
 )
@@ -91,10 +91,10 @@
 			continue
 		}
 		view.Servers = append(view.Servers, c.buildServer(r, now))
-		built.changes(c.nextChange(r, now))
+		built.noteChangeAt(c.nextChange(r, now))
 	}
 	cost := c.options.Now().Sub(now)
-	built.notBefore = now.Add(cost * buildShare)
+	built.notBefore = now.Add(cost * buildCostFactor)
 	state.built.Store(built)
 	return built
 }
@@ -113,7 +113,7 @@
 }
 
 // changes takes the time at which one server of the view changes by itself.
-func (b *builtView) changes(at time.Time) {
+func (b *builtView) noteChangeAt(at time.Time) {
 	if at.IsZero() {
 		return
 	}
@@ -126,13 +126,13 @@
 func (c *Catalog) nextChange(r *record, now time.Time) time.Time {
 	var next builtView
 	if r.outlier.ejected(now) {
-		next.changes(r.outlier.until)
+		next.noteChangeAt(r.outlier.until)
 	}
 	if r.weight(now, c.options.WarmUp) < 1 {
-		next.changes(now.Add(c.options.WarmUp / warmUpSteps))
+		next.noteChangeAt(now.Add(c.options.WarmUp / warmUpSteps))
 	}
 	if r.answeredRecently(now, &c.options) && c.suspected(r) {
-		next.changes(r.lastAnswer.Add(c.options.AnswerFreshness))
+		next.noteChangeAt(r.lastAnswer.Add(c.options.AnswerFreshness))
 	}
 	return next.changesAt
 }
--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -30,20 +30,20 @@
 	// views.
 	mutex sync.Mutex
 	// listed is the length of the last whole machine list.
-	listed int
+	listedCount int
 	// pending counts the records of servers that the machine list never named.
 	pending int
 	// watched are the records that Refresh looks at: those with recent results
 	// and those that are missing from the machine list.
 	watched map[*record]struct{}
 	// wanted are the records with a wish for one probe.
-	wanted map[*record]struct{}
+	probeRequests map[*record]struct{}
 	// bases maps VersionChange.Base to the record of the server.
 	bases map[uint64]*record
 	// unresolved are the changes of versions whose base is not known yet.
 	unresolved unresolvedChanges
-	// probesWanted wakes the probe loop for probes that are wanted at once.
-	probesWanted chan struct{}
+	// probeWakeup wakes the probe loop for probes that are wanted at once.
+	probeWakeup chan struct{}
 }
 
 var _ Source = (*Catalog)(nil)
@@ -57,12 +57,12 @@
 // New returns an empty catalog.
 func New(options Options) *Catalog {
 	created := &Catalog{
-		options:      options.withDefaults(),
-		watched:      make(map[*record]struct{}),
-		wanted:       make(map[*record]struct{}),
-		bases:        make(map[uint64]*record),
-		unresolved:   make(unresolvedChanges),
-		probesWanted: make(chan struct{}, 1),
+		options:       options.withDefaults(),
+		watched:       make(map[*record]struct{}),
+		probeRequests: make(map[*record]struct{}),
+		bases:         make(map[uint64]*record),
+		unresolved:    make(unresolvedChanges),
+		probeWakeup:   make(chan struct{}, 1),
 	}
 	created.services.Store(&map[target.Service]*serviceState{})
 	return created
@@ -75,24 +75,24 @@
 }
 
 // tell adds news about a server to what is sent when the change is done.
-func (c *Catalog) tell(u *mutation, r *record, kind UpdateKind, instance *instanceFacts) {
-	news := Update{Server: r.server, Kind: kind, Observer: c.options.Node, Operator: r.facts.operator}
+func (c *Catalog) queueUpdate(m *mutation, r *record, kind UpdateKind, instance *instanceFacts) {
+	update := Update{Server: r.server, Kind: kind, Observer: c.options.Node, Operator: r.facts.operator}
 	if instance != nil {
-		news.Instance = instance.instanceAt(u.now)
+		update.Instance = instance.instanceAt(m.now)
 	}
-	u.updates = append(u.updates, news)
+	m.updates = append(m.updates, update)
 }
 
 // change runs a change under the mutex and sends its news afterwards.
-func (c *Catalog) change(run func(u *mutation)) {
-	u := &mutation{now: c.options.Now()}
+func (c *Catalog) mutate(run func(m *mutation)) {
+	m := &mutation{now: c.options.Now()}
 	c.mutex.Lock()
-	run(u)
+	run(m)
 	c.mutex.Unlock()
-	for _, news := range u.updates {
-		c.options.Logger.Debug("news of back end", "server", news.Server, "kind", news.Kind.String(),
-			"instance", news.Instance.ID, "generation", news.Instance.Generation)
-		c.options.OnUpdate(news)
+	for _, update := range m.updates {
+		c.options.Logger.Debug("news of back end", "server", update.Server, "kind", update.Kind.String(),
+			"instance", update.Instance.ID, "generation", update.Instance.Generation)
+		c.options.OnUpdate(update)
 	}
 }
 
@@ -106,7 +106,7 @@
 }
 
 // touched marks the view of a server's service for rebuilding.
-func (c *Catalog) touched(r *record) {
+func (c *Catalog) markDirty(r *record) {
 	if state := (*c.services.Load())[r.listing.Service]; state != nil {
 		state.dirty.Store(true)
 	}
@@ -122,28 +122,28 @@
 		r.results.setLoad(hints.Load)
 	}
 	if hints.Instance != "" {
-		r.results.noteNamed()
+		r.results.setNamesInstance()
 	}
 	if hints.Draining {
-		c.serverDrains(r, hints.Instance)
+		c.noteServerDrain(r, hints.Instance)
 	}
 	if hints.NewestVersion > 0 && hints.NewestVersion > r.results.newestVersion() {
-		c.wantProbe(r, hints.NewestVersion)
+		c.requestVersionProbe(r, hints.NewestVersion)
 	}
 }
 
-// serverDrains takes a server's own word that it is leaving. Without an
+// noteServerDrain takes a server's own word that it is leaving. Without an
 // instance it is taken for the word of the current one.
-func (c *Catalog) serverDrains(r *record, instance string) {
-	if r.results.knownDraining(instance) {
+func (c *Catalog) noteServerDrain(r *record, instance string) {
+	if r.results.isKnownDraining(instance) {
 		return
 	}
-	c.change(func(u *mutation) {
+	c.mutate(func(m *mutation) {
 		current := r.facts.current()
 		switch {
 		case instance == "" && current == nil:
 			r.drainUnattributed = true
-			c.touched(r)
+			c.markDirty(r)
 			return
 		case instance == "":
 			instance = current.ID
@@ -154,31 +154,31 @@
 		}
 		known.Draining = true
 		r.facts.prune()
-		r.results.noteDraining(instance)
-		c.touched(r)
-		c.tell(u, r, KindDraining, known.withoutContents())
+		r.results.setDraining(instance)
+		c.markDirty(r)
+		c.queueUpdate(m, r, KindDraining, known.withoutContents())
 	})
 }
 
-// wantProbe asks for one probe of a server that said that it has a newer index
+// requestVersionProbe asks for one probe of a server that said that it has a newer index
 // version, unless news of it comes first.
-func (c *Catalog) wantProbe(r *record, newest target.Version) {
-	const wait = 1500 * time.Millisecond
-	c.change(func(u *mutation) {
+func (c *Catalog) requestVersionProbe(r *record, newest target.Version) {
+	const delay = 1500 * time.Millisecond
+	c.mutate(func(m *mutation) {
 		current := r.facts.current()
 		if current != nil && current.Contents.newestVersion() >= newest {
 			return
 		}
-		r.results.noteVersion(newest)
-		if r.probe.wantedAt.IsZero() {
-			c.wantProbeAt(r, u.now.Add(wait))
+		r.results.setNewestVersion(newest)
+		if r.probe.requestedAt.IsZero() {
+			c.requestProbeAt(r, m.now.Add(delay))
 		}
 	})
 }
 
-func (c *Catalog) wantProbeAt(r *record, at time.Time) {
-	r.probe.wantedAt = at
-	c.wanted[r] = struct{}{}
+func (c *Catalog) requestProbeAt(r *record, at time.Time) {
+	r.probe.requestedAt = at
+	c.probeRequests[r] = struct{}{}
 }
 
 // ReportResult implements Source. A refusal for draining counts as a drain only
@@ -203,13 +203,13 @@
 	reason := outcome.ReasonOf(err)
 	switch {
 	case reason == outcome.ReasonDraining:
-		if !r.results.named() {
-			c.serverDrains(r, "")
+		if !r.results.hasNamedInstance() {
+			c.noteServerDrain(r, "")
 		}
 	case contradictsContents(reason):
-		c.doubtContents(r)
+		c.suspectContents(r)
 	case countsAsFailure(err):
-		c.failed(r)
+		c.recordFailure(r)
 	}
 }
 
@@ -230,21 +230,21 @@
 
 // failed counts a failed sub-request and ejects the server if it is one too
 // many.
-func (c *Catalog) failed(r *record) {
+func (c *Catalog) recordFailure(r *record) {
 	c.watch(r)
 	if r.results.failure() < c.options.ConsecutiveFailures {
 		return
 	}
-	c.change(func(u *mutation) { c.eject(u, r) })
+	c.mutate(func(m *mutation) { c.eject(m, r) })
 }
 
-func (c *Catalog) eject(u *mutation, r *record) {
-	if r.outlier.ejected(u.now) {
+func (c *Catalog) eject(m *mutation, r *record) {
+	if r.outlier.ejected(m.now) {
 		return
 	}
-	r.outlier.eject(u.now, &c.options)
+	r.outlier.eject(m.now, &c.options)
 	r.results.resetConsecutive()
-	c.touched(r)
+	c.markDirty(r)
 	c.options.Logger.Info("back end ejected", "server", r.server, "until", r.outlier.until)
 }
 
@@ -255,14 +255,14 @@
 	if r == nil {
 		return errors.Wrap(ErrUnknownServer, string(server))
 	}
-	c.change(func(u *mutation) {
+	c.mutate(func(m *mutation) {
 		r.facts.operator = OperatorMark{
 			Sequence: r.facts.operator.Sequence + 1,
 			Drained:  drained,
 			Author:   author,
 		}
-		c.touched(r)
-		c.tell(u, r, KindOperator, nil)
+		c.markDirty(r)
+		c.queueUpdate(m, r, KindOperator, nil)
 	})
 	return nil
 }
@@ -271,9 +271,9 @@
 // the relay to pass on; news that is known already must not be passed on.
 func (c *Catalog) Apply(batch ...Update) []Update {
 	var learnt []Update
-	c.change(func(u *mutation) {
+	c.mutate(func(m *mutation) {
 		for index := range batch {
-			if c.apply(u, &batch[index]) {
+			if c.apply(m, &batch[index]) {
 				learnt = append(learnt, batch[index])
 			}
 		}
@@ -281,13 +281,13 @@
 	return learnt
 }
 
-func (c *Catalog) apply(u *mutation, news *Update) bool {
-	if news.Server == "" {
-		return c.applyChange(u, news)
+func (c *Catalog) apply(m *mutation, update *Update) bool {
+	if update.Server == "" {
+		return c.applyChange(m, update)
 	}
-	r := c.find(news.Server)
+	r := c.find(update.Server)
 	if r == nil {
-		if r = c.addPending(u, news.Server); r == nil {
+		if r = c.addPending(m, update.Server); r == nil {
 			return false
 		}
 	}
@@ -296,52 +296,52 @@
 	if previous != nil {
 		previousID, wasDead = previous.ID, previous.dead()
 	}
-	if !r.facts.merge(news, u.now) {
+	if !r.facts.merge(update, m.now) {
 		return false
 	}
-	c.settle(u, r, previousID)
+	c.factsChanged(m, r, previousID)
 	if current := r.facts.current(); wasDead && current.ID == previousID && !current.dead() {
-		c.refuted(u, r)
+		c.refuted(m, r)
 	}
 	return true
 }
 
 // refuted delays this node's next announcement that a server is dead, since
 // another node reaches it.
-func (c *Catalog) refuted(u *mutation, r *record) {
+func (c *Catalog) refuted(m *mutation, r *record) {
 	if r.probe.failures < c.options.ProbeFailures {
 		return
 	}
 	const maxDoublings = 6
-	r.probe.announced = min(r.probe.announced+1, maxDoublings)
-	r.probe.announceAfter = u.now.Add(c.options.DeadAnnouncementBackoff << r.probe.announced)
+	r.probe.refutations = min(r.probe.refutations+1, maxDoublings)
+	r.probe.announceAfter = m.now.Add(c.options.DeadAnnouncementBackoff << r.probe.refutations)
 }
 
 // settle brings a record in line after its facts changed.
-func (c *Catalog) settle(u *mutation, r *record, previousID string) {
+func (c *Catalog) factsChanged(m *mutation, r *record, previousID string) {
 	current := r.facts.current()
 	if current != nil && current.ID != previousID {
 		unattributed := r.drainUnattributed
-		r.instanceChanged(previousID, u.now)
+		r.instanceChanged(previousID, m.now)
 		if unattributed && previousID == "" {
-			c.tell(u, r, KindDraining, current)
+			c.queueUpdate(m, r, KindDraining, current)
 		}
 	}
-	r.results.noteFacts(current)
-	r.doubtResolved()
-	c.touched(r)
-	c.noteBases(u, r)
+	r.results.updateFrom(current)
+	r.clearIfContentsChanged()
+	c.markDirty(r)
+	c.updateBases(m, r)
 }
 
 // addPending makes the record of a server that the machine list has not named
 // yet, or returns nil if there are too many of them.
-func (c *Catalog) addPending(u *mutation, server target.ServerID) *record {
+func (c *Catalog) addPending(m *mutation, server target.ServerID) *record {
 	if c.pending >= maxPending {
 		return nil
 	}
 	c.pending++
 	r := newRecord(server)
-	r.listing.unlistedSince = u.now
+	r.listing.unlistedSince = m.now
 	c.records.Store(server, r)
 	c.watchLocked(r)
 	return r
@@ -356,26 +356,26 @@
 	var all []Update
 	for _, r := range c.sortedRecords() {
 		if r.listing.listed {
-			all = append(all, c.recordNews(r, now)...)
+			all = append(all, c.recordUpdates(r, now)...)
 		}
 	}
 	return all
 }
 
-// recordNews returns the news that make another catalog know what this one
+// recordUpdates returns the news that make another catalog know what this one
 // knows of a server.
-func (c *Catalog) recordNews(r *record, now time.Time) []Update {
+func (c *Catalog) recordUpdates(r *record, now time.Time) []Update {
 	base := Update{Server: r.server, Observer: c.options.Node, Operator: r.facts.operator}
 	if len(r.facts.instances) == 0 && base.Operator.Sequence > 0 {
 		return []Update{base}
 	}
-	told := make([]Update, 0, len(r.facts.instances))
+	updates := make([]Update, 0, len(r.facts.instances))
 	for _, instance := range r.facts.instances {
-		news := base
-		news.Instance = instance.instanceAt(now)
-		told = append(told, news)
+		update := base
+		update.Instance = instance.instanceAt(now)
+		updates = append(updates, update)
 	}
-	return told
+	return updates
 }
 
 // sortedRecords returns all records by server.
--- a/pkg/catalog/catalog_test.go
+++ b/pkg/catalog/catalog_test.go
@@ -27,7 +27,7 @@
 		now, list, sent = newClock(), listOf(servers), nil
 		c = New(Options{
 			Node: "node", Zone: "zone", Region: "east", Now: now.Now,
-			OnUpdate: func(news Update) { sent = append(sent, news) },
+			OnUpdate: func(update Update) { sent = append(sent, update) },
 		})
 		c.ReplaceMachines(list)
 		for number := range servers {
@@ -51,7 +51,7 @@
 			c.ReportResult(serverID(number), lostConnection(serverID(number)))
 		}
 	}
-	pass := func(by time.Duration) {
+	advanceAndRefresh := func(by time.Duration) {
 		now.advance(by)
 		c.Refresh()
 	}
@@ -61,9 +61,9 @@
 			for _, length := range []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second} {
 				fail(0)
 				Expect(stateOf(0)).To(Equal(Ejected))
-				pass(length - time.Millisecond)
+				advanceAndRefresh(length - time.Millisecond)
 				Expect(stateOf(0)).To(Equal(Ejected))
-				pass(time.Millisecond)
+				advanceAndRefresh(time.Millisecond)
 				Expect(stateOf(0)).To(Equal(Active))
 			}
 		})
@@ -73,7 +73,7 @@
 				c.ReportResult(serverID(0), nil)
 				c.ReportResult(serverID(0), lostConnection(serverID(0)))
 			}
-			pass(time.Second)
+			advanceAndRefresh(time.Second)
 			Expect(stateOf(0)).To(Equal(Ejected))
 		})
 
@@ -118,23 +118,23 @@
 
 		It("is not, as long as it answers sub-requests", func() {
 			c.ReportResult(serverID(0), nil)
-			pass(time.Millisecond)
+			advanceAndRefresh(time.Millisecond)
 			failProbes(0)
 			Expect(stateOf(0)).To(Equal(Active))
 			Expect(sent).To(BeEmpty())
-			pass(DefaultAnswerFreshness)
+			advanceAndRefresh(DefaultAnswerFreshness)
 			Expect(stateOf(0)).To(Equal(Ejected))
 		})
 
 		It("is announced less and less often while another node reaches it", func() {
 			announced := 0
 			for range 60 {
-				pass(time.Second)
+				advanceAndRefresh(time.Second)
 				c.ReportProbe(serverID(0), now.now, nil, errTest)
 				announced += len(sent)
-				for _, news := range sent {
-					news.Instance.Liveness++
-					c.Apply(news)
+				for _, update := range sent {
+					update.Instance.Liveness++
+					c.Apply(update)
 				}
 				sent = nil
 			}
@@ -146,11 +146,11 @@
 		It("is kept while it answers probes, until a bound", func() {
 			c.ReplaceMachines(list[1:])
 			for passed := time.Duration(0); passed < DefaultUnlistedTimeout-time.Second; passed += time.Minute {
-				pass(time.Minute - time.Second)
+				advanceAndRefresh(time.Minute - time.Second)
 				probe(0, statusOf(0, "first", false, 1))
 				Expect(server(0)).NotTo(BeNil())
 			}
-			pass(time.Minute)
+			advanceAndRefresh(time.Minute)
 			Expect(server(0)).To(BeNil())
 		})
 
@@ -158,7 +158,7 @@
 			c.ReplaceMachines(list[1:])
 			failProbes(0)
 			Expect(server(0)).NotTo(BeNil())
-			pass(DefaultUnlistedSilentTimeout)
+			advanceAndRefresh(DefaultUnlistedSilentTimeout)
 			Expect(server(0)).To(BeNil())
 			c.ReplaceMachines(list)
 			Expect(server(0)).NotTo(BeNil())
@@ -167,7 +167,7 @@
 		It("may be told of one by one", func() {
 			c.ApplyMachines(nil, []target.ServerID{serverID(0), "10.9.9.9:1"})
 			failProbes(0)
-			pass(DefaultUnlistedSilentTimeout)
+			advanceAndRefresh(DefaultUnlistedSilentTimeout)
 			Expect(server(0)).To(BeNil())
 			list[1].State = machinelist.Leaving
 			c.ApplyMachines(list[:2], nil)
@@ -182,7 +182,7 @@
 
 		It("is forgotten in the end", func() {
 			c.ReplaceMachines(list[1:])
-			pass(DefaultUnlistedTimeout + DefaultRetention)
+			advanceAndRefresh(DefaultUnlistedTimeout + DefaultRetention)
 			Expect(errors.Is(c.Drain(serverID(0), true, "author"), ErrUnknownServer)).To(BeTrue())
 		})
 	})
@@ -191,17 +191,17 @@
 		It("gets a weight that grows with its uptime", func() {
 			status := statusOf(0, "second", false, 1)
 			status.Uptime = DefaultWarmUp / 4
-			pass(status.Uptime)
+			advanceAndRefresh(status.Uptime)
 			probe(0, status)
 			Expect(server(0).Weight).To(BeNumerically("~", 0.25, 0.01))
-			pass(DefaultWarmUp / 2)
+			advanceAndRefresh(DefaultWarmUp / 2)
 			Expect(server(0).Weight).To(BeNumerically("~", 0.75, 0.01))
-			pass(DefaultWarmUp / 4)
+			advanceAndRefresh(DefaultWarmUp / 4)
 			Expect(server(0).Weight).To(Equal(1.0))
 		})
 
 		It("is new when its instance is, whatever uptime it claims", func() {
-			pass(time.Second)
+			advanceAndRefresh(time.Second)
 			probe(0, statusOf(0, "second", false, 1))
 			Expect(server(0).Weight).To(BeNumerically("<", 0.1))
 		})
@@ -231,18 +231,18 @@
 
 	It("ignores a probe that was sent before the instance changed", func() {
 		sentAt := now.now
-		pass(time.Second)
+		advanceAndRefresh(time.Second)
 		probe(0, statusOf(0, "second", false, 1))
 		c.ReportProbe(serverID(0), sentAt, statusOf(0, "first", true, 1), nil)
 		Expect(stateOf(0)).To(Equal(Active))
 	})
 
 	It("wants one probe when an answer tells of a newer version", func() {
-		c.takeWanted()
+		c.takeRequestedProbes()
 		c.ReportHints(serverID(0), backend.Hints{Load: -1, NewestVersion: 2})
-		pass(2 * time.Second)
-		Expect(c.takeWanted()).To(ConsistOf(wantedProbe{server: serverID(0)}))
-		Expect(c.takeWanted()).To(BeEmpty())
+		advanceAndRefresh(2 * time.Second)
+		Expect(c.takeRequestedProbes()).To(ConsistOf(requestedProbe{server: serverID(0)}))
+		Expect(c.takeRequestedProbes()).To(BeEmpty())
 	})
 
 	It("refuses a status that it could not tell to others", func() {
@@ -263,7 +263,7 @@
 		Expect(c.View("other").Servers).To(HaveLen(1))
 		Expect(c.Services()).To(Equal([]target.Service{"other", testService}))
 		c.ReplaceMachines(list[:servers])
-		pass(DefaultUnlistedTimeout + DefaultRetention)
+		advanceAndRefresh(DefaultUnlistedTimeout + DefaultRetention)
 		Expect(server(servers)).To(BeNil())
 		Expect(c.View("nothing")).To(BeNil())
 	})
--- a/pkg/catalog/change.go
+++ b/pkg/catalog/change.go
@@ -22,20 +22,20 @@
 // add keeps a change if its revision is the highest for its base. When there
 // are too many, all are dropped; what is lost by that, the next comparison with
 // a peer brings.
-func (u unresolvedChanges) add(news *Update) {
+func (u unresolvedChanges) add(update *Update) {
 	if len(u) >= maxUnresolvedBases {
 		clear(u)
 	}
-	kept := u[news.Change.Base]
-	if len(kept) > 0 && news.Change.Revision != kept[0].Change.Revision {
-		if news.Change.Revision < kept[0].Change.Revision {
+	kept := u[update.Change.Base]
+	if len(kept) > 0 && update.Change.Revision != kept[0].Change.Revision {
+		if update.Change.Revision < kept[0].Change.Revision {
 			return
 		}
 		kept = nil
 	}
-	known := slices.ContainsFunc(kept, func(other Update) bool { return other.Change.equal(&news.Change) })
+	known := slices.ContainsFunc(kept, func(other Update) bool { return other.Change.equal(&update.Change) })
 	if !known && len(kept) < maxChangesPerBase {
-		u[news.Change.Base] = append(kept, *news)
+		u[update.Change.Base] = append(kept, *update)
 	}
 }
 
@@ -43,9 +43,9 @@
 	return v.Base == other.Base && v.Revision == other.Revision && slices.Equal(v.Versions, other.Versions)
 }
 
-// noteChange marks news as no more than other versions, if the base is the same
+// setVersionChange marks news as no more than other versions, if the base is the same
 // before and after.
-func (n *Update) noteChange(before, after uint64) {
+func (n *Update) setVersionChange(before, after uint64) {
 	if before == 0 || before != after {
 		return
 	}
@@ -85,9 +85,9 @@
 	return len(indexes) > 0
 }
 
-// noteBases brings the bases of a server in line with its facts, and applies
+// updateBases brings the bases of a server in line with its facts, and applies
 // the changes that waited for one of them.
-func (c *Catalog) noteBases(u *mutation, r *record) {
+func (c *Catalog) updateBases(m *mutation, r *record) {
 	bases := make([]uint64, 0, len(r.facts.instances))
 	for _, instance := range r.facts.instances {
 		if base := instance.changeBase(r.server); base != 0 {
@@ -97,21 +97,21 @@
 	if slices.Equal(bases, r.bases) {
 		return
 	}
-	c.forgetBases(r)
+	c.removeBases(r)
 	r.bases = bases
 	for _, base := range bases {
 		c.bases[base] = r
 	}
 	for _, base := range bases {
-		waiting := c.unresolved[base]
+		pending := c.unresolved[base]
 		delete(c.unresolved, base)
-		for index := range waiting {
-			c.applyChange(u, &waiting[index])
+		for index := range pending {
+			c.applyChange(m, &pending[index])
 		}
 	}
 }
 
-func (c *Catalog) forgetBases(r *record) {
+func (c *Catalog) removeBases(r *record) {
 	for _, base := range r.bases {
 		delete(c.bases, base)
 	}
@@ -120,21 +120,21 @@
 
 // applyChange takes a change of versions. It reports whether it taught
 // anything; one whose base is unknown is kept for later.
-func (c *Catalog) applyChange(u *mutation, news *Update) bool {
-	if news.Change.Base == 0 {
+func (c *Catalog) applyChange(m *mutation, update *Update) bool {
+	if update.Change.Base == 0 {
 		return false
 	}
-	r := c.bases[news.Change.Base]
+	r := c.bases[update.Change.Base]
 	if r == nil {
-		c.unresolved.add(news)
+		c.unresolved.add(update)
 		return false
 	}
-	known := r.instanceWithBase(news.Change.Base)
+	known := r.instanceWithBase(update.Change.Base)
 	if known == nil {
 		return false
 	}
-	whole := r.wholeNews(u, known, news)
-	return c.apply(u, &whole)
+	expanded := r.expandChange(m, known, update)
+	return c.apply(m, &expanded)
 }
 
 // instanceWithBase returns nil if the instance was dropped as too old.
@@ -147,14 +147,14 @@
 	return nil
 }
 
-// wholeNews returns the news that a change of versions stands for.
-func (r *record) wholeNews(u *mutation, known *instanceFacts, news *Update) Update {
-	instance := known.instanceAt(u.now)
+// expandChange returns the news that a change of versions stands for.
+func (r *record) expandChange(m *mutation, known *instanceFacts, update *Update) Update {
+	instance := known.instanceAt(m.now)
 	shards := instance.Contents.Indexes[0].Shards
-	instance.Contents.Indexes = make([]backend.Index, 0, len(news.Change.Versions))
-	for _, version := range news.Change.Versions {
+	instance.Contents.Indexes = make([]backend.Index, 0, len(update.Change.Versions))
+	for _, version := range update.Change.Versions {
 		instance.Contents.Indexes = append(instance.Contents.Indexes, backend.Index{Version: version, Shards: shards})
 	}
-	instance.Revision = news.Change.Revision
-	return Update{Server: r.server, Kind: news.Kind, Observer: news.Observer, Instance: instance}
+	instance.Revision = update.Change.Revision
+	return Update{Server: r.server, Kind: update.Kind, Observer: update.Observer, Instance: instance}
 }
--- a/pkg/catalog/change_encoding.go
+++ b/pkg/catalog/change_encoding.go
@@ -9,20 +9,20 @@
 
 // appendChange adds a change of versions to the last entry of a message, or to
 // a new one if that has others.
-func appendChange(message *catalogpb.NewsBatch, news *Update) {
+func appendChange(message *catalogpb.NewsBatch, update *Update) {
 	var last *catalogpb.VersionChange
 	if count := len(message.VersionChanges); count > 0 {
 		last = message.VersionChanges[count-1]
 	}
-	if last == nil || !sameVersions(last.Versions, news.Change.Versions) {
+	if last == nil || !sameVersions(last.Versions, update.Change.Versions) {
 		last = &catalogpb.VersionChange{}
-		for _, version := range news.Change.Versions {
+		for _, version := range update.Change.Versions {
 			last.Versions = append(last.Versions, uint64(version))
 		}
 		message.VersionChanges = append(message.VersionChanges, last)
 	}
-	last.Bases = append(last.Bases, news.Change.Base)
-	last.Revisions = append(last.Revisions, news.Change.Revision)
+	last.Bases = append(last.Bases, update.Change.Base)
+	last.Revisions = append(last.Revisions, update.Change.Revision)
 }
 
 func sameVersions(sent []uint64, versions []target.Version) bool {
--- a/pkg/catalog/converge_test.go
+++ b/pkg/catalog/converge_test.go
@@ -10,20 +10,20 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// drawNews makes arbitrary news about few servers and instances, so that
+// drawUpdate makes arbitrary news about few servers and instances, so that
 // many of them contradict each other.
-func drawNews(t *rapid.T) Update {
+func drawUpdate(t *rapid.T) Update {
 	number := rapid.IntRange(0, 1).Draw(t, "server")
-	news := Update{Server: serverID(number), Observer: "peer"}
+	update := Update{Server: serverID(number), Observer: "peer"}
 	if rapid.Bool().Draw(t, "operator") {
-		news.Operator = OperatorMark{
+		update.Operator = OperatorMark{
 			Sequence: rapid.Uint64Range(1, 3).Draw(t, "sequence"),
 			Drained:  rapid.Bool().Draw(t, "drained"),
 			Author:   rapid.SampledFrom([]string{"a", "b"}).Draw(t, "author"),
 		}
 	}
 	if rapid.IntRange(0, 4).Draw(t, "instance") > 0 {
-		news.Instance = Instance{
+		update.Instance = Instance{
 			ID:         rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "id"),
 			Generation: rapid.Uint64Range(0, 3).Draw(t, "generation"),
 			Draining:   rapid.Bool().Draw(t, "draining"),
@@ -31,18 +31,18 @@
 		}
 		if revision := rapid.Uint64Range(0, 2).Draw(t, "revision"); revision > 0 {
 			version := target.Version(rapid.IntRange(1, 2).Draw(t, "version"))
-			news.Instance.Revision = revision
-			news.Instance.Contents = newContents(statusOf(number, news.Instance.ID, false, version))
+			update.Instance.Revision = revision
+			update.Instance.Contents = newContents(statusOf(number, update.Instance.ID, false, version))
 		}
 	}
-	return news
+	return update
 }
 
-// drawNewsOrChange also makes changes of versions, for instances that other
+// drawUpdateOrChange also makes changes of versions, for instances that other
 // news may be about.
-func drawNewsOrChange(t *rapid.T) Update {
+func drawUpdateOrChange(t *rapid.T) Update {
 	if rapid.Bool().Draw(t, "whole") {
-		return drawNews(t)
+		return drawUpdate(t)
 	}
 	number := rapid.IntRange(0, 1).Draw(t, "server")
 	instance := Instance{ID: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "id")}
@@ -84,12 +84,12 @@
 		first, second := newTestCatalog("first", now), newTestCatalog("second", now)
 		var batch []Update
 		for range rapid.IntRange(1, 12).Draw(t, "count") {
-			batch = append(batch, drawNewsOrChange(t))
+			batch = append(batch, drawUpdateOrChange(t))
 		}
 		first.Apply(batch...)
 		shuffled := rapid.Permutation(batch).Draw(t, "order")
-		for _, news := range shuffled {
-			second.Apply(news)
+		for _, update := range shuffled {
+			second.Apply(update)
 		}
 		if again := second.Apply(batch...); len(again) > 0 {
 			t.Fatalf("known news is passed on again: %+v", again)
@@ -111,16 +111,16 @@
 	clock    *clock
 	catalogs []*Catalog
 	// mail holds the news that were sent to each node.
-	mail [][]Update
-	sent int
+	inbox [][]Update
+	sent  int
 }
 
 func newPeers(nodes int) *peers {
-	p := &peers{clock: newClock(), mail: make([][]Update, nodes)}
+	p := &peers{clock: newClock(), inbox: make([][]Update, nodes)}
 	for node := range nodes {
 		created := New(Options{
 			Node: target.NodeID(fmt.Sprint(node)), Zone: "zone", Now: p.clock.Now,
-			OnUpdate: func(news Update) { p.send(node, news) },
+			OnUpdate: func(update Update) { p.send(node, update) },
 		})
 		created.ReplaceMachines(listOf(2))
 		p.catalogs = append(p.catalogs, created)
@@ -129,9 +129,9 @@
 }
 
 // send brings news to the other nodes in its wire form.
-func (p *peers) send(from int, news Update) {
+func (p *peers) send(from int, update Update) {
 	p.sent++
-	encoded, err := EncodeUpdates([]Update{news})
+	encoded, err := EncodeUpdates([]Update{update})
 	if err != nil {
 		panic(err)
 	}
@@ -139,10 +139,10 @@
 	if err != nil {
 		panic(err)
 	}
-	news = decoded[0]
-	for node := range p.mail {
+	update = decoded[0]
+	for node := range p.inbox {
 		if node != from {
-			p.mail[node] = append(p.mail[node], news)
+			p.inbox[node] = append(p.inbox[node], update)
 		}
 	}
 }
@@ -150,11 +150,11 @@
 // deliver applies the news with the given index, passes on what was learnt,
 // and keeps a copy in the mail if repeat is set.
 func (p *peers) deliver(node, index int, repeat bool) {
-	news := p.mail[node][index]
+	update := p.inbox[node][index]
 	if !repeat {
-		p.mail[node] = append(p.mail[node][:index], p.mail[node][index+1:]...)
+		p.inbox[node] = append(p.inbox[node][:index], p.inbox[node][index+1:]...)
 	}
-	for _, learnt := range p.catalogs[node].Apply(news) {
+	for _, learnt := range p.catalogs[node].Apply(update) {
 		p.send(node, learnt)
 	}
 }
@@ -182,15 +182,15 @@
 			case 4:
 				p.catalogs[node].ReportProbe(serverID(number), p.clock.now, nil, errTest)
 			case 5:
-				if len(p.mail[node]) > 0 {
-					index := rapid.IntRange(0, len(p.mail[node])-1).Draw(t, "news")
+				if len(p.inbox[node]) > 0 {
+					index := rapid.IntRange(0, len(p.inbox[node])-1).Draw(t, "news")
 					p.deliver(node, index, rapid.Bool().Draw(t, "repeat"))
 				}
 			case 6:
 				versions[number]++
 			}
 		}
-		p.settle(t)
+		p.deliverAll(t)
 		for number := range drained {
 			p.checkAgreement(t, number)
 		}
@@ -199,7 +199,7 @@
 			status := statusOf(number, fmt.Sprint(instances[number]), drained[number], versions[number])
 			p.catalogs[0].ReportProbe(serverID(number), p.clock.now, status, nil)
 		}
-		p.settle(t)
+		p.deliverAll(t)
 		for number := range drained {
 			server := p.checkAgreement(t, number)
 			if (server.State == Leaving) != drained[number] {
@@ -213,15 +213,15 @@
 }
 
 // settle delivers all mail; passing on must come to an end.
-func (p *peers) settle(t *rapid.T) {
+func (p *peers) deliverAll(t *rapid.T) {
 	const bound = 10_000
-	for count := 0; len(p.mail[0])+len(p.mail[1]) > 0; count++ {
+	for count := 0; len(p.inbox[0])+len(p.inbox[1]) > 0; count++ {
 		if count > bound {
 			t.Fatal("news goes round in circles")
 		}
-		for node := range p.mail {
-			if len(p.mail[node]) > 0 {
-				p.deliver(node, len(p.mail[node])-1, false)
+		for node := range p.inbox {
+			if len(p.inbox[node]) > 0 {
+				p.deliver(node, len(p.inbox[node])-1, false)
 			}
 		}
 	}
@@ -229,17 +229,17 @@
 
 // checkAgreement fails unless both nodes know the same of a server.
 func (p *peers) checkAgreement(t *rapid.T, number int) *Server {
-	var told []string
+	var states []string
 	for _, c := range p.catalogs {
 		f := &c.find(serverID(number)).facts
 		current := f.current()
 		if current == nil {
 			current = &instanceFacts{}
 		}
-		told = append(told, fmt.Sprint(current.ID, current.Generation, current.Draining, current.Liveness))
+		states = append(states, fmt.Sprint(current.ID, current.Generation, current.Draining, current.Liveness))
 	}
-	if told[0] != told[1] {
-		t.Fatalf("%s: %s and %s", serverID(number), told[0], told[1])
+	if states[0] != states[1] {
+		t.Fatalf("%s: %s and %s", serverID(number), states[0], states[1])
 	}
 	return serverOf(p.catalogs[1].View(testService), serverID(number))
 }
--- a/pkg/catalog/digest.go
+++ b/pkg/catalog/digest.go
@@ -72,7 +72,7 @@
 
 // answerSync returns the news of all buckets whose digest differs from the one
 // asked about, beginning with the bucket first, up to the bound.
-func (c *Catalog) answerSync(asked []uint64, first int, operatorOnly bool) *catalogpb.SyncReply {
+func (c *Catalog) answerSync(peerDigests []uint64, firstBucket int, operatorOnly bool) *catalogpb.SyncReply {
 	own := c.digests(operatorOnly)
 	reply := &catalogpb.SyncReply{}
 	differing := make(map[int][]*record)
@@ -81,7 +81,7 @@
 	c.records.Range(func(_, value any) bool {
 		r := value.(*record)
 		bucket := bucketOf(r.server)
-		if r.listing.listed && own[bucket] != asked[bucket] {
+		if r.listing.listed && own[bucket] != peerDigests[bucket] {
 			differing[bucket] = append(differing[bucket], r)
 		}
 		return true
@@ -92,7 +92,7 @@
 			reply.More = true
 			return reply
 		}
-		for _, r := range differing[(first+offset)%digestBuckets] {
+		for _, r := range differing[(firstBucket+offset)%digestBuckets] {
 			size += c.appendSync(reply, r, now, operatorOnly)
 		}
 	}
@@ -102,14 +102,14 @@
 // appendSync adds what is known of a server and returns its size in bytes.
 func (c *Catalog) appendSync(reply *catalogpb.SyncReply, r *record, now time.Time, operatorOnly bool) int {
 	size := 0
-	for _, news := range c.recordNews(r, now) {
+	for _, update := range c.recordUpdates(r, now) {
 		if operatorOnly {
-			news.Instance = Instance{}
-			if news.Operator.Sequence == 0 {
+			update.Instance = Instance{}
+			if update.Operator.Sequence == 0 {
 				return size
 			}
 		}
-		message := ToProto(&news)
+		message := ToProto(&update)
 		size += message.SizeVT()
 		reply.News = append(reply.News, message)
 		if operatorOnly {
--- a/pkg/catalog/encoding.go
+++ b/pkg/catalog/encoding.go
@@ -30,10 +30,10 @@
 func EncodeUpdates(batch []Update) ([]byte, error) {
 	message := &catalogpb.NewsBatch{}
 	for index := range batch {
-		if news := &batch[index]; news.Change.Base != 0 {
-			appendChange(message, news)
+		if update := &batch[index]; update.Change.Base != 0 {
+			appendChange(message, update)
 		} else {
-			message.News = append(message.News, ToProto(news))
+			message.News = append(message.News, ToProto(update))
 		}
 	}
 	encoded, err := message.MarshalVT()
@@ -49,11 +49,11 @@
 	}
 	batch := make([]Update, 0, len(message.News))
 	for index, item := range message.News {
-		news, err := FromProto(item)
+		update, err := FromProto(item)
 		if err != nil {
 			return nil, errors.Wrapf(err, "news %d", index)
 		}
-		batch = append(batch, news)
+		batch = append(batch, update)
 	}
 	for index, item := range message.VersionChanges {
 		changes, err := changesFromProto(item)
@@ -67,27 +67,27 @@
 
 // ToProto returns the protobuf message of one news, as a whole also if it is no
 // more than a change of versions.
-func ToProto(news *Update) *catalogpb.News {
+func ToProto(update *Update) *catalogpb.News {
 	message := &catalogpb.News{
-		Server:   string(news.Server),
-		Kind:     uint32(news.Kind),
-		Observer: string(news.Observer),
+		Server:   string(update.Server),
+		Kind:     uint32(update.Kind),
+		Observer: string(update.Observer),
 	}
-	if news.Instance.ID != "" {
+	if update.Instance.ID != "" {
 		message.Instance = &catalogpb.Instance{
-			Id:         news.Instance.ID,
-			Generation: news.Instance.Generation,
-			Draining:   news.Instance.Draining,
-			Liveness:   news.Instance.Liveness,
-			Revision:   news.Instance.Revision,
-			Contents:   contentsToProto(news.Instance.Contents),
+			Id:         update.Instance.ID,
+			Generation: update.Instance.Generation,
+			Draining:   update.Instance.Draining,
+			Liveness:   update.Instance.Liveness,
+			Revision:   update.Instance.Revision,
+			Contents:   contentsToProto(update.Instance.Contents),
 		}
 	}
-	if news.Operator.Sequence > 0 {
+	if update.Operator.Sequence > 0 {
 		message.OperatorMark = &catalogpb.OperatorMark{
-			Sequence: news.Operator.Sequence,
-			Drained:  news.Operator.Drained,
-			Author:   news.Operator.Author,
+			Sequence: update.Operator.Sequence,
+			Drained:  update.Operator.Drained,
+			Author:   update.Operator.Author,
 		}
 	}
 	return message
@@ -147,7 +147,7 @@
 	if _, _, err := net.SplitHostPort(message.GetServer()); err != nil || len(message.GetServer()) > maxNameBytes {
 		return Update{}, errors.Errorf("server %.40q is not host:port", message.GetServer())
 	}
-	news := Update{
+	update := Update{
 		Server:   target.ServerID(message.Server),
 		Kind:     UpdateKind(message.Kind),
 		Observer: target.NodeID(message.Observer),
@@ -156,17 +156,17 @@
 		return Update{}, errors.New("observer is too long")
 	}
 	if mark := message.OperatorMark; mark != nil {
-		news.Operator = OperatorMark{Sequence: mark.Sequence, Drained: mark.Drained, Author: mark.Author}
+		update.Operator = OperatorMark{Sequence: mark.Sequence, Drained: mark.Drained, Author: mark.Author}
 		if mark.Sequence == 0 || mark.Sequence > maxCounter || len(mark.Author) > maxNameBytes {
 			return Update{}, errors.New("operator mark is out of bounds")
 		}
 	}
 	if message.Instance == nil {
-		return news, nil
+		return update, nil
 	}
 	instance, err := instanceFromProto(message.Instance)
-	news.Instance = instance
-	return news, err
+	update.Instance = instance
+	return update, err
 }
 
 func instanceFromProto(message *catalogpb.Instance) (Instance, error) {
--- a/pkg/catalog/encoding_test.go
+++ b/pkg/catalog/encoding_test.go
@@ -13,12 +13,12 @@
 	"github.com/bramblemast/bramblemast/pkg/keyspace"
 )
 
-// TestNewsSurviveTheWire encodes and decodes arbitrary news.
-func TestNewsSurviveTheWire(t *testing.T) {
+// TestUpdatesRoundTrip encodes and decodes arbitrary news.
+func TestUpdatesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var batch []Update
 		for range rapid.IntRange(1, 4).Draw(t, "count") {
-			batch = append(batch, drawNewsOrChange(t))
+			batch = append(batch, drawUpdateOrChange(t))
 		}
 		// Changes of versions come last.
 		slices.SortStableFunc(batch, func(a, b Update) int { return cmp.Compare(a.Change.Base, b.Change.Base) })
@@ -52,11 +52,11 @@
 	}
 }
 
-// TestSizesOfNews measures what a change of one server costs on the wire. A
+// TestUpdateSizes measures what a change of one server costs on the wire. A
 // server that holds one part, and a drain that needs no contents, are small.
-func TestSizesOfNews(t *testing.T) {
+func TestUpdateSizes(t *testing.T) {
 	var sent []Update
-	c := New(Options{Node: "4f9c2b7e@10.1.2.3:7000", Zone: "zone", OnUpdate: func(news Update) { sent = append(sent, news) }})
+	c := New(Options{Node: "4f9c2b7e@10.1.2.3:7000", Zone: "zone", OnUpdate: func(update Update) { sent = append(sent, update) }})
 	c.ReplaceMachines(listOf(1))
 	c.ReportProbe(serverID(0), time.Now(), statusOf(0, "5f0c7a52", false, 1), nil)
 	c.ReportProbe(serverID(0), time.Now(), statusOf(0, "5f0c7a52", false, 2), nil)
@@ -64,12 +64,12 @@
 	if len(sent) != 3 {
 		t.Fatalf("sent %+v", sent)
 	}
-	for _, news := range sent {
-		size := ToProto(&news).SizeVT()
-		t.Logf("%s: %d B", news.Kind, size)
+	for _, update := range sent {
+		size := ToProto(&update).SizeVT()
+		t.Logf("%s: %d B", update.Kind, size)
 		const bound = 150
 		if size > bound {
-			t.Errorf("%s takes %d bytes", news.Kind, size)
+			t.Errorf("%s takes %d bytes", update.Kind, size)
 		}
 	}
 	if sent[2].Instance.Contents != nil {
@@ -89,7 +89,7 @@
 	f.Add(encoded)
 	f.Add([]byte{0x0a, 0x00})
 	change := seed
-	change.noteChange(1, 1)
+	change.setVersionChange(1, 1)
 	if encoded, err = EncodeUpdates([]Update{seed, change}); err != nil {
 		f.Fatal(err)
 	}
--- a/pkg/catalog/exchange.go
+++ b/pkg/catalog/exchange.go
@@ -44,7 +44,7 @@
 	Remote func() []peer.Address
 	// OnForwarded receives the news that came from another zone and taught
 	// something, to be told to this zone. It must not block.
-	OnForwarded func(news Update)
+	OnForwarded func(update Update)
 	// Interval is the mean time between two comparisons with a peer, and
 	// RemoteInterval with a remote one.
 	Interval       time.Duration
@@ -100,25 +100,25 @@
 // error of ctx.
 func (e *Exchange) Run(ctx context.Context) error {
 	defer e.running.Wait()
-	near := time.NewTimer(e.jittered(e.options.Interval))
-	defer near.Stop()
-	remote := time.NewTimer(e.jittered(e.options.RemoteInterval))
-	defer remote.Stop()
+	zoneTimer := time.NewTimer(e.jitter(e.options.Interval))
+	defer zoneTimer.Stop()
+	remoteTimer := time.NewTimer(e.jitter(e.options.RemoteInterval))
+	defer remoteTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-near.C:
+		case <-zoneTimer.C:
 			e.pullFromOne(ctx, e.options.Peers(), false)
-			near.Reset(e.jittered(e.options.Interval))
-		case <-remote.C:
+			zoneTimer.Reset(e.jitter(e.options.Interval))
+		case <-remoteTimer.C:
 			e.pullFromOne(ctx, e.options.Remote(), true)
-			remote.Reset(e.jittered(e.options.RemoteInterval))
+			remoteTimer.Reset(e.jitter(e.options.RemoteInterval))
 		}
 	}
 }
 
-func (e *Exchange) jittered(interval time.Duration) time.Duration {
+func (e *Exchange) jitter(interval time.Duration) time.Duration {
 	const share = 0.2
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -177,7 +177,7 @@
 		return false, err
 	}
 	if operatorOnly {
-		e.tellZone(learnt)
+		e.forwardToZone(learnt)
 	}
 	return reply.More && len(learnt) > 0, nil
 }
@@ -185,28 +185,28 @@
 func (e *Exchange) apply(messages []*catalogpb.News) ([]Update, error) {
 	batch := make([]Update, 0, len(messages))
 	for _, message := range messages {
-		news, err := FromProto(message)
+		update, err := FromProto(message)
 		if err != nil {
 			return nil, errors.Wrap(err, "news from peer")
 		}
-		batch = append(batch, news)
+		batch = append(batch, update)
 	}
 	return e.options.Catalog.Apply(batch...), nil
 }
 
-func (e *Exchange) tellZone(learnt []Update) {
-	for _, news := range learnt {
-		e.options.OnForwarded(news)
+func (e *Exchange) forwardToZone(learnt []Update) {
+	for _, update := range learnt {
+		e.options.OnForwarded(update)
 	}
 }
 
 // Forward sends an operator's mark to the other zones at once. Other news is
 // left out. A call that fails is made up for by the next comparison.
-func (e *Exchange) Forward(ctx context.Context, news Update) {
-	if news.Operator.Sequence == 0 || news.Kind != KindOperator {
+func (e *Exchange) Forward(ctx context.Context, update Update) {
+	if update.Operator.Sequence == 0 || update.Kind != KindOperator {
 		return
 	}
-	batch := &catalogpb.NewsBatch{News: []*catalogpb.News{ToProto(&news)}}
+	batch := &catalogpb.NewsBatch{News: []*catalogpb.News{ToProto(&update)}}
 	for _, address := range e.options.Remote() {
 		e.running.Go(func() {
 			bounded, cancel := context.WithTimeout(ctx, e.options.Timeout)
@@ -239,6 +239,6 @@
 	if err != nil {
 		return nil, err
 	}
-	e.tellZone(learnt)
+	e.forwardToZone(learnt)
 	return &catalogpb.Received{}, nil
 }
--- a/pkg/catalog/exchange_test.go
+++ b/pkg/catalog/exchange_test.go
@@ -21,8 +21,8 @@
 	catalog  *Catalog
 	exchange *Exchange
 	// mutex guards told, the news for the own zone that came from another.
-	mutex sync.Mutex
-	told  []Update
+	mutex     sync.Mutex
+	forwarded []Update
 }
 
 func newExchangeNode(network *peer.Network, name string, servers int, peers, remote []peer.Address) *exchangeNode {
@@ -34,10 +34,10 @@
 		Peers:     func() []peer.Address { return peers },
 		Remote:    func() []peer.Address { return remote },
 		Random:    rand.New(rand.NewPCG(1, uint64(len(name)))),
-		OnForwarded: func(news Update) {
+		OnForwarded: func(update Update) {
 			node.mutex.Lock()
 			defer node.mutex.Unlock()
-			node.told = append(node.told, news)
+			node.forwarded = append(node.forwarded, update)
 		},
 	})
 	return node
@@ -52,8 +52,8 @@
 		first := newExchangeNode(network, "first", 2, nil, nil)
 		second := newExchangeNode(network, "second", 2, nil, nil)
 		for range rapid.IntRange(0, 8).Draw(t, "news") {
-			first.catalog.Apply(drawNews(t))
-			second.catalog.Apply(drawNews(t))
+			first.catalog.Apply(drawUpdate(t))
+			second.catalog.Apply(drawUpdate(t))
 		}
 		if err := first.exchange.Pull(context.Background(), "second"); err != nil {
 			t.Fatal(err)
@@ -104,19 +104,19 @@
 			t.Fatalf("got %+v, want %+v", server, want)
 		}
 	}
-	asked := starter.catalog.digests(false)
-	reply := known.catalog.answerSync(asked[:], 0, false)
+	ownDigests := starter.catalog.digests(false)
+	reply := known.catalog.answerSync(ownDigests[:], 0, false)
 	t.Logf("request %d B, reply without differences %d B, one bucket of %d servers %d B",
-		(&catalogpb.SyncRequest{Digests: asked[:]}).SizeVT(), reply.SizeVT(), servers/digestBuckets, bucketBytes(known.catalog, asked))
+		(&catalogpb.SyncRequest{Digests: ownDigests[:]}).SizeVT(), reply.SizeVT(), servers/digestBuckets, bucketBytes(known.catalog, ownDigests))
 	if len(reply.News) > 0 || reply.More {
 		t.Fatalf("%d news without a difference", len(reply.News))
 	}
 }
 
 // bucketBytes is the size of a reply when one bucket differs.
-func bucketBytes(c *Catalog, asked digests) int {
-	asked[0]++
-	return c.answerSync(asked[:], 0, false).SizeVT()
+func bucketBytes(c *Catalog, peerDigests digests) int {
+	peerDigests[0]++
+	return c.answerSync(peerDigests[:], 0, false).SizeVT()
 }
 
 // TestOperatorsMarkReachesOtherZones drains a server: another zone hears of it
@@ -124,12 +124,12 @@
 func TestOperatorsMarkReachesOtherZones(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		t.Run(fmt.Sprintf("lost=%v", lost), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { operatorsMarkCrosses(t, lost) })
+			synctest.Test(t, func(t *testing.T) { testOperatorMark(t, lost) })
 		})
 	}
 }
 
-func operatorsMarkCrosses(t *testing.T, lost bool) {
+func testOperatorMark(t *testing.T, lost bool) {
 	network := peer.NewNetwork(1)
 	ctx, cancel := context.WithCancel(t.Context())
 	near := newExchangeNode(network, "near", 2, nil, []peer.Address{"far"})
@@ -138,10 +138,10 @@
 	if err := near.catalog.Drain(serverID(0), true, "author"); err != nil {
 		t.Fatal(err)
 	}
-	for _, news := range near.catalog.Snapshot() {
-		news.Kind = KindOperator
+	for _, update := range near.catalog.Snapshot() {
+		update.Kind = KindOperator
 		if !lost {
-			near.exchange.Forward(ctx, news)
+			near.exchange.Forward(ctx, update)
 		}
 	}
 	var running sync.WaitGroup
@@ -162,8 +162,8 @@
 	cancel()
 	running.Wait()
 	network.Close()
-	if len(far.told) != 1 {
-		t.Errorf("the zone was told %d times", len(far.told))
+	if len(far.forwarded) != 1 {
+		t.Errorf("the zone was told %d times", len(far.forwarded))
 	}
 }
 
--- a/pkg/catalog/facts.go
+++ b/pkg/catalog/facts.go
@@ -86,17 +86,17 @@
 }
 
 // merge adds news to the facts and reports whether it taught anything.
-func (f *facts) merge(news *Update, now time.Time) bool {
+func (f *facts) merge(update *Update, now time.Time) bool {
 	changed := false
-	if news.Operator.supersedes(f.operator) {
-		f.operator = news.Operator
+	if update.Operator.supersedes(f.operator) {
+		f.operator = update.Operator
 		changed = true
 	}
-	if news.Instance.ID == "" {
+	if update.Instance.ID == "" {
 		return changed
 	}
-	known := f.instance(news.Instance.ID)
-	learnt := known.merge(&news.Instance, now)
+	known := f.instance(update.Instance.ID)
+	learnt := known.merge(&update.Instance, now)
 	f.prune()
 	// What is dropped at once was not learnt: it must not be passed on again
 	// and again.
@@ -104,40 +104,40 @@
 }
 
 // merge joins two states of the same instance field by field.
-func (i *instanceFacts) merge(news *Instance, now time.Time) bool {
+func (i *instanceFacts) merge(update *Instance, now time.Time) bool {
 	changed := false
-	if news.Generation > i.Generation {
-		i.Generation = news.Generation
+	if update.Generation > i.Generation {
+		i.Generation = update.Generation
 		changed = true
 	}
-	if news.Draining && !i.Draining {
+	if update.Draining && !i.Draining {
 		i.Draining = true
 		changed = true
 	}
-	if news.Liveness > i.Liveness {
-		i.Liveness = news.Liveness
+	if update.Liveness > i.Liveness {
+		i.Liveness = update.Liveness
 		changed = true
 	}
-	if news.Contents != nil && i.isOlderContents(news) {
-		i.Revision = news.Revision
-		i.Contents = news.Contents
-		i.startedAt = now.Add(-news.Contents.Uptime)
+	if update.Contents != nil && i.contentsSupersededBy(update) {
+		i.Revision = update.Revision
+		i.Contents = update.Contents
+		i.startedAt = now.Add(-update.Contents.Uptime)
 		changed = true
 	}
 	return changed
 }
 
-// isOlderContents reports whether the contents of news are to replace those of
+// contentsSupersededBy reports whether the contents of news are to replace those of
 // i. Two observers may give the same revision to different contents; all nodes
 // then keep the same one, and the next probe gives a higher revision.
-func (i *instanceFacts) isOlderContents(news *Instance) bool {
-	if news.Revision != i.Revision {
-		return news.Revision > i.Revision
+func (i *instanceFacts) contentsSupersededBy(update *Instance) bool {
+	if update.Revision != i.Revision {
+		return update.Revision > i.Revision
 	}
-	if i.Contents.equal(news.Contents) {
+	if i.Contents.equal(update.Contents) {
 		return false
 	}
-	return bytes.Compare(contentsKey(news.Contents), contentsKey(i.Contents)) > 0
+	return bytes.Compare(contentsKey(update.Contents), contentsKey(i.Contents)) > 0
 }
 
 // dead reports whether probers say that the process does not answer.
@@ -154,11 +154,11 @@
 
 // news returns the facts about an instance as news. The uptime is that of now.
 func (i *instanceFacts) instanceAt(now time.Time) Instance {
-	told := i.Instance
-	if told.Contents != nil {
-		contents := *told.Contents
+	instance := i.Instance
+	if instance.Contents != nil {
+		contents := *instance.Contents
 		contents.Uptime = max(now.Sub(i.startedAt), 0)
-		told.Contents = &contents
+		instance.Contents = &contents
 	}
-	return told
+	return instance
 }
--- a/pkg/catalog/machine_test.go
+++ b/pkg/catalog/machine_test.go
@@ -19,30 +19,30 @@
 type oracle struct {
 	instance string
 	// drained holds the instances that said that they drain.
-	drained  map[string]bool
-	nameless bool
-	operator bool
-	listed   machinelist.State
-	byList   bool
-	awaits   bool
+	drained           map[string]bool
+	drainUnattributed bool
+	operator          bool
+	listed            machinelist.State
+	leavingByList     bool
+	awaitsProbe       bool
 }
 
 func (o *oracle) leaving() bool {
-	return o.operator || o.nameless || o.drained[o.instance] || o.byList || o.awaits
+	return o.operator || o.drainUnattributed || o.drained[o.instance] || o.leavingByList || o.awaitsProbe
 }
 
 func (o *oracle) probed(instance string, draining bool) {
 	switch {
-	case o.instance == "" && o.nameless:
+	case o.instance == "" && o.drainUnattributed:
 		o.drained[instance] = true
 	case o.instance != "" && o.instance != instance:
-		o.byList, o.awaits = false, false
+		o.leavingByList, o.awaitsProbe = false, false
 	}
-	o.instance, o.nameless = instance, false
+	o.instance, o.drainUnattributed = instance, false
 	if draining {
 		o.drained[instance] = true
 	} else {
-		o.awaits = false
+		o.awaitsProbe = false
 	}
 }
 
@@ -51,7 +51,7 @@
 		instance = o.instance
 	}
 	if instance == "" {
-		o.nameless = true
+		o.drainUnattributed = true
 		return
 	}
 	o.drained[instance] = true
@@ -62,9 +62,9 @@
 	case state == o.listed:
 		return
 	case state == machinelist.Leaving:
-		o.byList, o.awaits = true, false
-	case o.byList:
-		o.byList, o.awaits = false, true
+		o.leavingByList, o.awaitsProbe = true, false
+	case o.leavingByList:
+		o.leavingByList, o.awaitsProbe = false, true
 	}
 	o.listed = state
 }
@@ -87,7 +87,7 @@
 	m := &machine{clock: newClock(), list: listOf(machineServers), instances: make([]int, machineServers)}
 	m.catalog = New(Options{
 		Node: "node", Zone: "zone", Now: m.clock.Now,
-		OnUpdate: func(news Update) { m.updates = append(m.updates, news) },
+		OnUpdate: func(update Update) { m.updates = append(m.updates, update) },
 	})
 	m.catalog.ReplaceMachines(m.list)
 	for range machineServers {
@@ -153,8 +153,8 @@
 	m.catalog.Refresh()
 }
 
-// ApplyOwnNews plays news back that this node sent itself, as a relay may.
-func (m *machine) ApplyOwnNews(t *rapid.T) {
+// ApplyOwnUpdate plays news back that this node sent itself, as a relay may.
+func (m *machine) ApplyOwnUpdate(t *rapid.T) {
 	if len(m.updates) == 0 {
 		return
 	}
@@ -215,7 +215,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"restart": m.Restart, "probe": m.Probe, "probeFails": m.ProbeFails, "drainHint": m.DrainHint,
 			"operator": m.Operator, "machineList": m.MachineList, "failures": m.Failures, "answer": m.Answer,
-			"time": m.Time, "ownNews": m.ApplyOwnNews, "": m.Check,
+			"time": m.Time, "ownNews": m.ApplyOwnUpdate, "": m.Check,
 		})
 	})
 }
--- a/pkg/catalog/machines.go
+++ b/pkg/catalog/machines.go
@@ -20,18 +20,18 @@
 // ReplaceMachines takes a new reading of the machine list. A server that is
 // missing from it is kept for a while; see Options.UnlistedSilentTimeout.
 func (c *Catalog) ReplaceMachines(list machinelist.List) {
-	c.change(func(u *mutation) {
-		c.listed = len(list)
+	c.mutate(func(m *mutation) {
+		c.listedCount = len(list)
 		spread := c.discoverySpread()
 		present := make(map[target.ServerID]struct{}, len(list))
 		for _, entry := range list {
 			present[entry.Server] = struct{}{}
-			c.list(u, entry, spread)
+			c.applyEntry(m, entry, spread)
 		}
 		c.records.Range(func(_, value any) bool {
 			r := value.(*record)
 			if _, listed := present[r.server]; !listed && r.listing.listed {
-				c.unlist(u, r)
+				c.markUnlisted(m, r)
 			}
 			return true
 		})
@@ -41,14 +41,14 @@
 // ApplyMachines takes what changed since the last reading of the machine list:
 // entries that are new or differ, and servers that are missing from it now.
 func (c *Catalog) ApplyMachines(changed machinelist.List, removed []target.ServerID) {
-	c.change(func(u *mutation) {
+	c.mutate(func(m *mutation) {
 		spread := c.discoverySpread()
 		for _, entry := range changed {
-			c.list(u, entry, spread)
+			c.applyEntry(m, entry, spread)
 		}
 		for _, server := range removed {
 			if r := c.find(server); r != nil && r.listing.listed {
-				c.unlist(u, r)
+				c.markUnlisted(m, r)
 			}
 		}
 	})
@@ -56,11 +56,11 @@
 
 // discoverySpread returns the time over which first probes are spread.
 func (c *Catalog) discoverySpread() time.Duration {
-	return min(time.Duration(c.listed)*discoverySpread, maxDiscoverySpread)
+	return min(time.Duration(c.listedCount)*discoverySpread, maxDiscoverySpread)
 }
 
 // list takes one entry of the machine list.
-func (c *Catalog) list(u *mutation, entry machinelist.Entry, spread time.Duration) {
+func (c *Catalog) applyEntry(m *mutation, entry machinelist.Entry, spread time.Duration) {
 	r := c.find(entry.Server)
 	if r == nil {
 		r = newRecord(entry.Server)
@@ -71,34 +71,34 @@
 	if r.listing.listed && r.listing.Entry == entry {
 		return
 	}
-	c.join(r, entry.Service)
-	r.listing.takeState(entry.State, u.now)
+	c.joinService(r, entry.Service)
+	r.listing.applyState(entry.State, m.now)
 	r.listing.Entry = entry
 	r.listing.everListed = true
 	r.listing.listed = true
 	if r.listing.awaitsProbe || r.facts.current() == nil {
-		c.wantFirstProbe(u, r, spread)
+		c.requestFirstProbe(m, r, spread)
 	}
-	c.touched(r)
+	c.markDirty(r)
 	c.membership.Add(1)
 }
 
-// wantFirstProbe asks for a probe by this node itself, since news may never
+// requestFirstProbe asks for a probe by this node itself, since news may never
 // come. The time depends on node and server, so that the nodes of a zone do not
 // all probe a new server at once and news can come first. Servers of other
 // regions are left to the nodes that are to probe them.
-func (c *Catalog) wantFirstProbe(u *mutation, r *record, spread time.Duration) {
+func (c *Catalog) requestFirstProbe(m *mutation, r *record, spread time.Duration) {
 	if r.listing.distance(c.options.Zone, c.options.Region) > distanceRegion {
 		return
 	}
 	share := rendezvous.Score(string(c.options.Node), string(r.server))
 	delay := time.Duration(float64(spread) * (float64(share) / math.MaxUint64))
-	c.wantProbeAt(r, u.now.Add(delay))
+	c.requestProbeAt(r, m.now.Add(delay))
 }
 
-// takeState looks for a change of what the list says; the same statement again
+// applyState looks for a change of what the list says; the same statement again
 // says nothing new, since the list lags.
-func (l *listing) takeState(state machinelist.State, now time.Time) {
+func (l *listing) applyState(state machinelist.State, now time.Time) {
 	if state == l.State {
 		return
 	}
@@ -113,19 +113,19 @@
 	}
 }
 
-func (c *Catalog) unlist(u *mutation, r *record) {
+func (c *Catalog) markUnlisted(m *mutation, r *record) {
 	r.listing.listed = false
-	r.listing.unlistedSince = u.now
+	r.listing.unlistedSince = m.now
 	c.watchLocked(r)
-	c.touched(r)
+	c.markDirty(r)
 }
 
 // join puts a server into the view of its service.
-func (c *Catalog) join(r *record, service target.Service) {
+func (c *Catalog) joinService(r *record, service target.Service) {
 	if r.listing.everListed && r.listing.Service == service {
 		return
 	}
-	c.leave(r)
+	c.leaveService(r)
 	services := *c.services.Load()
 	state := services[service]
 	if state == nil {
@@ -140,7 +140,7 @@
 }
 
 // leave takes a server out of the view of its service.
-func (c *Catalog) leave(r *record) {
+func (c *Catalog) leaveService(r *record) {
 	state := (*c.services.Load())[r.listing.Service]
 	if state == nil {
 		return
@@ -155,10 +155,10 @@
 // about twice a second. It looks only at servers with recent results and at
 // those that are missing from the machine list.
 func (c *Catalog) Refresh() {
-	c.change(func(u *mutation) {
+	c.mutate(func(m *mutation) {
 		for r := range c.watched {
-			c.refreshResults(u, r)
-			c.refreshListing(u, r)
+			c.refreshResults(m, r)
+			c.refreshListing(m, r)
 			if r.listing.listed && r.outlier.idle() {
 				delete(c.watched, r)
 				r.results.watched.Store(false)
@@ -167,43 +167,43 @@
 	})
 }
 
-func (c *Catalog) refreshResults(u *mutation, r *record) {
+func (c *Catalog) refreshResults(m *mutation, r *record) {
 	if r.outlier.roll(&r.results) > 0 {
-		if !r.answeredRecently(u.now, &c.options) {
-			c.touched(r)
+		if !r.answeredRecently(m.now, &c.options) {
+			c.markDirty(r)
 		}
-		r.lastAnswer = u.now
+		r.lastAnswer = m.now
 	}
-	if r.outlier.failsTooOften(&c.options) {
-		c.eject(u, r)
+	if r.outlier.exceedsFailureShare(&c.options) {
+		c.eject(m, r)
 	}
-	r.outlier.calm(u.now, &c.options)
+	r.outlier.expireEjections(m.now, &c.options)
 	const notableLoad = 0.1
 	if load := r.results.getLoad(); load > r.builtLoad+notableLoad || load < r.builtLoad-notableLoad {
-		c.touched(r)
+		c.markDirty(r)
 	}
 }
 
-func (c *Catalog) refreshListing(u *mutation, r *record) {
+func (c *Catalog) refreshListing(m *mutation, r *record) {
 	if r.listing.listed {
 		return
 	}
-	if r.state != Gone && r.gone(u.now, &c.options) {
-		c.touched(r)
+	if r.state != Gone && r.gone(m.now, &c.options) {
+		c.markDirty(r)
 		c.membership.Add(1)
 	}
-	if u.now.Sub(r.listing.unlistedSince) >= c.options.UnlistedTimeout+c.options.Retention {
+	if m.now.Sub(r.listing.unlistedSince) >= c.options.UnlistedTimeout+c.options.Retention {
 		c.forget(r)
 	}
 }
 
 // forget drops the record of a server that is gone.
 func (c *Catalog) forget(r *record) {
-	c.leave(r)
+	c.leaveService(r)
 	c.records.Delete(r.server)
 	delete(c.watched, r)
-	delete(c.wanted, r)
-	c.forgetBases(r)
+	delete(c.probeRequests, r)
+	c.removeBases(r)
 	if !r.listing.everListed {
 		c.pending--
 	}
--- a/pkg/catalog/options.go
+++ b/pkg/catalog/options.go
@@ -66,7 +66,7 @@
 	// OnUpdate receives the news that this node has to tell its peers. It is
 	// called outside all locks, from the goroutine that brought the change,
 	// and must not block. Nil means none.
-	OnUpdate func(news Update)
+	OnUpdate func(update Update)
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 	// Logger is nil for none.
--- a/pkg/catalog/outlier.go
+++ b/pkg/catalog/outlier.go
@@ -26,7 +26,7 @@
 	// namesInstance tells that the server names its instance in hints.
 	namesInstance atomic.Bool
 	// doubted tells that a probe for doubted contents is asked for.
-	doubted atomic.Bool
+	suspectedStale atomic.Bool
 	// newest is the newest index version that the server is known to have, or
 	// to have spoken of.
 	newest atomic.Uint64
@@ -59,33 +59,33 @@
 
 func (r *results) newestVersion() target.Version { return target.Version(r.newest.Load()) }
 
-func (r *results) noteVersion(version target.Version) { r.newest.Store(uint64(version)) }
+func (r *results) setNewestVersion(version target.Version) { r.newest.Store(uint64(version)) }
 
-func (r *results) named() bool { return r.namesInstance.Load() }
+func (r *results) hasNamedInstance() bool { return r.namesInstance.Load() }
 
-func (r *results) noteNamed() {
+func (r *results) setNamesInstance() {
 	if !r.namesInstance.Load() {
 		r.namesInstance.Store(true)
 	}
 }
 
-// knownDraining reports whether it is known already that an instance drains.
+// isKnownDraining reports whether it is known already that an instance drains.
 // Without an instance it is not known which one is meant.
-func (r *results) knownDraining(instance string) bool {
+func (r *results) isKnownDraining(instance string) bool {
 	known := r.draining.Load()
 	return known != nil && *known == instance
 }
 
-func (r *results) noteDraining(instance string) { r.draining.Store(&instance) }
+func (r *results) setDraining(instance string) { r.draining.Store(&instance) }
 
-// noteFacts takes over what later hints are compared with.
-func (r *results) noteFacts(current *instanceFacts) {
+// updateFrom takes over what later hints are compared with.
+func (r *results) updateFrom(current *instanceFacts) {
 	if current == nil {
 		return
 	}
-	r.noteVersion(current.Contents.newestVersion())
+	r.setNewestVersion(current.Contents.newestVersion())
 	if current.Draining {
-		r.noteDraining(current.ID)
+		r.setDraining(current.ID)
 	}
 }
 
@@ -110,8 +110,8 @@
 // outlier is the ejection of one server. The catalog's mutex guards it.
 type outlier struct {
 	until time.Time
-	// inRow counts the ejections without a calm time between them.
-	inRow int
+	// consecutive counts the ejections without a calm time between them.
+	consecutive int
 	// wasEjected tells that the server was ejected in the last view.
 	wasEjected bool
 	// window holds recent results, older ones with less weight.
@@ -130,11 +130,11 @@
 		return
 	}
 	const maxDoublings = 30
-	length := options.EjectionTime << min(o.inRow, maxDoublings)
+	length := options.EjectionTime << min(o.consecutive, maxDoublings)
 	if length <= 0 || length > options.MaxEjectionTime {
 		length = options.MaxEjectionTime
 	}
-	o.inRow++
+	o.consecutive++
 	o.until = now.Add(length)
 	o.windowSuccesses, o.windowFailures = 0, 0
 }
@@ -159,18 +159,18 @@
 // idle reports whether no recent result is left to look at.
 func (o *outlier) idle() bool {
 	const negligible = 0.01
-	return o.windowSuccesses+o.windowFailures < negligible && o.inRow == 0
+	return o.windowSuccesses+o.windowFailures < negligible && o.consecutive == 0
 }
 
-// failsTooOften reports whether the failed share of the window is too great.
-func (o *outlier) failsTooOften(options *Options) bool {
+// exceedsFailureShare reports whether the failed share of the window is too great.
+func (o *outlier) exceedsFailureShare(options *Options) bool {
 	total := o.windowSuccesses + o.windowFailures
 	return total >= float64(options.MinResults) && o.windowFailures >= options.FailureShare*total
 }
 
 // calm forgets earlier ejections once the server did well for a while.
-func (o *outlier) calm(now time.Time, options *Options) {
-	if o.inRow > 0 && now.Sub(o.until) >= options.MaxEjectionTime {
-		o.inRow = 0
+func (o *outlier) expireEjections(now time.Time, options *Options) {
+	if o.consecutive > 0 && now.Sub(o.until) >= options.MaxEjectionTime {
+		o.consecutive = 0
 	}
 }
--- a/pkg/catalog/probe.go
+++ b/pkg/catalog/probe.go
@@ -13,10 +13,10 @@
 	c.reportProbe(server, sentAt, status, err, true)
 }
 
-// reportProbe is ReportProbe. Other contents are told to peers if tellContents
+// reportProbe is ReportProbe. Other contents are told to peers if announceContents
 // is set, and else left to the server's regular probers.
 func (c *Catalog) reportProbe(
-	server target.ServerID, sentAt time.Time, status *backend.Status, err error, tellContents bool,
+	server target.ServerID, sentAt time.Time, status *backend.Status, err error, announceContents bool,
 ) {
 	r := c.find(server)
 	if r == nil {
@@ -25,44 +25,44 @@
 	if err == nil {
 		err = checkStatus(status)
 	}
-	c.change(func(u *mutation) {
+	c.mutate(func(m *mutation) {
 		if err != nil {
-			c.probeFailed(u, r, err)
+			c.probeFailed(m, r, err)
 		} else {
-			c.probeAnswered(u, r, sentAt, status, tellContents)
+			c.probeAnswered(m, r, sentAt, status, announceContents)
 		}
-		r.doubtProbed(sentAt)
+		r.staleProbeDone(sentAt)
 	})
 }
 
 // probeFailed counts a failed probe. After some in a row the server is
 // suspected here, and announced as dead unless it answers sub-requests.
-func (c *Catalog) probeFailed(u *mutation, r *record, cause error) {
+func (c *Catalog) probeFailed(m *mutation, r *record, cause error) {
 	r.probe.failures++
 	if r.probe.failures < c.options.ProbeFailures {
 		return
 	}
 	if r.probe.failures == c.options.ProbeFailures {
 		c.options.Logger.Info("back end does not answer probes", "server", r.server, "error", cause)
-		c.touched(r)
+		c.markDirty(r)
 	}
 	current := r.facts.current()
-	if current == nil || current.dead() || r.answeredRecently(u.now, &c.options) || u.now.Before(r.probe.announceAfter) {
+	if current == nil || current.dead() || r.answeredRecently(m.now, &c.options) || m.now.Before(r.probe.announceAfter) {
 		return
 	}
 	current.Liveness++
-	c.touched(r)
-	c.tell(u, r, KindDead, current.withoutContents())
+	c.markDirty(r)
+	c.queueUpdate(m, r, KindDead, current.withoutContents())
 }
 
 // probeAnswered takes a status. It is fresh evidence, unless the server was
 // replaced while the probe was on its way.
-func (c *Catalog) probeAnswered(u *mutation, r *record, sentAt time.Time, status *backend.Status, tellContents bool) {
+func (c *Catalog) probeAnswered(m *mutation, r *record, sentAt time.Time, status *backend.Status, announceContents bool) {
 	if r.probe.failures >= c.options.ProbeFailures {
-		c.touched(r)
+		c.markDirty(r)
 	}
 	r.probe.failures = 0
-	r.probe.announced = 0
+	r.probe.refutations = 0
 	r.probe.announceAfter = time.Time{}
 	if sentAt.Before(r.instanceSince) {
 		return
@@ -72,27 +72,27 @@
 	if previous != nil {
 		previousID, previousBase = previous.ID, previous.changeBase(r.server)
 	}
-	kind, changed := c.observe(u, r, status)
-	r.probe.lastOK = u.now
+	kind, changed := c.observe(m, r, status)
+	r.probe.lastOK = m.now
 	if r.listing.awaitsProbe && !status.Draining && !sentAt.Before(r.listing.retractedAt) {
 		r.listing.awaitsProbe = false
-		c.touched(r)
+		c.markDirty(r)
 	}
 	if !changed {
 		return
 	}
-	c.settle(u, r, previousID)
-	if kind == KindContents && !tellContents {
+	c.factsChanged(m, r, previousID)
+	if kind == KindContents && !announceContents {
 		return
 	}
-	c.tell(u, r, kind, r.facts.current())
+	c.queueUpdate(m, r, kind, r.facts.current())
 	if kind == KindContents {
-		u.updates[len(u.updates)-1].noteChange(previousBase, r.facts.current().changeBase(r.server))
+		m.updates[len(m.updates)-1].setVersionChange(previousBase, r.facts.current().changeBase(r.server))
 	}
 }
 
 // observe joins a status with the facts. It returns what changed.
-func (c *Catalog) observe(u *mutation, r *record, status *backend.Status) (UpdateKind, bool) {
+func (c *Catalog) observe(m *mutation, r *record, status *backend.Status) (UpdateKind, bool) {
 	previous := r.facts.current()
 	kind, changed := KindOther, false
 	instance := r.facts.instance(status.Instance)
@@ -111,7 +111,7 @@
 		instance.Revision++
 		instance.Contents = contents
 		if instance.startedAt.IsZero() {
-			instance.startedAt = c.startOf(u, r, previous, status.Uptime)
+			instance.startedAt = c.startTimeOf(m, r, previous, status.Uptime)
 		}
 		if !changed {
 			kind = KindContents
@@ -126,10 +126,10 @@
 	return kind, changed
 }
 
-// startOf returns when a process started. One that takes the place of another
+// startTimeOf returns when a process started. One that takes the place of another
 // started after that was last seen, whatever uptime it claims.
-func (c *Catalog) startOf(u *mutation, r *record, previous *instanceFacts, uptime time.Duration) time.Time {
-	started := u.now.Add(-uptime)
+func (c *Catalog) startTimeOf(m *mutation, r *record, previous *instanceFacts, uptime time.Duration) time.Time {
+	started := m.now.Add(-uptime)
 	if previous != nil && started.Before(r.probe.lastOK) {
 		return r.probe.lastOK
 	}
@@ -145,7 +145,7 @@
 	now := c.options.Now()
 	var scope []target.ServerID
 	for _, state := range *c.services.Load() {
-		nearest := c.nearestOfGroups(state)
+		nearest := c.nearestByGroup(state)
 		for server, r := range state.members {
 			limit := max(nearest[r.listing.Group], distanceRegion)
 			near := r.listing.distance(c.options.Zone, c.options.Region) <= limit
@@ -157,9 +157,9 @@
 	return scope
 }
 
-// nearestOfGroups returns, for each group of a service, the least distance of
+// nearestByGroup returns, for each group of a service, the least distance of
 // its servers.
-func (c *Catalog) nearestOfGroups(state *serviceState) map[string]int {
+func (c *Catalog) nearestByGroup(state *serviceState) map[string]int {
 	nearest := make(map[string]int)
 	for _, r := range state.members {
 		distance := r.listing.distance(c.options.Zone, c.options.Region)
@@ -170,52 +170,52 @@
 	return nearest
 }
 
-// wantedProbe is a server that wants one probe now.
-type wantedProbe struct {
+// requestedProbe is a server that wants one probe now.
+type requestedProbe struct {
 	server target.ServerID
 	// doubted is set if its contents are doubted, so that its regular probers
 	// must not wait for their next probe either.
-	doubted bool
+	suspectedStale bool
 }
 
-// takeWanted returns the servers that want one probe by now, and forgets that
+// takeRequestedProbes returns the servers that want one probe by now, and forgets that
 // they do. A server whose need was met meanwhile is left out.
-func (c *Catalog) takeWanted() []wantedProbe {
+func (c *Catalog) takeRequestedProbes() []requestedProbe {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
-	var due []wantedProbe
-	for r := range c.wanted {
-		if now.Before(r.probe.wantedAt) {
+	var due []requestedProbe
+	for r := range c.probeRequests {
+		if now.Before(r.probe.requestedAt) {
 			continue
 		}
-		r.probe.wantedAt = time.Time{}
-		delete(c.wanted, r)
-		if r.doubt.active {
-			r.doubtProbeStarts(now)
+		r.probe.requestedAt = time.Time{}
+		delete(c.probeRequests, r)
+		if r.staleness.suspected {
+			r.staleProbeStarted(now)
 		}
 		if r.needsProbe() {
-			due = append(due, wantedProbe{server: r.server, doubted: r.doubt.active})
+			due = append(due, requestedProbe{server: r.server, suspectedStale: r.staleness.suspected})
 		}
 	}
 	return due
 }
 
-// wantAgain asks once more for a probe that could not be sent.
-func (c *Catalog) wantAgain(probe wantedProbe, at time.Time) {
+// requestProbeAgain asks once more for a probe that could not be sent.
+func (c *Catalog) requestProbeAgain(probe requestedProbe, at time.Time) {
 	r := c.find(probe.server)
 	if r == nil {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.wantProbeAt(r, at)
+	c.requestProbeAt(r, at)
 }
 
 // needsProbe reports whether a probe would tell something that is asked for.
 func (r *record) needsProbe() bool {
 	current := r.facts.current()
-	if current == nil || current.Contents == nil || r.listing.awaitsProbe || r.doubt.active {
+	if current == nil || current.Contents == nil || r.listing.awaitsProbe || r.staleness.suspected {
 		return true
 	}
 	return current.Contents.newestVersion() < r.results.newestVersion()
--- a/pkg/catalog/probeloop.go
+++ b/pkg/catalog/probeloop.go
@@ -126,8 +126,8 @@
 			return ctx.Err()
 		case <-ticker.C:
 			l.step(ctx, time.Now())
-		case <-l.options.Catalog.probesWanted:
-			l.startWanted(ctx, time.Now())
+		case <-l.options.Catalog.probeWakeup:
+			l.startRequested(ctx, time.Now())
 		}
 	}
 }
@@ -140,49 +140,49 @@
 	l.reconcile(now)
 	for server, entry := range l.schedule {
 		if !now.Before(entry.next) && l.start(ctx, server, entry, true) {
-			entry.next = now.Add(l.jittered(l.interval))
+			entry.next = now.Add(l.jitter(l.interval))
 		}
 	}
-	l.startWanted(ctx, now)
+	l.startRequested(ctx, now)
 }
 
-// startWanted begins the single probes that are asked for by now. A server that
+// startRequested begins the single probes that are asked for by now. A server that
 // this node probes anyhow gets one ahead of time if its contents are doubted.
-func (l *ProbeLoop) startWanted(ctx context.Context, now time.Time) {
-	for _, wanted := range l.options.Catalog.takeWanted() {
-		entry, own := l.schedule[wanted.server]
-		if own && !wanted.doubted {
+func (l *ProbeLoop) startRequested(ctx context.Context, now time.Time) {
+	for _, requested := range l.options.Catalog.takeRequestedProbes() {
+		entry, own := l.schedule[requested.server]
+		if own && !requested.suspectedStale {
 			continue
 		}
 		if !own {
 			entry = &scheduled{}
 		}
-		if l.start(ctx, wanted.server, entry, l.tells(wanted)) {
-			entry.next = now.Add(l.jittered(l.interval))
+		if l.start(ctx, requested.server, entry, l.announces(requested)) {
+			entry.next = now.Add(l.jitter(l.interval))
 			continue
 		}
-		l.options.Catalog.wantAgain(wanted, now.Add(l.retryAfter(wanted)))
+		l.options.Catalog.requestProbeAgain(requested, now.Add(l.retryAfter(requested)))
 	}
 }
 
 // tells reports whether this node tells of other contents that a wanted probe
 // finds: not if they were doubted and enough other nodes will.
-func (l *ProbeLoop) tells(wanted wantedProbe) bool {
-	if !wanted.doubted || len(l.members) == 0 {
+func (l *ProbeLoop) announces(requested requestedProbe) bool {
+	if !requested.suspectedStale || len(l.members) == 0 {
 		return true
 	}
-	return l.nodes.InTop(string(wanted.server), l.options.Catalog.options.Node, doubtTellers)
+	return l.nodes.InTop(string(requested.server), l.options.Catalog.options.Node, staleAnnouncers)
 }
 
 // retryAfter returns when to try a probe again that could not be sent.
-func (l *ProbeLoop) retryAfter(wanted wantedProbe) time.Duration {
-	if wanted.doubted {
+func (l *ProbeLoop) retryAfter(requested requestedProbe) time.Duration {
+	if requested.suspectedStale {
 		return probeTick
 	}
 	return l.options.Interval
 }
 
-func (l *ProbeLoop) jittered(interval time.Duration) time.Duration {
+func (l *ProbeLoop) jitter(interval time.Duration) time.Duration {
 	return time.Duration(float64(interval) * (1 + intervalJitter*(2*l.options.Random.Float64()-1)))
 }
 
@@ -222,13 +222,13 @@
 	if own*float64(l.options.Probers)/l.options.Interval.Seconds() <= bound {
 		return l.options.Probers, l.options.Interval
 	}
-	least := time.Duration(own / bound * float64(time.Second))
-	return 1, max(l.options.Interval, least)
+	minInterval := time.Duration(own / bound * float64(time.Second))
+	return 1, max(l.options.Interval, minInterval)
 }
 
 // start begins a probe unless too many run or one of this server does; it then
 // is tried again at the next tick.
-func (l *ProbeLoop) start(ctx context.Context, server target.ServerID, entry *scheduled, tellContents bool) bool {
+func (l *ProbeLoop) start(ctx context.Context, server target.ServerID, entry *scheduled, announceContents bool) bool {
 	if !entry.busy.CompareAndSwap(false, true) {
 		return false
 	}
@@ -240,13 +240,13 @@
 	}
 	l.running.Go(func() {
 		defer entry.busy.Store(false)
-		l.probe(ctx, server, tellContents)
+		l.probe(ctx, server, announceContents)
 		<-l.slots
 	})
 	return true
 }
 
-func (l *ProbeLoop) probe(ctx context.Context, server target.ServerID, tellContents bool) {
+func (l *ProbeLoop) probe(ctx context.Context, server target.ServerID, announceContents bool) {
 	sentAt := l.options.Catalog.options.Now()
 	bounded, cancel := context.WithTimeout(ctx, l.options.Timeout)
 	defer cancel()
@@ -254,5 +254,5 @@
 	if ctx.Err() != nil {
 		return
 	}
-	l.options.Catalog.reportProbe(server, sentAt, status, err, tellContents)
+	l.options.Catalog.reportProbe(server, sentAt, status, err, announceContents)
 }
--- a/pkg/catalog/probeloop_test.go
+++ b/pkg/catalog/probeloop_test.go
@@ -14,7 +14,7 @@
 )
 
 // world is the servers of a test, as probes see them.
-type world struct {
+type fakeServers struct {
 	// mutex guards the fields below.
 	mutex    sync.Mutex
 	probes   int
@@ -25,8 +25,8 @@
 	versions map[target.ServerID]target.Version
 }
 
-func newWorld(servers int) *world {
-	created := &world{
+func newFakeServers(servers int) *fakeServers {
+	created := &fakeServers{
 		draining: map[target.ServerID]bool{},
 		silent:   map[target.ServerID]bool{},
 		numbers:  map[target.ServerID]int{},
@@ -39,7 +39,7 @@
 }
 
 // Probe implements backend.Prober. A silent server lets the probe time out.
-func (w *world) Probe(ctx context.Context, server target.ServerID) (*backend.Status, error) {
+func (w *fakeServers) Probe(ctx context.Context, server target.ServerID) (*backend.Status, error) {
 	w.mutex.Lock()
 	w.probes++
 	silent, draining, version := w.silent[server], w.draining[server], max(w.versions[server], 1)
@@ -51,13 +51,13 @@
 	return statusOf(w.numbers[server], "i", draining, version), nil
 }
 
-func (w *world) change(run func()) {
+func (w *fakeServers) locked(run func()) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	run()
 }
 
-func (w *world) probeCount() int {
+func (w *fakeServers) probeCount() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.probes
@@ -65,14 +65,14 @@
 
 // zone is some nodes that probe one world and tell each other the news.
 type zone struct {
-	world    *world
+	backends *fakeServers
 	catalogs []*Catalog
 	// mutex guards members, random and told.
 	mutex   sync.Mutex
 	members []target.NodeID
 	random  *rand.Rand
 	// told counts the news that nodes sent.
-	told int
+	updatesSent int
 	// relayDelay is the longest time that news takes to a node.
 	relayDelay time.Duration
 	stop       context.CancelFunc
@@ -82,19 +82,19 @@
 func startZone(t *testing.T, nodes, servers int, relayDelay time.Duration) *zone {
 	ctx, cancel := context.WithCancel(t.Context())
 	z := &zone{
-		world: newWorld(servers), random: rand.New(rand.NewPCG(1, 2)), relayDelay: relayDelay, stop: cancel,
+		backends: newFakeServers(servers), random: rand.New(rand.NewPCG(1, 2)), relayDelay: relayDelay, stop: cancel,
 	}
 	for number := range nodes {
 		z.members = append(z.members, target.NodeID(fmt.Sprintf("node%d", number)))
 	}
 	for _, node := range z.members {
-		created := New(Options{Node: node, Zone: "zone", OnUpdate: func(news Update) { z.relay(node, news) }})
+		created := New(Options{Node: node, Zone: "zone", OnUpdate: func(update Update) { z.relay(node, update) }})
 		created.ReplaceMachines(listOf(servers))
 		z.catalogs = append(z.catalogs, created)
 	}
 	for number, c := range z.catalogs {
 		loop := NewProbeLoop(ProbeOptions{
-			Catalog: c, Prober: z.world, Members: z.alive, Random: rand.New(rand.NewPCG(3, uint64(number))),
+			Catalog: c, Prober: z.backends, Members: z.alive, Random: rand.New(rand.NewPCG(3, uint64(number))),
 		})
 		z.running.Go(func() { _ = loop.Run(ctx) })
 	}
@@ -102,7 +102,7 @@
 }
 
 // end stops all nodes and waits for the news that is on its way.
-func (z *zone) end() {
+func (z *zone) shutdown() {
 	z.stop()
 	z.running.Wait()
 	time.Sleep(z.relayDelay)
@@ -116,9 +116,9 @@
 }
 
 // relay sends news to all other nodes, each after a time of its own.
-func (z *zone) relay(from target.NodeID, news Update) {
+func (z *zone) relay(from target.NodeID, update Update) {
 	z.mutex.Lock()
-	z.told++
+	z.updatesSent++
 	z.mutex.Unlock()
 	if z.relayDelay == 0 {
 		return
@@ -130,12 +130,12 @@
 		z.mutex.Lock()
 		delay := time.Duration(z.random.Int64N(int64(z.relayDelay)))
 		z.mutex.Unlock()
-		time.AfterFunc(delay, func() { z.catalogs[number].Apply(news) })
+		time.AfterFunc(delay, func() { z.catalogs[number].Apply(update) })
 	}
 }
 
-// untilAll returns how long it takes until a server has a state at all nodes.
-func (z *zone) untilAll(t *testing.T, server target.ServerID, state State, bound time.Duration) time.Duration {
+// timeUntilAll returns how long it takes until a server has a state at all nodes.
+func (z *zone) timeUntilAll(t *testing.T, server target.ServerID, state State, bound time.Duration) time.Duration {
 	const step = 50 * time.Millisecond
 	for passed := time.Duration(0); passed <= bound; passed += step {
 		if z.allHave(server, state) {
@@ -170,11 +170,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, servers = 30, 100
 		z := startZone(t, nodes, servers, relayBound)
-		defer z.end()
+		defer z.shutdown()
 		time.Sleep(10 * time.Second)
-		before := z.world.probeCount()
+		before := z.backends.probeCount()
 		time.Sleep(20 * time.Second)
-		perSecond := float64(z.world.probeCount()-before) / 20 / servers
+		perSecond := float64(z.backends.probeCount()-before) / 20 / servers
 		t.Logf("probes of a server each second: %.2f", perSecond)
 		if perSecond < 1.7 || perSecond > 2.3 {
 			t.Errorf("%.2f probes of a server each second, want about 2", perSecond)
@@ -182,22 +182,22 @@
 		var slowest time.Duration
 		for number := range 20 {
 			server := serverID(number)
-			z.world.change(func() { z.world.draining[server] = true })
-			slowest = max(slowest, z.untilAll(t, server, Leaving, leavingBound))
+			z.backends.locked(func() { z.backends.draining[server] = true })
+			slowest = max(slowest, z.timeUntilAll(t, server, Leaving, leavingBound))
 			time.Sleep(137 * time.Millisecond)
 		}
 		t.Logf("leaving servers known to all %d nodes within %s", nodes, slowest)
-		z.world.change(func() { z.world.silent[serverID(30)] = true })
-		t.Logf("silent server ejected at all nodes after %s", z.untilAll(t, serverID(30), Ejected, deadBound))
-		z.world.change(func() { z.world.silent[serverID(30)] = false })
-		t.Logf("returned after %s", z.untilAll(t, serverID(30), Active, leavingBound))
+		z.backends.locked(func() { z.backends.silent[serverID(30)] = true })
+		t.Logf("silent server ejected at all nodes after %s", z.timeUntilAll(t, serverID(30), Ejected, deadBound))
+		z.backends.locked(func() { z.backends.silent[serverID(30)] = false })
+		t.Logf("returned after %s", z.timeUntilAll(t, serverID(30), Active, leavingBound))
 	})
 }
 
 func TestProbersThatFailAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := startZone(t, 1, 10, relayBound)
-		defer z.end()
+		defer z.shutdown()
 		// Two more members that never probe, and then are found to be dead.
 		z.mutex.Lock()
 		z.members = []target.NodeID{"node0", "mute1", "mute2"}
@@ -207,20 +207,20 @@
 		z.members = []target.NodeID{"node0"}
 		z.mutex.Unlock()
 		for number := range 10 {
-			z.world.change(func() { z.world.draining[serverID(number)] = true })
+			z.backends.locked(func() { z.backends.draining[serverID(number)] = true })
 		}
 		for number := range 10 {
-			z.untilAll(t, serverID(number), Leaving, leavingBound)
+			z.timeUntilAll(t, serverID(number), Leaving, leavingBound)
 		}
 	})
 }
 
-// TestContentsAreKnownWithoutNews starts nodes that hear nothing from each
+// TestContentsAreKnownWithoutUpdates starts nodes that hear nothing from each
 // other: each one probes every server itself, once.
-func TestContentsAreKnownWithoutNews(t *testing.T) {
+func TestContentsAreKnownWithoutUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := startZone(t, 10, 40, 0)
-		defer z.end()
+		defer z.shutdown()
 		time.Sleep(3 * time.Second)
 		for _, c := range z.catalogs {
 			for _, server := range c.View(testService).Servers {
--- a/pkg/catalog/record.go
+++ b/pkg/catalog/record.go
@@ -49,12 +49,12 @@
 // record is everything that this node knows of one server. The catalog's mutex
 // guards all fields but results, which is safe for concurrent use.
 type record struct {
-	server  target.ServerID
-	listing listing
-	facts   facts
-	results results
-	outlier outlier
-	doubt   doubt
+	server    target.ServerID
+	listing   listing
+	facts     facts
+	results   results
+	outlier   outlier
+	staleness staleness
 	// bases are those of the known instances in Catalog.bases.
 	bases []uint64
 
@@ -78,13 +78,13 @@
 type probeRecord struct {
 	failures int
 	lastOK   time.Time
-	// wantedAt is when to probe the server once although this node is not one
+	// requestedAt is when to probe the server once although this node is not one
 	// of its probers; zero for never.
-	wantedAt time.Time
+	requestedAt time.Time
 	// announceAfter is when this node may announce the server as dead again,
 	// and announced how often it has in vain.
 	announceAfter time.Time
-	announced     int
+	refutations   int
 }
 
 func newRecord(server target.ServerID) *record {
@@ -155,7 +155,7 @@
 
 // weight returns the share of normal traffic: it grows over the warm-up.
 func (r *record) weight(now time.Time, warmUp time.Duration) float64 {
-	const least = 0.05
+	const minWeight = 0.05
 	current := r.facts.current()
 	if current == nil || current.startedAt.IsZero() {
 		return 1
@@ -164,15 +164,15 @@
 	if age >= warmUp {
 		return 1
 	}
-	return max(least, float64(age)/float64(warmUp))
+	return max(minWeight, float64(age)/float64(warmUp))
 }
 
 // instanceChanged is called when the current instance is another than before,
 // which is fresh evidence: it ends what was said of the earlier one.
-func (r *record) instanceChanged(previous string, now time.Time) {
+func (r *record) instanceChanged(previousID string, now time.Time) {
 	r.instanceSince = now
-	if previous == "" {
-		r.bindDrain()
+	if previousID == "" {
+		r.attributeDrain()
 		return
 	}
 	r.drainUnattributed = false
@@ -182,9 +182,9 @@
 	r.results.resetConsecutive()
 }
 
-// bindDrain takes a drain that was said before any instance was known for one
+// attributeDrain takes a drain that was said before any instance was known for one
 // of the first instance.
-func (r *record) bindDrain() {
+func (r *record) attributeDrain() {
 	if r.drainUnattributed {
 		r.facts.current().Draining = true
 		r.drainUnattributed = false
--- a/pkg/catalog/doubt_test.go
+++ b/pkg/catalog/staleness_test.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// doubtBound is the time from a refusal to a correct view at the node that
+	// correctionBound is the time from a refusal to a correct view at the node that
 	// was refused, for probes that take no time.
-	doubtBound = 10 * time.Millisecond
+	correctionBound = 10 * time.Millisecond
 	// refusalInterval is the time between two refusals of a server.
 	refusalInterval = 10 * time.Millisecond
 )
@@ -25,9 +25,9 @@
 	return serverOf(c.View(testService), server).Indexes[0].Version
 }
 
-// untilVersion returns how long it takes until a catalog knows the version of a
+// timeUntilVersion returns how long it takes until a catalog knows the version of a
 // server while refusals go on.
-func untilVersion(c *Catalog, server target.ServerID, version target.Version, reason outcome.Reason) time.Duration {
+func timeUntilVersion(c *Catalog, server target.ServerID, version target.Version, reason outcome.Reason) time.Duration {
 	started := time.Now()
 	for versionOf(c, server) != version {
 		c.ReportResult(server, refusal(server, reason))
@@ -46,7 +46,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, servers = 30, 100
 		z := startZone(t, nodes, servers, relayBound)
-		defer z.end()
+		defer z.shutdown()
 		time.Sleep(10 * time.Second)
 		var slowest, sum time.Duration
 		for number := range servers {
@@ -54,13 +54,13 @@
 			if number%2 == 0 {
 				reason = outcome.ReasonRangeNotHeld
 			}
-			z.world.change(func() { z.world.versions[server] = 2 })
-			took := untilVersion(z.catalogs[number%nodes], server, 2, reason)
+			z.backends.locked(func() { z.backends.versions[server] = 2 })
+			took := timeUntilVersion(z.catalogs[number%nodes], server, 2, reason)
 			slowest, sum = max(slowest, took), sum+took
 			time.Sleep(37 * time.Millisecond)
 		}
 		t.Logf("correct view %s after the first refusal on average, %s at most", sum/servers, slowest)
-		if slowest > doubtBound {
+		if slowest > correctionBound {
 			t.Errorf("correct view only after %s", slowest)
 		}
 		time.Sleep(2 * relayBound)
@@ -77,15 +77,15 @@
 func TestRefusalsWithoutChangeCostFewProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := startZone(t, 1, 1, relayBound)
-		defer z.end()
+		defer z.shutdown()
 		time.Sleep(5 * time.Second)
 		const period = 20 * time.Second
-		before, started := z.world.probeCount(), time.Now()
+		before, started := z.backends.probeCount(), time.Now()
 		for time.Since(started) < period {
 			z.catalogs[0].ReportResult(serverID(0), refusal(serverID(0), outcome.ReasonRangeNotHeld))
 			time.Sleep(refusalInterval)
 		}
-		perSecond := float64(z.world.probeCount()-before) / period.Seconds()
+		perSecond := float64(z.backends.probeCount()-before) / period.Seconds()
 		t.Logf("%.2f probes each second under refusals without a change", perSecond)
 		const bound = 2.5
 		if perSecond > bound {
@@ -94,20 +94,20 @@
 	})
 }
 
-// TestFewNodesTellWhatAllFindOut has every node of a zone be refused by a server
+// TestFewNodesAnnounceStaleContents has every node of a zone be refused by a server
 // that changed, at the same time.
-func TestFewNodesTellWhatAllFindOut(t *testing.T) {
+func TestFewNodesAnnounceStaleContents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, servers = 30, 20
 		z := startZone(t, nodes, servers, relayBound)
-		defer z.end()
+		defer z.shutdown()
 		time.Sleep(10 * time.Second)
 		z.mutex.Lock()
-		before := z.told
+		before := z.updatesSent
 		z.mutex.Unlock()
 		for number := range servers {
 			server := serverID(number)
-			z.world.change(func() { z.world.versions[server] = 2 })
+			z.backends.locked(func() { z.backends.versions[server] = 2 })
 			for _, c := range z.catalogs {
 				c.ReportResult(server, refusal(server, outcome.ReasonRangeNotHeld))
 			}
@@ -121,9 +121,9 @@
 		}
 		z.mutex.Lock()
 		defer z.mutex.Unlock()
-		each := float64(z.told-before) / servers
+		each := float64(z.updatesSent-before) / servers
 		t.Logf("%.1f of %d nodes told a change that all found", each, nodes)
-		if each > doubtTellers {
+		if each > staleAnnouncers {
 			t.Errorf("%.1f nodes told each change", each)
 		}
 	})
