--- a/pkg/fanout/admission.go
+++ b/pkg/fanout/admission.go
@@ -27,105 +27,105 @@
 	return hash.Sum64()
 }
 
-// isLetIn decides whether the request is begun, by what is known of the room at its services.
-func (r *run) isLetIn() bool {
+// isAdmitted decides whether the request is begun, by what is known of the room at its services.
+func (r *run) isAdmitted() bool {
 	room := r.runner.Admission
 	if room == nil {
 		return true
 	}
-	r.lot = room.Sampler.Sample(r.contentHash(), r.lot, r.began)
+	r.samplingValue = room.Sampler.Sample(r.contentHash(), r.samplingValue, r.began)
 	r.admission = r.admit(r.began)
 	return r.admission.IsAdmitted
 }
 
-// isShort reports whether only a part of the requests like this one is let in.
-func (r *run) isShort(now time.Time) bool {
+// isLimited reports whether only a part of the requests like this one is let in.
+func (r *run) isLimited(now time.Time) bool {
 	return r.runner.Admission != nil && (r.admission.Share < 1 || r.admit(now).Share < 1)
 }
 
-// scarceHedgePart is the part of the time to the target after which, at the earliest, a sub-request
+// limitedHedgeShare is the part of the time to the target after which, at the earliest, a sub-request
 // to a service that is short of room is hedged. A working server that is full answers within that,
 // since pkg/fleet keeps fewer requests at it, and each hedge takes the place of a request that is
 // refused.
-const scarceHedgePart = 0.5
+const limitedHedgeShare = 0.5
 
-// isScarce reports whether the service of a part has room for only a part of the requests like
+// isServiceLimited reports whether the service of a part has room for only a part of the requests like
 // this one.
-func (r *run) isScarce(part *part, now time.Time) bool {
-	return r.runner.Admission != nil && r.runner.Admission.Admitter.ShareOf(r.load(part.service), r.class(), now) < 1
+func (r *run) isServiceLimited(part *part, now time.Time) bool {
+	return r.runner.Admission != nil && r.runner.Admission.Admitter.ShareOf(r.loadKey(part.service), r.class(), now) < 1
 }
 
 // admit decides about the request by what is known of its services at a moment.
 func (r *run) admit(now time.Time) loadshed.Decision {
-	return r.runner.Admission.Admitter.Admit(r.plan.Services, r.regions().Key(), r.plan.Required, r.class(), r.lot, now)
+	return r.runner.Admission.Admitter.Admit(r.plan.Services, r.regions().Key(), r.plan.Required, r.class(), r.samplingValue, now)
 }
 
-// spareOthers marks the services that have no room for the request and without which it can be
+// markSkipped marks the services that have no room for the request and without which it can be
 // answered as spared: they are left to requests that need them.
-func (r *run) spareOthers() {
-	spared := r.admission.Skipped
+func (r *run) markSkipped() {
+	skipped := r.admission.Skipped
 	if r.plan.Collect != nil {
-		spared = r.plan.Collect.Skipped
+		skipped = r.plan.Collect.Skipped
 	}
-	for _, index := range spared {
+	for _, index := range skipped {
 		if index >= 0 && index < len(r.parts) {
-			r.parts[index].spared = true
-			r.spared++
+			r.parts[index].skipped = true
+			r.skipped++
 		}
 	}
 }
 
-// sparedOf returns the positions in a group whose services are spared.
-func (r *run) sparedOf(group []int) []int {
-	var spared []int
+// skippedIn returns the positions in a group whose services are spared.
+func (r *run) skippedIn(group []int) []int {
+	var skipped []int
 	for position, index := range group {
-		if r.parts[index].spared {
-			spared = append(spared, position)
+		if r.parts[index].skipped {
+			skipped = append(skipped, position)
 		}
 	}
-	return spared
+	return skipped
 }
 
-// hasAllButSpared reports whether some parts are spared and all others are answered.
-func (r *run) hasAllButSpared() bool {
-	if r.spared == 0 || r.got < len(r.parts)-r.spared {
+// hasAllButSkipped reports whether some parts are spared and all others are answered.
+func (r *run) hasAllButSkipped() bool {
+	if r.skipped == 0 || r.answered < len(r.parts)-r.skipped {
 		return false
 	}
 	for index := range r.parts {
-		if each := &r.parts[index]; each.answer == nil && !each.spared {
+		if each := &r.parts[index]; each.answer == nil && !each.skipped {
 			return false
 		}
 	}
 	return true
 }
 
-// takeBackSpared asks the spared services after all, once the request cannot be answered without
+// restoreSkipped asks the spared services after all, once the request cannot be answered without
 // them any more. An owner that is still answering has a server at work or waits for one: it keeps
 // the part, and is given the time of a report before this node asks a further server.
-func (r *run) takeBackSpared() {
-	if r.spared == 0 || r.plan.Collect != nil || r.got+r.open-r.missingSpared() >= r.plan.Required {
+func (r *run) restoreSkipped() {
+	if r.skipped == 0 || r.plan.Collect != nil || r.answered+r.open-r.countSkippedMissing() >= r.plan.Required {
 		return
 	}
-	r.spared = 0
+	r.skipped = 0
 	now := time.Now()
 	for index := range r.parts {
 		part := &r.parts[index]
-		wasSpared := part.spared
-		part.spared = false
-		if !wasSpared || part.answer != nil || part.closed || len(part.live) > 0 {
+		wasSkipped := part.skipped
+		part.skipped = false
+		if !wasSkipped || part.answer != nil || part.closed || len(part.inFlight) > 0 {
 			continue
 		}
 		if part.question == nil {
 			r.retry(index, now)
 		} else if part.executions < r.plan.MaxAttempts {
-			part.hedgeAt = now.Add(r.reportWithin(now))
+			part.hedgeAt = now.Add(r.nextReportInterval(now))
 		}
 	}
 }
 
-// askBeside lets this node ask the servers of a part whose owner has not answered within the time
+// askDirectly lets this node ask the servers of a part whose owner has not answered within the time
 // that it was given. What the owner reports later is still taken.
-func (r *run) askBeside(index int, now time.Time) {
+func (r *run) askDirectly(index int, now time.Time) {
 	part := &r.parts[index]
 	if part.executions >= r.plan.MaxAttempts {
 		return
@@ -134,31 +134,31 @@
 	r.retry(index, now)
 }
 
-// missingSpared counts the open parts without an answer that are spared.
-func (r *run) missingSpared() int {
+// countSkippedMissing counts the open parts without an answer that are spared.
+func (r *run) countSkippedMissing() int {
 	count := 0
 	for index := range r.parts {
-		if each := &r.parts[index]; each.spared && each.answer == nil && !each.closed {
+		if each := &r.parts[index]; each.skipped && each.answer == nil && !each.closed {
 			count++
 		}
 	}
 	return count
 }
 
-// noteOffered counts a part whose servers this node asks in the load of its service. Parts that
+// recordAdmittedLoad counts a part whose servers this node asks in the load of its service. Parts that
 // it asks in the place of an owner are not counted: they are a small part of the load, by which
 // the rest cannot be judged.
-func (r *run) noteOffered(index int, now time.Time) {
+func (r *run) recordAdmittedLoad(index int, now time.Time) {
 	part := &r.parts[index]
-	isForOwner := (len(r.groups) > 0 || r.isKeptFromOwners) && !part.owned
-	if r.runner.Admission == nil || isForOwner || part.spared {
+	isInOwnersPlace := (len(r.groups) > 0 || r.isWithheldFromOwners) && !part.owned
+	if r.runner.Admission == nil || isInOwnersPlace || part.skipped {
 		return
 	}
 	if r.work == 0 {
 		r.work = r.runner.Fleet.Profile(r.plan.Kind, r.plan.Assumed).Mean
 	}
-	part.isOffered = true
-	r.runner.Admission.Meters.RecordAdmitted(r.load(part.service), loadshed.AdmittedRequest{
+	part.isLoadRecorded = true
+	r.runner.Admission.Meters.RecordAdmitted(r.loadKey(part.service), loadshed.AdmittedRequest{
 		Class: r.class(), Work: r.work, Share: r.admittedShare(index, now), ForPeers: part.owned,
 	}, now)
 }
@@ -168,7 +168,7 @@
 func (r *run) admittedShare(index int, now time.Time) float64 {
 	switch collect := r.plan.Collect; {
 	case collect == nil:
-		return r.runner.Admission.Admitter.ShareOf(r.load(r.parts[index].service), r.class(), now)
+		return r.runner.Admission.Admitter.ShareOf(r.loadKey(r.parts[index].service), r.class(), now)
 	case collect.AdmittedShares != nil:
 		return collect.AdmittedShares[index]
 	}
@@ -183,14 +183,14 @@
 	}
 	shares := make([]float64, len(services))
 	for position, service := range services {
-		shares[position] = r.runner.Admission.Admitter.ShareOf(r.load(service), r.class(), now)
+		shares[position] = r.runner.Admission.Admitter.ShareOf(r.loadKey(service), r.class(), now)
 	}
 	return shares
 }
 
-// noteServedPart counts a part that was noted as offered and is answered.
-func (r *run) noteServedPart(part *part) {
-	if part.isOffered {
-		r.runner.Admission.Meters.RecordServed(r.load(part.service), r.work)
+// recordServedLoad counts a part that was noted as offered and is answered.
+func (r *run) recordServedLoad(part *part) {
+	if part.isLoadRecorded {
+		r.runner.Admission.Meters.RecordServed(r.loadKey(part.service), r.work)
 	}
 }
--- a/pkg/fanout/admission_test.go
+++ b/pkg/fanout/admission_test.go
@@ -29,24 +29,24 @@
 	panic("this node owns everything")
 }
 
-// inRoom gives the world's node the board of what it was told.
-func (w *world) inRoom() *fanout.AdmissionControl {
+// withAdmissionControl gives the world's node the board of what it was told.
+func (w *world) withAdmissionControl() *fanout.AdmissionControl {
 	w.runner.Owners = selfOwner{}
 	w.runner.Admission = fanout.NewAdmissionControl(w.fleet)
 	return w.runner.Admission
 }
 
-func share(part float64) loadshed.Shares {
-	return loadshed.Shares{Ranks: []loadshed.RankShare{{Share: part}}}
+func sharesOf(admitted float64) loadshed.Shares {
+	return loadshed.Shares{Ranks: []loadshed.RankShare{{Share: admitted}}}
 }
 
 // TestWhatIsNotLetInIsRefusedAtOnce, truly not run, with what decided it.
 func TestWhatIsNotLetInIsRefusedAtOnce(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
 		w.add("b", "b1", quick("b"))
-		room := w.inRoom()
-		room.Admitter.Update(loadshed.Key{Service: "a"}, share(0), time.Now())
+		control := w.withAdmissionControl()
+		control.Admitter.Update(loadshed.Key{Service: "a"}, sharesOf(0), time.Now())
 		asked := plan("a", "b")
 		asked.Required = 2
 		result, took := w.run(asked)
@@ -61,14 +61,14 @@
 // TestAScarceShardIsLeftToOthers by a request that has enough without it: it neither waits for
 // its servers nor for its answer, while one that needs the shard waits.
 func TestAScarceShardIsLeftToOthers(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		slow := quick("a")
 		slow.Delay = 100 * time.Millisecond
 		w.add("a", "a1", slow)
 		w.add("b", "b1", quick("b"))
 		w.add("c", "c1", quick("c"))
 		w.fleet.SetConnections(map[string]int{"a": 2})
-		room := w.inRoom()
+		control := w.withAdmissionControl()
 		var runs sync.WaitGroup
 		for range 2 {
 			runs.Go(func() {
@@ -77,7 +77,7 @@
 			})
 			time.Sleep(time.Millisecond)
 		}
-		room.Admitter.Update(loadshed.Key{Service: "a"}, share(0), time.Now())
+		control.Admitter.Update(loadshed.Key{Service: "a"}, sharesOf(0), time.Now())
 		result, took := w.run(plan("a", "b", "c"))
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 		g.Expect(result.AnsweredCount).To(Equal(2))
@@ -88,12 +88,12 @@
 }
 
 func TestASparedShardIsAskedOnceAnotherFails(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
 		w.add("b", "b1", exchangetest.Answer{Status: 500, Cut: -1})
 		w.add("c", "c1", quick("c"))
-		room := w.inRoom()
-		room.Admitter.Update(loadshed.Key{Service: "a"}, share(0), time.Now())
+		control := w.withAdmissionControl()
+		control.Admitter.Update(loadshed.Key{Service: "a"}, sharesOf(0), time.Now())
 		asked := plan("a", "b", "c")
 		asked.MaxAttempts = 1
 		result, _ := w.run(asked)
@@ -104,15 +104,15 @@
 
 // TestNobodyIsRefusedWithoutOverload, and nothing is told.
 func TestNobodyIsRefusedWithoutOverload(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
-		room := w.inRoom()
+		control := w.withAdmissionControl()
 		for range 50 {
 			result, _ := w.run(plan("a"))
 			g.Expect(result.AnsweredCount).To(Equal(1))
 		}
-		g.Expect(room.Admitter.AdmitsAll()).To(BeTrue())
-		shares, _ := room.Meters.CurrentShares(loadshed.Key{Service: "a"}, time.Now())
+		g.Expect(control.Admitter.AdmitsAll()).To(BeTrue())
+		shares, _ := control.Meters.CurrentShares(loadshed.Key{Service: "a"}, time.Now())
 		g.Expect(shares.Of(loadshed.Class{})).To(Equal(1.0))
 	})
 }
@@ -121,21 +121,21 @@
 // is asked only after half of the time to the target, since it takes the place of another request.
 func TestAScarceServiceIsNotHedgedSoon(t *testing.T) {
 	hedgesAfter := func(g *WithT, w *world, service string, answeredAfter time.Duration) int {
-		slow := quick(service)
-		slow.Delay = answeredAfter
-		w.add(service, service+"1", slow)
-		w.add(service, service+"2", slow)
+		answer := quick(service)
+		answer.Delay = answeredAfter
+		w.add(service, service+"1", answer)
+		w.add(service, service+"2", answer)
 		asked := plan(service)
 		asked.Target = time.Now().Add(400 * time.Millisecond)
 		result, _ := w.run(asked)
 		g.Expect(result.AnsweredCount).To(Equal(1))
 		return result.Hedges
 	}
-	in(t, func(g *WithT, w *world) {
-		room := w.inRoom()
+	inBubble(t, func(g *WithT, w *world) {
+		control := w.withAdmissionControl()
 		g.Expect(hedgesAfter(g, w, "wide", 190*time.Millisecond)).To(Equal(1))
 		for _, service := range []string{"short", "lost"} {
-			room.Admitter.Update(loadshed.Key{Service: service}, share(0.9999), time.Now())
+			control.Admitter.Update(loadshed.Key{Service: service}, sharesOf(0.9999), time.Now())
 		}
 		g.Expect(hedgesAfter(g, w, "short", 190*time.Millisecond)).To(BeZero())
 		g.Expect(hedgesAfter(g, w, "lost", 300*time.Millisecond)).To(Equal(1))
--- a/pkg/fanout/decide.go
+++ b/pkg/fanout/decide.go
@@ -9,9 +9,9 @@
 // decide reports whether the answer is final.
 func (r *run) decide(now time.Time) (StopReason, bool) {
 	switch {
-	case r.plan.Collect == nil && r.hasAllButSpared():
+	case r.plan.Collect == nil && r.hasAllButSkipped():
 		return StopComplete, true
-	case r.got == len(r.parts):
+	case r.answered == len(r.parts):
 		return StopComplete, true
 	case r.open == 0:
 		return StopExhausted, true
@@ -21,27 +21,27 @@
 		return StopQuarantined, true
 	case r.plan.Collect != nil:
 		return "", false
-	case !r.plan.Target.IsZero() && !now.Before(r.plan.Target) && r.got >= r.plan.Required:
+	case !r.plan.Target.IsZero() && !now.Before(r.plan.Target) && r.answered >= r.plan.Required:
 		return StopTarget, true
-	case r.got+r.open < r.plan.Required:
+	case r.answered+r.open < r.plan.Required:
 		return StopExhausted, true
-	case r.isRefused(now):
+	case r.isUnservedAtTarget(now):
 		return StopOverloaded, true
-	case r.got >= r.plan.Required && r.stops(now):
+	case r.answered >= r.plan.Required && r.stopRuleApplies(now):
 		return StopRule, true
-	case r.got >= r.plan.Required && r.allAbsent():
+	case r.answered >= r.plan.Required && r.areMissingAbsent():
 		return StopExhausted, true
 	}
 	return "", false
 }
 
 // stops asks the stop rule.
-func (r *run) stops(now time.Time) bool {
+func (r *run) stopRuleApplies(now time.Time) bool {
 	if r.plan.Stop == nil {
 		return false
 	}
 	progress := policy.Progress{
-		CoveredWidth: uint32(r.got), TotalWidth: uint32(len(r.parts)), Outstanding: r.open,
+		CoveredWidth: uint32(r.answered), TotalWidth: uint32(len(r.parts)), Outstanding: r.open,
 		Elapsed: now.Sub(r.began), Remaining: r.plan.Deadline.Sub(now),
 	}
 	if progress.Share() >= r.plan.Stop.TargetShare() {
@@ -58,8 +58,8 @@
 	return decision.Stop
 }
 
-// allAbsent reports whether every part that is missing has no server.
-func (r *run) allAbsent() bool {
+// areMissingAbsent reports whether every part that is missing has no server.
+func (r *run) areMissingAbsent() bool {
 	for index := range r.parts {
 		each := &r.parts[index]
 		if each.answer == nil && !each.closed && (!each.absent || each.question != nil) {
@@ -69,19 +69,19 @@
 	return true
 }
 
-// isRefused reports whether the request has come to its target without a server, while
+// isUnservedAtTarget reports whether the request has come to its target without a server, while
 // not all requests get one: those in time go before it from now on, and its client can
 // retry.
-func (r *run) isRefused(now time.Time) bool {
+func (r *run) isUnservedAtTarget(now time.Time) bool {
 	isLate := !r.plan.Target.IsZero() && !now.Before(r.plan.Target)
-	return isLate && r.nothingRuns() && r.isShort(now)
+	return isLate && r.hasNoExecution() && r.isLimited(now)
 }
 
-// nothingRuns reports whether no server runs or has run any part.
-func (r *run) nothingRuns() bool {
+// hasNoExecution reports whether no server runs or has run any part.
+func (r *run) hasNoExecution() bool {
 	for index := range r.parts {
 		each := &r.parts[index]
-		if each.ran || each.executions > 0 {
+		if each.hasRun || each.executions > 0 {
 			return false
 		}
 	}
@@ -91,16 +91,16 @@
 // nextEvent returns the next moment at which something is to be decided.
 func (r *run) nextEvent(now time.Time) time.Time {
 	next := r.plan.Deadline
-	if r.plan.Target.After(now) && r.nothingRuns() {
+	if r.plan.Target.After(now) && r.hasNoExecution() {
 		next = earlier(next, r.plan.Target)
 	}
-	if r.got >= r.plan.Required && r.plan.Collect == nil {
+	if r.answered >= r.plan.Required && r.plan.Collect == nil {
 		next = earlier(next, r.plan.Target)
 	}
 	next = earlier(next, r.recheckAt)
 	next = earlier(next, r.reportAt)
-	for _, asked := range r.questions {
-		next = earlier(next, asked.silentAt)
+	for _, each := range r.questions {
+		next = earlier(next, each.silentAt)
 	}
 	for index := range r.parts {
 		next = earlier(next, r.parts[index].hedgeAt)
--- a/pkg/fanout/fanout.go
+++ b/pkg/fanout/fanout.go
@@ -221,10 +221,10 @@
 // Run asks the services of a plan. It returns as soon as the answer is final.
 func (r *Runner) Run(ctx context.Context, plan Plan, request *exchange.Request) Result {
 	run := newRun(r, plan, request)
-	if reason := run.refusedBecause(); reason != "" {
-		return run.refusal(reason)
+	if reason := run.refusalReason(); reason != "" {
+		return run.refusedResult(reason)
 	}
-	run.spareOthers()
+	run.markSkipped()
 	run.askOwners(time.Now())
 	for index := range plan.Services {
 		if run.parts[index].question == nil {
--- a/pkg/fanout/fanout_test.go
+++ b/pkg/fanout/fanout_test.go
@@ -20,30 +20,30 @@
 )
 
 // counter is a budget that allows a number of extra sub-requests.
-type counter struct {
+type countingBudget struct {
 	// mutex guards the fields below where a test changes them during a run.
-	mutex                   sync.Mutex
-	primary, spent, allowed int
-	kept                    []float64
+	mutex                  sync.Mutex
+	earned, spent, allowed int
+	reserves               []float64
 }
 
 // allow changes the number of extra sub-requests during a run.
-func (c *counter) allow(count int) {
+func (c *countingBudget) allow(count int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.allowed = count
 }
 
-func (c *counter) Earn(string, time.Time) {
+func (c *countingBudget) Earn(string, time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.primary++
+	c.earned++
 }
 
-func (c *counter) TrySpend(_ string, keep float64, _ time.Time) bool {
+func (c *countingBudget) TrySpend(_ string, keep float64, _ time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.kept = append(c.kept, keep)
+	c.reserves = append(c.reserves, keep)
 	if c.spent >= c.allowed {
 		return false
 	}
@@ -55,17 +55,17 @@
 type world struct {
 	network *exchangetest.Network
 	fleet   *fleet.Fleet
-	budget  *counter
+	budget  *countingBudget
 	runner  *fanout.Runner
 	servers map[string]*exchangetest.Server
 	// known are the services that have a server already.
-	known map[string]bool
+	hasServer map[string]bool
 }
 
 func newWorld() *world {
 	w := &world{
-		network: exchangetest.NewNetwork(), budget: &counter{allowed: 100}, servers: make(map[string]*exchangetest.Server),
-		known: make(map[string]bool),
+		network: exchangetest.NewNetwork(), budget: &countingBudget{allowed: 100}, servers: make(map[string]*exchangetest.Server),
+		hasServer: make(map[string]bool),
 	}
 	w.fleet = fleet.New(fleet.Settings{
 		Local: fleet.Place{Zone: "z"}, LeaveGrace: time.Second, Dialer: w.network, Random: rand.New(rand.NewPCG(1, 1)),
@@ -80,8 +80,8 @@
 // add puts a server into a service; only the first one of a service is near.
 func (w *world) add(service, name string, answer exchangetest.Answer) {
 	zone := "far"
-	if !w.known[service] {
-		zone, w.known[service] = "z", true
+	if !w.hasServer[service] {
+		zone, w.hasServer[service] = "z", true
 	}
 	w.servers[name] = w.network.Add(name, func(exchangetest.Request) exchangetest.Answer { return answer })
 	w.fleet.Apply(fleet.Server{ID: name, Service: service, Address: name, Zone: zone, Slots: 5}, time.Now())
@@ -126,7 +126,7 @@
 }
 
 // in runs a test in a bubble with virtual time.
-func in(t *testing.T, test func(g *WithT, w *world)) {
+func inBubble(t *testing.T, test func(g *WithT, w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld()
@@ -137,21 +137,21 @@
 }
 
 func TestEveryServiceIsAskedOnce(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
 		w.add("b", "b1", quick("b"))
 		result, took := w.run(plan("a", "b"))
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 		g.Expect(string(result.Parts[0].Body) + string(result.Parts[1].Body)).To(Equal("ab"))
 		g.Expect(took).To(BeNumerically("<", 50*time.Millisecond))
-		g.Expect(w.budget.primary).To(Equal(2))
+		g.Expect(w.budget.earned).To(Equal(2))
 		g.Expect(w.budget.spent).To(BeZero())
 	})
 }
 
 // TestASilentServerIsHedged within the budget, and the first answer counts.
 func TestASilentServerIsHedged(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", exchangetest.Answer{Hang: true})
 		w.add("a", "a2", quick("second"))
 		result, took := w.run(plan("a"))
@@ -165,7 +165,7 @@
 // TestNoHedgeWithoutBudget: the answer is given without the silent part when
 // the target is reached.
 func TestNoHedgeWithoutBudget(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.budget.allowed = 0
 		w.add("a", "a1", exchangetest.Answer{Hang: true})
 		w.add("a", "a2", quick("never"))
@@ -183,7 +183,7 @@
 // last part, rather than never. (skipulag-leit-grown scale-1: half of the budget
 // kept from late requests left 130 of them without an answer)
 func TestALateRequestHasTheWholeBudget(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.budget.allowed = 0
 		w.add("a", "a1", exchangetest.Answer{Hang: true})
 		w.add("a", "a2", quick("never"))
@@ -191,14 +191,14 @@
 		result, took := w.run(late)
 		g.Expect(result.Reason).To(Equal(fanout.StopDeadline))
 		g.Expect(took).To(Equal(time.Second))
-		g.Expect(w.budget.kept[0]).To(BeZero())
-		g.Expect(w.budget.kept[len(w.budget.kept)-1]).To(BeZero())
+		g.Expect(w.budget.reserves[0]).To(BeZero())
+		g.Expect(w.budget.reserves[len(w.budget.reserves)-1]).To(BeZero())
 	})
 }
 
 // TestNoMoreServersRunARequestThanItsRouteAllows.
 func TestNoMoreServersRunARequestThanItsRouteAllows(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		for _, name := range []string{"a1", "a2", "a3", "a4"} {
 			w.add("a", name, exchangetest.Answer{Status: 500, Cut: -1, Header: map[string]string{"Mark": "m"}})
 		}
@@ -212,7 +212,7 @@
 
 // TestANotRepeatableRequestIsSentAgainOnlyOnEvidence that it did not run.
 func TestANotRepeatableRequestIsSentAgainOnlyOnEvidence(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.add("cut", "cut1", exchangetest.Answer{Cut: 0})
 		w.add("cut", "cut2", exchangetest.Answer{Cut: 0})
 		w.add("refuse", "refuse1", exchangetest.Answer{Status: 503, Cut: -1, Header: map[string]string{"Refused": "1"}})
@@ -239,7 +239,7 @@
 
 // TestARefusalByAllServersIsNotRun.
 func TestARefusalByAllServersIsNotRun(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		for _, name := range []string{"a1", "a2"} {
 			w.add("a", name, exchangetest.Answer{Status: 503, Cut: -1, Header: map[string]string{"Refused": "1"}})
 		}
@@ -253,7 +253,7 @@
 // TestARetryWaitsForTheBudget for a while, since other requests earn it, and
 // the part is given up when the patience ends. (valgsok-grown fresh-bfe4)
 func TestARetryWaitsForTheBudget(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.budget.allowed = 0
 		w.add("a", "a1", exchangetest.Answer{Status: 503, Cut: -1, Header: map[string]string{"Refused": "1"}})
 		w.add("a", "a2", quick("second"))
@@ -267,7 +267,7 @@
 		g.Expect(result.AnsweredCount).To(Equal(1), "the refusal is remembered")
 		g.Expect(took).To(BeNumerically("<", 60*time.Millisecond))
 	})
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.budget.allowed = 0
 		w.add("a", "a1", exchangetest.Answer{Status: 503, Cut: -1, Header: map[string]string{"Refused": "1"}})
 		w.add("a", "a2", quick("never"))
@@ -280,7 +280,7 @@
 
 // TestAServerThatCannotBeReachedCostsNoBudget: its request never arrived.
 func TestAServerThatCannotBeReachedCostsNoBudget(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.budget.allowed = 0
 		w.fleet.Apply(fleet.Server{ID: "gone", Service: "a", Address: "nowhere", Zone: "z"}, time.Now())
 		w.add("a", "a2", quick("second"))
@@ -292,7 +292,7 @@
 // TestAnAbsentShardHoldsNothingBack when the answer is good enough without it,
 // and is waited for when it is not.
 func TestAnAbsentShardHoldsNothingBack(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
 		result, took := w.run(plan("a", "b"))
 		g.Expect(result.Reason).To(Equal(fanout.StopExhausted))
@@ -317,7 +317,7 @@
 // TestBusyServersAreWaitedFor instead of giving the part up. (variant of
 // valgsok scale-2 --seed 289934219918)
 func TestBusyServersAreWaitedFor(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
 		w.fleet.SetConnections(map[string]int{"a": 1})
 		taken := 0
@@ -339,7 +339,7 @@
 // TestAClientThatLeavesEndsTheWorkAtOnce, while an answered request lets the
 // other server end, so that its connection can be used again.
 func TestAClientThatLeavesEndsTheWorkAtOnce(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", exchangetest.Answer{Hang: true})
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(20*time.Millisecond, cancel)
@@ -356,7 +356,7 @@
 
 // TestAStopRuleEndsTheWaitEarly once the required parts are in.
 func TestAStopRuleEndsTheWaitEarly(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
 		w.add("b", "b1", exchangetest.Answer{Hang: true})
 		set, err := policy.Build(policy.Spec{
@@ -376,7 +376,7 @@
 // the request has time. (skipulag-leit trouble-2 --seed 12: 40 requests given up
 // after 100 to 300 ms of their 3 s)
 func TestAPartThatServersRefuseAsksThemAgain(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		const refusals = 5
 		var mutex sync.Mutex
 		asked := 0
--- a/pkg/fanout/launch.go
+++ b/pkg/fanout/launch.go
@@ -20,7 +20,7 @@
 // launchFirst asks the first server of a part.
 func (r *run) launchFirst(index int, now time.Time) {
 	r.runner.Budget.Earn(r.parts[index].service, now)
-	r.noteOffered(index, now)
+	r.recordAdmittedLoad(index, now)
 	r.launchNext(index, now)
 }
 
@@ -28,7 +28,7 @@
 // busy, it is tried again a little later.
 func (r *run) launchNext(index int, now time.Time) {
 	part := &r.parts[index]
-	if r.keepBack(part, now) {
+	if r.withhold(part, now) {
 		if part.idleSince.IsZero() {
 			part.idleSince = now
 		}
@@ -58,11 +58,11 @@
 	}
 	part.absent = availability == fleet.Absent
 	part.shed = part.shed || availability == fleet.Busy
-	if !r.staysOpen(part, now) {
+	if !r.keepOpen(part, now) {
 		return
 	}
 	part.forgetNotRun()
-	part.hedgeAt = now.Add(recheck)
+	part.hedgeAt = now.Add(recheckInterval)
 	if availability == fleet.Busy {
 		r.await(index)
 	}
@@ -118,8 +118,8 @@
 	if !ok {
 		return time.Time{}
 	}
-	if r.isScarce(part, now) {
-		wait = max(wait, time.Duration(scarceHedgePart*float64(r.targetSpan())))
+	if r.isServiceLimited(part, now) {
+		wait = max(wait, time.Duration(limitedHedgeShare*float64(r.targetDuration())))
 	}
 	return now.Add(wait)
 }
@@ -127,17 +127,17 @@
 // hedge asks a further server while an earlier one is still silent.
 func (r *run) hedge(index int, now time.Time) {
 	part := &r.parts[index]
-	if part.executions >= r.plan.MaxAttempts || !r.plan.Repeatable || r.mustAsk(index) || r.keepBack(part, now) {
+	if part.executions >= r.plan.MaxAttempts || !r.plan.Repeatable || r.needsGrant(index) || r.withhold(part, now) {
 		return
 	}
 	lease, _ := r.runner.Fleet.Acquire(r.choice(part), now)
 	if lease == nil {
-		part.hedgeAt = now.Add(recheck)
+		part.hedgeAt = now.Add(recheckInterval)
 		return
 	}
-	if r.tooLate(lease, now) || !r.spend(part, now) {
+	if r.isTooLate(lease, now) || !r.spend(part, now) {
 		r.runner.Fleet.Cancel(lease)
-		part.hedgeAt = now.Add(deniedRecheck)
+		part.hedgeAt = now.Add(deniedRecheckInterval)
 		return
 	}
 	r.hedges++
@@ -145,8 +145,8 @@
 	part.hedgeAt = r.hedgeTime(part, lease, now)
 }
 
-// tooLate reports whether a hedge would miss the deadline anyway.
-func (r *run) tooLate(lease *fleet.Lease, now time.Time) bool {
+// isTooLate reports whether a hedge would miss the deadline anyway.
+func (r *run) isTooLate(lease *fleet.Lease, now time.Time) bool {
 	return now.Add(lease.Expected).After(r.plan.Deadline)
 }
 
@@ -164,12 +164,12 @@
 // choice tells the fleet what a server of a part is wanted for.
 func (r *run) choice(part *part) fleet.Choice {
 	var excluded []*fleet.Lease
-	for _, each := range part.asked {
+	for _, each := range part.tried {
 		excluded = append(excluded, each.lease)
 	}
 	return fleet.Choice{
 		Service: part.service, Kind: r.plan.Kind, Assumed: r.plan.Assumed,
-		Target: r.targetSpan(), Span: r.plan.Deadline.Sub(r.began),
+		Target: r.targetDuration(), Span: r.plan.Deadline.Sub(r.began),
 		Rank: r.rank(part), Excluded: excluded, AsOwner: part.owned, Regions: r.regions(),
 	}
 }
@@ -178,7 +178,7 @@
 func (r *run) rank(part *part) fleet.Rank {
 	return fleet.Rank{
 		Needed: r.isNeeded(part), Target: r.plan.Target, Deadline: r.plan.Deadline,
-		QueueOrder: loadshed.WaitOrder(r.lot, r.plan.Priority),
+		QueueOrder: loadshed.WaitOrder(r.samplingValue, r.plan.Priority),
 	}
 }
 
@@ -187,20 +187,20 @@
 // than required. A request that has enough without a shard whose servers are
 // scarce leaves them to others.
 func (r *run) isNeeded(part *part) bool {
-	if len(part.live) > 0 || part.spared {
+	if len(part.inFlight) > 0 || part.skipped {
 		return false
 	}
-	covered := r.got
+	covered := r.answered
 	for index := range r.parts {
-		if each := &r.parts[index]; each.answer == nil && !each.spared && (len(each.live) > 0 || each.question != nil) {
+		if each := &r.parts[index]; each.answer == nil && !each.skipped && (len(each.inFlight) > 0 || each.question != nil) {
 			covered++
 		}
 	}
 	return covered < r.plan.Required
 }
 
-// targetSpan is the time within which the whole answer is of full value.
-func (r *run) targetSpan() time.Duration {
+// targetDuration is the time within which the whole answer is of full value.
+func (r *run) targetDuration() time.Duration {
 	if r.plan.Target.IsZero() {
 		return 0
 	}
@@ -218,9 +218,9 @@
 		lease: lease, part: index,
 	}
 	r.useTrial(started)
-	part.asked = append(part.asked, askedServer{lease: lease})
-	part.live = append(part.live, started)
-	part.sent = append(part.sent, started)
+	part.tried = append(part.tried, triedServer{lease: lease})
+	part.inFlight = append(part.inFlight, started)
+	part.attempts = append(part.attempts, started)
 	part.arrivals++
 	part.executions++
 	r.sent++
@@ -238,12 +238,12 @@
 	answer, err := started.Run()
 	now := time.Now()
 	r.runner.Fleet.Finish(started.lease, r.runner.classify(started, answer, err), started.ConnectTime, now)
-	r.noteBroken(started, now)
+	r.recordBroken(started, now)
 	result := finished{attempt: started, answer: answer, err: err}
 	select {
 	case r.results <- result:
 	case <-r.ended:
-		r.giveBackTrial(result)
+		r.releaseUnusedTrial(result)
 		return
 	}
 	select {
@@ -259,16 +259,16 @@
 	for {
 		select {
 		case result := <-r.results:
-			r.giveBackTrial(result)
+			r.releaseUnusedTrial(result)
 		default:
 			return
 		}
 	}
 }
 
-// giveBackTrial gives leave back that an attempt has not used when it ended after its run.
-func (r *run) giveBackTrial(result finished) {
-	if result.err != nil && outcome.Of(result.err) == outcome.NotRun || result.err == nil && r.refused(result.answer) {
+// releaseUnusedTrial gives leave back that an attempt has not used when it ended after its run.
+func (r *run) releaseUnusedTrial(result finished) {
+	if result.err != nil && outcome.Of(result.err) == outcome.NotRun || result.err == nil && r.isRefusal(result.answer) {
 		result.attempt.trial.Release()
 	}
 }
@@ -308,13 +308,13 @@
 	r.dropResults()
 	r.trial.Release()
 	r.inbox.close()
-	for _, asked := range r.questions {
-		asked.cancel()
+	for _, question := range r.questions {
+		question.cancel()
 	}
 	for index := range r.parts {
 		r.withdraw(&r.parts[index])
 		r.parts[index].trial.Release()
-		for _, each := range r.parts[index].live {
+		for _, each := range r.parts[index].inFlight {
 			each.Expire(end)
 		}
 	}
--- a/pkg/fanout/needed_test.go
+++ b/pkg/fanout/needed_test.go
@@ -20,7 +20,7 @@
 // kind of request that could do without a shard with one server left was served
 // worst)
 func TestARequestLeavesAScarceShardToThoseThatNeedIt(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		slow := exchangetest.Whole("a")
 		slow.Delay = 120 * time.Millisecond
 		w.add("a", "a1", slow)
--- a/pkg/fanout/owners.go
+++ b/pkg/fanout/owners.go
@@ -105,30 +105,30 @@
 	// reportShare is the part of the time left to the target after which an owner reports
 	// what it has: early enough for the asking node to ask the servers itself.
 	reportShare = 0.3
-	// leastReport and greatestReport bound it: an owner needs some milliseconds of
+	// minReportInterval and maxReportInterval bound it: an owner needs some milliseconds of
 	// a small processor, and its silence is to be noticed also without a target.
-	leastReport    = 20 * time.Millisecond
-	greatestReport = 250 * time.Millisecond
+	minReportInterval = 20 * time.Millisecond
+	maxReportInterval = 250 * time.Millisecond
 	// silenceFactor times ReportInterval is when an owner without a report is taken
 	// for silent: the report's way, and the delays of two busy processes.
 	silenceFactor = 1.5
-	// stallSlack is how late a timer may fire before silence is put down to this
+	// stallTolerance is how late a timer may fire before silence is put down to this
 	// process, which has stood still itself: what came meanwhile is read first.
-	stallSlack = 10 * time.Millisecond
+	stallTolerance = 10 * time.Millisecond
 )
 
 // question is a question to the owner of some parts.
 type question struct {
-	owner   string
-	indexes []int
-	pending Pending
-	within  time.Duration
+	owner          string
+	indexes        []int
+	pending        Pending
+	reportInterval time.Duration
 	// silentAt is when the owner is taken for silent; zero once it was, or has ended.
 	silentAt time.Time
 	ended    bool
 	result   string
 	// told are the positions of the services that the owner has answered for.
-	told map[int]bool
+	answered map[int]bool
 }
 
 // cancel ends the question if it is under way.
@@ -142,22 +142,22 @@
 func (r *run) askOwners(now time.Time) {
 	if r.plan.Collect != nil {
 		if r.plan.Collect.SamplingValue != 0 {
-			r.lot = r.plan.Collect.SamplingValue
+			r.samplingValue = r.plan.Collect.SamplingValue
 		}
-		r.fresh, r.reportAt = make(map[int]*exchange.Response), now.Add(r.plan.Collect.ReportInterval)
+		r.unreported, r.reportAt = make(map[int]*exchange.Response), now.Add(r.plan.Collect.ReportInterval)
 		for index := range r.parts {
 			r.parts[index].owned = true
 		}
 		return
 	}
-	if r.isKeptBack() || r.isKeptAnywhere() {
-		r.isKeptFromOwners = true
+	if r.isWithheld() || r.isWithheldAnywhere() {
+		r.isWithheldFromOwners = true
 		return
 	}
 	r.divide()
 	for _, group := range r.groups {
 		if group.Owner != "" {
-			r.ask(group, now)
+			r.askOwner(group, now)
 			continue
 		}
 		for _, index := range group.Indexes {
@@ -175,53 +175,55 @@
 }
 
 // ask sends a question to an owner.
-func (r *run) ask(group Group, now time.Time) {
-	asked := &question{owner: group.Owner, indexes: group.Indexes, within: r.reportWithin(now), told: make(map[int]bool)}
-	asked.silentAt = now.Add(asked.patience())
+func (r *run) askOwner(group Group, now time.Time) {
+	sent := &question{owner: group.Owner, indexes: group.Indexes, reportInterval: r.nextReportInterval(now), answered: make(map[int]bool)}
+	sent.silentAt = now.Add(sent.silenceTimeout())
 	services := make([]string, len(group.Indexes))
 	for position, index := range group.Indexes {
 		part := &r.parts[index]
-		part.question = asked
+		part.question = sent
 		part.arrivals, part.executions = 1, 1
 		services[position] = part.service
 	}
-	r.questions = append(r.questions, asked)
+	r.questions = append(r.questions, sent)
 	required := (r.plan.Required*len(services) + len(r.parts) - 1) / len(r.parts)
-	asked.pending = r.runner.Owners.Ask(Question{
+	sent.pending = r.runner.Owners.Ask(Question{
 		Owner: group.Owner, Services: services, Plan: &r.plan, Required: required, Request: r.request,
-		ReportInterval: asked.within, SamplingValue: r.lot, Skipped: r.sparedOf(group.Indexes),
+		ReportInterval: sent.reportInterval, SamplingValue: r.samplingValue, Skipped: r.skippedIn(group.Indexes),
 		AdmittedShares: r.admittedShares(services, now),
-	}, func(report Report) { r.inbox.put(asked, report) })
+	}, func(report Report) { r.inbox.put(sent, report) })
 }
 
-// reportWithin returns after which time an owner is to report.
-func (r *run) reportWithin(now time.Time) time.Duration {
+// nextReportInterval returns after which time an owner is to report.
+func (r *run) nextReportInterval(now time.Time) time.Duration {
 	left := r.plan.Target.Sub(now)
 	if r.plan.Target.IsZero() || left <= 0 {
-		return greatestReport
+		return maxReportInterval
 	}
-	return min(max(time.Duration(reportShare*float64(left)), leastReport), greatestReport)
+	return min(max(time.Duration(reportShare*float64(left)), minReportInterval), maxReportInterval)
 }
 
 // patience is the time without a report after which the owner is silent.
-func (q *question) patience() time.Duration { return time.Duration(silenceFactor * float64(q.within)) }
+func (q *question) silenceTimeout() time.Duration {
+	return time.Duration(silenceFactor * float64(q.reportInterval))
+}
 
-// takeReports takes what owners have reported.
-func (r *run) takeReports(now time.Time) {
+// handleReports takes what owners have reported.
+func (r *run) handleReports(now time.Time) {
 	for _, taken := range r.inbox.take() {
-		r.takeReport(taken.question, taken.report, now)
+		r.handleReport(taken.question, taken.report, now)
 	}
 }
 
-// takeReport takes what one owner has got, and decides what becomes of the parts that it did not
+// handleReport takes what one owner has got, and decides what becomes of the parts that it did not
 // get once nothing more comes.
-func (r *run) takeReport(from *question, report Report, now time.Time) {
+func (r *run) handleReport(from *question, report Report, now time.Time) {
 	if !from.silentAt.IsZero() {
-		from.silentAt = now.Add(from.patience())
+		from.silentAt = now.Add(from.silenceTimeout())
 	}
-	r.takeAnswers(from, report.Answers, now)
-	r.learnEnded(report.CrashedServers, now)
-	r.grant(from, report.Wanted)
+	r.acceptAnswers(from, report.Answers, now)
+	r.recordCrashes(report.CrashedServers, now)
+	r.grantWanted(from, report.Wanted)
 	r.sent += report.Sent
 	r.hedges += report.Hedges
 	r.retries += report.Retries
@@ -241,16 +243,16 @@
 	}
 }
 
-// takeAnswers takes the answers of one report, all or none of them: their records
+// acceptAnswers takes the answers of one report, all or none of them: their records
 // are merged. They take the place of what this node has got for the same parts itself.
-func (r *run) takeAnswers(from *question, answers map[int]*exchange.Response, now time.Time) {
+func (r *run) acceptAnswers(from *question, answers map[int]*exchange.Response, now time.Time) {
 	for position, answer := range answers {
-		if position < 0 || position >= len(from.indexes) || !r.runner.IsUsable(answer) || from.told[position] {
+		if position < 0 || position >= len(from.indexes) || !r.runner.IsUsable(answer) || from.answered[position] {
 			return
 		}
 	}
 	for position, answer := range answers {
-		from.told[position] = true
+		from.answered[position] = true
 		index := from.indexes[position]
 		if r.parts[index].answer == nil {
 			r.accept(index, answer, now)
@@ -261,7 +263,7 @@
 
 // grant lets an owner ask further servers, as far as the plan allows them: what the
 // owner may do from now on this node does not do any more.
-func (r *run) grant(to *question, wanted []int) {
+func (r *run) grantWanted(to *question, wanted []int) {
 	var granted []int
 	for _, position := range wanted {
 		if position < 0 || position >= len(to.indexes) {
@@ -278,40 +280,40 @@
 	}
 }
 
-// mustAsk reports whether a run for another node may not ask a further server of a
+// needsGrant reports whether a run for another node may not ask a further server of a
 // part by itself, and asks for it.
-func (r *run) mustAsk(index int) bool {
+func (r *run) needsGrant(index int) bool {
 	part := &r.parts[index]
-	if r.plan.Collect == nil || part.executions < 1+part.granted {
+	if r.plan.Collect == nil || part.executions < 1+part.grantCount {
 		return false
 	}
 	if !part.wanted {
 		part.wanted = true
-		r.wants = append(r.wants, index)
+		r.wantedParts = append(r.wantedParts, index)
 	}
 	return true
 }
 
 // granted returns where a run for another node hears of grants.
-func (r *run) granted() <-chan []int {
+func (r *run) grants() <-chan []int {
 	if r.plan.Collect == nil {
 		return nil
 	}
 	return r.plan.Collect.Granted
 }
 
-// takeGrant asks a further server of each of some parts.
-func (r *run) takeGrant(indexes []int, now time.Time) {
+// handleGrant asks a further server of each of some parts.
+func (r *run) handleGrant(indexes []int, now time.Time) {
 	for _, index := range indexes {
 		if index < 0 || index >= len(r.parts) || !r.parts[index].wanted {
 			continue
 		}
 		part := &r.parts[index]
-		part.granted++
+		part.grantCount++
 		part.wanted = false
 		switch {
 		case part.answer != nil || part.closed:
-		case len(part.live) > 0:
+		case len(part.inFlight) > 0:
 			r.hedge(index, now)
 		default:
 			r.retry(index, now)
@@ -342,19 +344,19 @@
 // handleSilence asks the servers of an owner that has not reported in time. What
 // it reports later is still taken.
 func (r *run) handleSilence(now time.Time) {
-	for _, asked := range r.questions {
-		if asked.silentAt.IsZero() || now.Before(asked.silentAt) {
+	for _, each := range r.questions {
+		if each.silentAt.IsZero() || now.Before(each.silentAt) {
 			continue
 		}
-		if now.Sub(asked.silentAt) > stallSlack {
-			asked.silentAt = now.Add(stallSlack)
+		if now.Sub(each.silentAt) > stallTolerance {
+			each.silentAt = now.Add(stallTolerance)
 			continue
 		}
-		asked.silentAt, asked.result = time.Time{}, "silent"
-		asked.pending.MarkSilent()
-		for _, index := range asked.indexes {
-			if part := &r.parts[index]; part.question == asked && part.answer == nil {
-				r.askBeside(index, now)
+		each.silentAt, each.result = time.Time{}, "silent"
+		each.pending.MarkSilent()
+		for _, index := range each.indexes {
+			if part := &r.parts[index]; part.question == each && part.answer == nil {
+				r.askDirectly(index, now)
 			}
 		}
 	}
@@ -362,7 +364,7 @@
 
 // tell reports to the node that this run collects for: what has come, once a
 // report is due, and from then on each answer at once; and what it wants, at once.
-func (r *run) tell(now time.Time) error {
+func (r *run) sendReport(now time.Time) error {
 	collect := r.plan.Collect
 	if collect == nil {
 		return nil
@@ -370,30 +372,30 @@
 	if !r.isReportDue(now) {
 		return nil
 	}
-	fresh, wants := r.fresh, r.wants
-	r.fresh, r.wants, r.told, r.reportAt = make(map[int]*exchange.Response), nil, true, now.Add(collect.ReportInterval)
+	fresh, wants := r.unreported, r.wantedParts
+	r.unreported, r.wantedParts, r.hasReported, r.reportAt = make(map[int]*exchange.Response), nil, true, now.Add(collect.ReportInterval)
 	return collect.Report(fresh, wants)
 }
 
 // isReportDue reports whether the other node is to be told now: at the time that it has set, of
 // what is wanted at once, and of answers at once when it was told before or no more are to come.
 func (r *run) isReportDue(now time.Time) bool {
-	if !now.Before(r.reportAt) || len(r.wants) > 0 {
+	if !now.Before(r.reportAt) || len(r.wantedParts) > 0 {
 		return true
 	}
-	return len(r.fresh) > 0 && (r.told || r.hasAllButSpared())
+	return len(r.unreported) > 0 && (r.hasReported || r.hasAllButSkipped())
 }
 
 // ownerRecords tells of the questions that were not answered whole.
 func (r *run) ownerRecords() []OwnerRecord {
 	var records []OwnerRecord
-	for _, asked := range r.questions {
-		result := asked.result
-		if result == "" && !asked.ended {
+	for _, each := range r.questions {
+		result := each.result
+		if result == "" && !each.ended {
 			result = "pending"
 		}
 		if result != "" && len(records) < maxAttemptRecords {
-			records = append(records, OwnerRecord{Owner: asked.owner, Services: len(asked.indexes), Result: result})
+			records = append(records, OwnerRecord{Owner: each.owner, Services: len(each.indexes), Result: result})
 		}
 	}
 	return records
--- a/pkg/fanout/divided_test.go
+++ b/pkg/fanout/owners_test.go
@@ -12,33 +12,33 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// countedOwners counts how often services are divided among owners: each time may use up the one
+// countingOwners counts how often services are divided among owners: each time may use up the one
 // question that an owner gets right after its return.
-type countedOwners struct {
+type countingOwners struct {
 	scriptedOwners
-	divided int
+	divisions int
 }
 
-func (c *countedOwners) Divide(services []string, regions route.Regions) []fanout.Group {
-	c.divided++
+func (c *countingOwners) Divide(services []string, regions route.Regions) []fanout.Group {
+	c.divisions++
 	return c.scriptedOwners.Divide(services, regions)
 }
 
 // TestARefusedRequestTakesNoOwnersTurn: it asks no owner.
 func TestARefusedRequestTakesNoOwnersTurn(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
-		owners := &countedOwners{scriptedOwners: scriptedOwners{"a": {{time.Millisecond, answeredBy("a")}}}}
+		owners := &countingOwners{scriptedOwners: scriptedOwners{"a": {{time.Millisecond, answerReport("a")}}}}
 		w.runner.Owners = owners
 		result, _ := w.run(plan("a"))
 		g.Expect(result.AnsweredCount).To(Equal(1))
-		g.Expect(owners.divided).To(Equal(1))
-		w.leaveToOthers("a")
+		g.Expect(owners.divisions).To(Equal(1))
+		w.limitService("a")
 		for range 5 {
 			result, _ = w.run(plan("a"))
 			g.Expect(result.Reason).To(Equal(fanout.StopOverloaded))
 		}
-		g.Expect(owners.divided).To(Equal(1))
+		g.Expect(owners.divisions).To(Equal(1))
 	})
 }
 
@@ -47,15 +47,15 @@
 func TestAKeptBackRequestTakesNoOwnersTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newDeadlyWorld(fourShards, threeCopies)
+		w := newDeadlyWorld(fourShards, threeReplicas)
 		defer w.close()
-		owners := &countedOwners{}
+		owners := &countingOwners{}
 		w.runner.Owners, w.runner.Admission = owners, fanout.NewAdmissionControl(w.fleet)
-		w.suspect("/suspect")
+		w.markSuspect("/suspect")
 		tried := plan(fourShards...)
 		tried.Required = len(fourShards)
 		g.Expect(w.send(tried, "/suspect").AnsweredCount).To(Equal(len(fourShards)))
-		g.Expect(owners.divided).To(BeZero())
+		g.Expect(owners.divisions).To(BeZero())
 		now := time.Now()
 		_, judgedAt := w.runner.Admission.Meters.CurrentShares(loadshed.Key{Service: "a"}, now)
 		g.Expect(judgedAt).To(Equal(now), "not measured")
--- a/pkg/fanout/part.go
+++ b/pkg/fanout/part.go
@@ -18,10 +18,10 @@
 	refusal *exchange.Response
 	failure error
 	// asked are the servers asked so far, live the attempts under way.
-	asked []askedServer
-	live  []*attempt
+	tried    []triedServer
+	inFlight []*attempt
 	// sent are all attempts, for the record.
-	sent []*attempt
+	attempts []*attempt
 	// arrivals counts requests that may have reached a server, executions
 	// those that may have run.
 	arrivals   int
@@ -31,7 +31,7 @@
 	// none was free.
 	shed bool
 	// ran says that a server is known to have run the request.
-	ran bool
+	hasRun bool
 	// hedgeAt is when a further server is to be asked; zero if never.
 	hedgeAt time.Time
 	// idleSince is since when no server is being asked and one is to be found;
@@ -44,7 +44,7 @@
 	absent bool
 	// unpaid says that a further server is to be asked once the budget pays for
 	// it.
-	unpaid bool
+	needsRetry bool
 	// closed says that no further server is asked.
 	closed bool
 	// question is the question to an owner that this part waits for; nil if this
@@ -54,39 +54,39 @@
 	owned bool
 	// spared says that the service is left to those that need it, since it is short of room and
 	// the request can be answered without it: it is asked where nobody else waits.
-	spared bool
+	skipped bool
 	// broken are the attempts whose server ended the connection, and served says that a server of
 	// the service has answered; attempts read it too.
-	broken []*attempt
-	served atomic.Bool
+	brokenAttempts []*attempt
+	served         atomic.Bool
 	// kept says that the request is kept from the service's servers. trial is leave for one of
-	// them, isClaiming says that it was asked for, and isRefusedTrial that there was none.
-	kept           bool
+	// them, isClaiming says that it was asked for, and isTrialRefused that there was none.
+	withheld       bool
 	trial          *quarantine.Trial
 	isClaiming     bool
-	isRefusedTrial bool
-	// isOffered says that the part counts among the load of its service.
-	isOffered bool
+	isTrialRefused bool
+	// isLoadRecorded says that the part counts among the load of its service.
+	isLoadRecorded bool
 	// granted counts the further servers that may be asked in a run for another
 	// node; wanted says that one was asked for.
-	granted int
-	wanted  bool
+	grantCount int
+	wanted     bool
 }
 
-// askedServer is a server that a part was sent to.
-type askedServer struct {
+// triedServer is a server that a part was sent to.
+type triedServer struct {
 	lease *fleet.Lease
 	// notRun says that it has not run the request and never will.
 	notRun bool
 }
 
 // mayHaveRun reports whether a server has run the part, or may have.
-func (p *part) mayHaveRun() bool { return p.ran || p.executions > 0 }
+func (p *part) mayHaveRun() bool { return p.hasRun || p.executions > 0 }
 
 // outcome is what is known of a part without an answer.
 func (p *part) outcome() outcome.Outcome {
 	switch {
-	case p.ran:
+	case p.hasRun:
 		return outcome.Completed
 	case p.mayHaveRun():
 		return outcome.Unknown
@@ -96,14 +96,14 @@
 
 // markNotRun notes that a server has not run the request.
 func (p *part) markNotRun(lease *fleet.Lease) {
-	for index := range p.asked {
-		if p.asked[index].lease == lease {
-			p.asked[index].notRun = true
+	for index := range p.tried {
+		if p.tried[index].lease == lease {
+			p.tried[index].notRun = true
 		}
 	}
 }
 
 // forgetNotRun lets the servers be asked again that have not run the request.
 func (p *part) forgetNotRun() {
-	p.asked = slices.DeleteFunc(p.asked, func(each askedServer) bool { return each.notRun })
+	p.tried = slices.DeleteFunc(p.tried, func(each triedServer) bool { return each.notRun })
 }
--- a/pkg/fanout/kept_back.go
+++ b/pkg/fanout/quarantine.go
@@ -11,46 +11,46 @@
 
 // fingerprint returns the fingerprint of the request. Only the event loop calls it.
 func (r *run) fingerprint() exchange.Fingerprint {
-	if r.fingerprinted == nil {
+	if r.cachedFingerprint == nil {
 		made := r.request.Fingerprint(r.runner.Dialect)
-		r.fingerprinted = &made
+		r.cachedFingerprint = &made
 	}
-	return *r.fingerprinted
+	return *r.cachedFingerprint
 }
 
 // standing returns what is known of the request; one that a server has answered is clear.
-func (r *run) standing() quarantine.State {
+func (r *run) state() quarantine.State {
 	guard := r.runner.Quarantine
-	if guard == nil || guard.IsIdle() || r.got > 0 {
+	if guard == nil || guard.IsIdle() || r.answered > 0 {
 		return quarantine.Clear
 	}
 	return guard.State(r.fingerprint())
 }
 
-// isKeptBack reports whether the request may be sent to no further server for now, since
+// isWithheld reports whether the request may be sent to no further server for now, since
 // servers have ended while they had it, or may have. A trial is leave for one.
-func (r *run) isKeptBack() bool {
-	return r.trial == nil && (r.standing() != quarantine.Clear || r.isDoubted())
+func (r *run) isWithheld() bool {
+	return r.trial == nil && (r.state() != quarantine.Clear || r.isUnproven())
 }
 
-// doubtSpan is for how long a request is doubted after its first broken connection: most are
+// unprovenHold is for how long a request is doubted after its first broken connection: most are
 // answered by another shard within a few tenths of a second, and one whose other servers are all
 // silent is to have its hedges after that.
-const doubtSpan = 300 * time.Millisecond
+const unprovenHold = 300 * time.Millisecond
 
-// isDoubted reports whether a server broke its connection a moment ago, none has answered the
+// isUnproven reports whether a server broke its connection a moment ago, none has answered the
 // request, and one still may. Its further sub-requests wait for that: an ordinary request is
 // answered by another shard within milliseconds, and a deadly one ends one server of each shard
 // rather than two. Without a broken connection it costs nothing.
-func (r *run) isDoubted() bool {
-	return r.broken > 0 && r.runner.Quarantine != nil && !r.served.Load() && r.isUnderWay() && time.Since(r.brokenAt) < doubtSpan
+func (r *run) isUnproven() bool {
+	return r.brokenConnections > 0 && r.runner.Quarantine != nil && !r.served.Load() && r.isInFlight() && time.Since(r.firstBrokenAt) < unprovenHold
 }
 
-// isUnderWay reports whether the request is at a server or an owner whose answer could clear
+// isInFlight reports whether the request is at a server or an owner whose answer could clear
 // it.
-func (r *run) isUnderWay() bool {
+func (r *run) isInFlight() bool {
 	for index := range r.parts {
-		if each := &r.parts[index]; len(each.live) > 0 || each.question != nil {
+		if each := &r.parts[index]; len(each.inFlight) > 0 || each.question != nil {
 			return true
 		}
 	}
@@ -60,7 +60,7 @@
 // isStuck reports whether the request is kept back and nothing that could still clear it is
 // under way.
 func (r *run) isStuck() bool {
-	if r.standing() <= quarantine.Doubtful || r.isClaiming || r.isUnderWay() {
+	if r.state() <= quarantine.Doubtful || r.isClaiming || r.isInFlight() {
 		return false
 	}
 	return r.trial == nil || !r.hasTrialPart()
@@ -74,47 +74,47 @@
 
 // mayClaim reports whether leave for a trial is to be asked for.
 func (r *run) mayClaim() bool {
-	return r.standing() == quarantine.Suspect && r.trial == nil && !r.isRefusedTrial && r.plan.Collect == nil && r.hasTrialPart()
+	return r.state() == quarantine.Suspect && r.trial == nil && !r.isTrialRefused && r.plan.Collect == nil && r.hasTrialPart()
 }
 
 // hasTrialPart reports whether a trial may be made with an open part.
 func (r *run) hasTrialPart() bool {
-	ended, now := r.runner.Quarantine.CrashedServers(r.fingerprint()), time.Now()
+	crashed, now := r.runner.Quarantine.CrashedServers(r.fingerprint()), time.Now()
 	for index := range r.parts {
-		if each := &r.parts[index]; each.answer == nil && !each.closed && r.outlivesTrial(each, ended, now) {
+		if each := &r.parts[index]; each.answer == nil && !each.closed && r.canLoseServer(each, crashed, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// spareAfter is how many servers have ended under a gathered request, with no answer, when its
+// protectLastServerAfter is how many servers have ended under a gathered request, with no answer, when its
 // trials spare the last server of a shard. One that shared servers with another one has hardly
 // lost so many, and is to be answered at once.
-const spareAfter = 2 * quarantine.SuspectAfter
+const protectLastServerAfter = 2 * quarantine.SuspectAfter
 
-// outlivesTrial reports whether the service of a part has a further server in reach beside the
+// canLoseServer reports whether the service of a part has a further server in reach beside the
 // one that a trial may end, or never had one: without it all requests would miss the part until
 // the servers that ended are back. A request of one service has no other choice.
-func (r *run) outlivesTrial(part *part, ended []fleet.Incarnation, now time.Time) bool {
-	if len(r.parts) == 1 || len(ended) < spareAfter {
+func (r *run) canLoseServer(part *part, crashed []fleet.Incarnation, now time.Time) bool {
+	if len(r.parts) == 1 || len(crashed) < protectLastServerAfter {
 		return true
 	}
-	inReach, all := r.runner.Fleet.CountReachable(part.service, r.regions(), ended, now)
+	inReach, all := r.runner.Fleet.CountReachable(part.service, r.regions(), crashed, now)
 	return inReach >= 2 || inReach == all
 }
 
-// isTrialElsewhere reports whether there is leave for a trial that is not to be made with a part.
-func (r *run) isTrialElsewhere(part *part, now time.Time) bool {
-	return r.trial != nil && r.standing() != quarantine.Clear &&
-		!r.outlivesTrial(part, r.runner.Quarantine.CrashedServers(r.fingerprint()), now)
+// isTrialBarred reports whether there is leave for a trial that is not to be made with a part.
+func (r *run) isTrialBarred(part *part, now time.Time) bool {
+	return r.trial != nil && r.state() != quarantine.Clear &&
+		!r.canLoseServer(part, r.runner.Quarantine.CrashedServers(r.fingerprint()), now)
 }
 
 // claimTimeout bounds the claim of a trial: two round trips between regions, and a store that
 // is slow for a moment.
 const claimTimeout = 300 * time.Millisecond
 
-// claimTrial asks for leave to send the request to one server if it is stuck; see takeTrial.
+// claimTrial asks for leave to send the request to one server if it is stuck; see handleTrial.
 func (r *run) claimTrial() {
 	if !r.isStuck() || !r.mayClaim() {
 		return
@@ -133,11 +133,11 @@
 	}()
 }
 
-// takeTrial takes leave for a trial, or that there is none. Parts that wait see it at their
+// handleTrial takes leave for a trial, or that there is none. Parts that wait see it at their
 // next look.
-func (r *run) takeTrial(claimed *quarantine.Trial) {
+func (r *run) handleTrial(claimed *quarantine.Trial) {
 	r.isClaiming = false
-	r.trial, r.isRefusedTrial = claimed, claimed == nil
+	r.trial, r.isTrialRefused = claimed, claimed == nil
 }
 
 // useTrial moves leave for a trial to an attempt.
@@ -160,28 +160,28 @@
 	}
 }
 
-// keepBack puts off what is to be done for a part while the request is kept back.
-func (r *run) keepBack(part *part, now time.Time) bool {
-	if !r.isKeptBack() && !r.isTrialElsewhere(part, now) && !r.isKeptFromShard(part, now) {
+// withhold puts off what is to be done for a part while the request is kept back.
+func (r *run) withhold(part *part, now time.Time) bool {
+	if !r.isWithheld() && !r.isTrialBarred(part, now) && !r.isWithheldFromShard(part, now) {
 		return false
 	}
 	r.withdraw(part)
-	part.hedgeAt = now.Add(recheck)
+	part.hedgeAt = now.Add(recheckInterval)
 	return true
 }
 
-// noteBrokenConnection counts a connection that broke while its server had the request.
-func (r *run) noteBrokenConnection(now time.Time) {
-	if r.broken == 0 {
-		r.brokenAt = now
+// countBrokenConnection counts a connection that broke while its server had the request.
+func (r *run) countBrokenConnection(now time.Time) {
+	if r.brokenConnections == 0 {
+		r.firstBrokenAt = now
 	}
-	r.broken++
+	r.brokenConnections++
 }
 
-// noteBroken tells the guard that a server broke its connection while it had the request,
+// recordBroken tells the guard that a server broke its connection while it had the request,
 // unless another one has answered it: then that holds for its service alone. It is called from the
 // attempt's goroutine.
-func (r *run) noteBroken(broken *attempt, now time.Time) {
+func (r *run) recordBroken(broken *attempt, now time.Time) {
 	guard := r.runner.Quarantine
 	if guard == nil || !broken.Broken {
 		return
@@ -196,28 +196,28 @@
 	guard.RecordBrokenConnection(r.request.Fingerprint(r.runner.Dialect), server.Incarnation(), server.Address, now)
 }
 
-// noteServed tells the guard that a server has answered the request, once. What the part that
-// answered first has lost does not count: noteServedAt comes before.
-func (r *run) noteServed() {
+// recordAnswer tells the guard that a server has answered the request, once. What the part that
+// answered first has lost does not count: recordAnswerAt comes before.
+func (r *run) recordAnswer() {
 	if r.served.Swap(true) {
 		return
 	}
 	if guard := r.runner.Quarantine; guard != nil {
 		guard.RecordAnswer(r.fingerprint(), time.Now())
 	}
-	r.noteBrokenParts(time.Now())
+	r.recordBrokenOfParts(time.Now())
 }
 
-// learnEnded takes the servers that an owner has seen end under the request.
-func (r *run) learnEnded(servers []fleet.Incarnation, now time.Time) {
-	if guard := r.runner.Quarantine; guard != nil && r.got == 0 {
+// recordCrashes takes the servers that an owner has seen end under the request.
+func (r *run) recordCrashes(servers []fleet.Incarnation, now time.Time) {
+	if guard := r.runner.Quarantine; guard != nil && r.answered == 0 {
 		guard.RecordCrashes(r.fingerprint(), servers, now)
 	}
 }
 
-// endedServers returns the servers that are known to have ended under the request.
-func (r *run) endedServers() []fleet.Incarnation {
-	if r.standing() == quarantine.Clear {
+// crashedServers returns the servers that are known to have ended under the request.
+func (r *run) crashedServers() []fleet.Incarnation {
+	if r.state() == quarantine.Clear {
 		return nil
 	}
 	return r.runner.Quarantine.CrashedServers(r.fingerprint())
--- a/pkg/fanout/kept_shard_test.go
+++ b/pkg/fanout/quarantine_shard_test.go
@@ -19,56 +19,56 @@
 
 const (
 	// restart is how long a server that has ended is away.
-	restart = 700 * time.Millisecond
-	// repeatEvery is when the client of a deadly request comes again, for repeatFor.
-	repeatEvery = 250 * time.Millisecond
-	repeatFor   = 8 * time.Second
+	restartDelay = 700 * time.Millisecond
+	// repeatInterval is when the client of a deadly request comes again, for repeatDuration.
+	repeatInterval = 250 * time.Millisecond
+	repeatDuration = 8 * time.Second
 )
 
-// newShardWorld has four shards of three servers. Those of shard a end when they run the deadly
+// newDeadlyShardWorld has four shards of three servers. Those of shard a end when they run the deadly
 // request, and come back after a while; the others answer it. It returns how often they ended.
-func newShardWorld() (*world, *atomic.Int64) {
+func newDeadlyShardWorld() (*world, *atomic.Int64) {
 	w := newDeadlyWorld(nil, nil)
-	ended := &atomic.Int64{}
+	crashes := &atomic.Int64{}
 	for _, service := range fourShards {
-		for _, copied := range threeCopies {
-			w.add(service, service+copied, exchangetest.Answer{})
-			w.servers[service+copied].Respond = w.respondOf(service, service+copied, ended)
+		for _, replica := range threeReplicas {
+			w.add(service, service+replica, exchangetest.Answer{})
+			w.servers[service+replica].Respond = w.deadlyRespond(service, service+replica, crashes)
 		}
 	}
-	return w, ended
+	return w, crashes
 }
 
-func (w *world) respondOf(service, name string, ended *atomic.Int64) func(exchangetest.Request) exchangetest.Answer {
+func (w *world) deadlyRespond(service, name string, crashes *atomic.Int64) func(exchangetest.Request) exchangetest.Answer {
 	return func(request exchangetest.Request) exchangetest.Answer {
 		if service != "a" || request.RequestURI != deadlyTarget {
 			return quick("x")
 		}
-		ended.Add(1)
+		crashes.Add(1)
 		w.network.Remove(name)
-		time.AfterFunc(restart, func() { w.network.Add(name, w.respondOf(service, name, ended)) })
+		time.AfterFunc(restartDelay, func() { w.network.Add(name, w.deadlyRespond(service, name, crashes)) })
 		return exchangetest.Answer{Delay: 10 * time.Millisecond}
 	}
 }
 
-// mostEndsOfAShard are the three servers after which a request is suspect, two that run it at that
+// maxCrashesOfShard are the three servers after which a request is suspect, two that run it at that
 // moment, and two trials.
-const mostEndsOfAShard = quarantine.SuspectAfter + 2 + quarantine.ImmediateTrials
+const maxCrashesOfShard = quarantine.SuspectAfter + 2 + quarantine.ImmediateTrials
 
 // TestARequestThatEndsTheServersOfOneShardIsKeptFromThatShard, though the others answer it: they go
 // on, and the answer is a partial one.
 func TestARequestThatEndsTheServersOfOneShardIsKeptFromThatShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w, ended := newShardWorld()
+		w, crashes := newDeadlyShardWorld()
 		defer w.close()
-		for began := time.Now(); time.Since(began) < repeatFor; time.Sleep(repeatEvery) {
+		for began := time.Now(); time.Since(began) < repeatDuration; time.Sleep(repeatInterval) {
 			result := w.send(plan(fourShards...), deadlyTarget)
 			g.Expect(result.AnsweredCount).To(Equal(3))
 			g.Expect(result.Parts[0]).To(BeNil())
 		}
-		t.Logf("%d servers ended", ended.Load())
-		g.Expect(ended.Load()).To(BeNumerically("<=", mostEndsOfAShard))
+		t.Logf("%d servers ended", crashes.Load())
+		g.Expect(crashes.Load()).To(BeNumerically("<=", maxCrashesOfShard))
 		whole := plan(fourShards...)
 		whole.Required = len(fourShards)
 		g.Expect(w.send(whole, "/ordinary").AnsweredCount).To(Equal(len(fourShards)))
@@ -82,18 +82,18 @@
 func TestARequestThatNeedsAShardWhoseServersItEndsIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w, ended := newShardWorld()
+		w, crashes := newDeadlyShardWorld()
 		defer w.close()
 		needed := func() fanout.Plan {
 			whole := plan(fourShards...)
 			whole.Required = len(fourShards)
 			return whole
 		}
-		for began := time.Now(); time.Since(began) < repeatFor; time.Sleep(repeatEvery) {
+		for began := time.Now(); time.Since(began) < repeatDuration; time.Sleep(repeatInterval) {
 			w.send(needed(), deadlyTarget)
 		}
-		t.Logf("%d servers ended", ended.Load())
-		g.Expect(ended.Load()).To(BeNumerically("<=", mostEndsOfAShard))
+		t.Logf("%d servers ended", crashes.Load())
+		g.Expect(crashes.Load()).To(BeNumerically("<=", maxCrashesOfShard))
 		began := time.Now()
 		result := w.send(needed(), deadlyTarget)
 		g.Expect(result.Reason).To(Equal(fanout.StopQuarantined))
@@ -108,15 +108,15 @@
 func TestWhatSharedTheServersOfOneShardIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newDeadlyWorld(fourShards, append(threeCopies, "4"))
+		w := newDeadlyWorld(fourShards, append(threeReplicas, "4"))
 		defer w.close()
 		for range 2 {
-			w.endFirst("a1", "a2", "a3", "a4")
+			w.crashFirstAsked("a1", "a2", "a3", "a4")
 			wanted := plan(fourShards...)
 			wanted.Required, wanted.MaxAttempts = len(fourShards), 4
 			w.send(wanted, "/shared")
 		}
-		w.endFirst("a1", "a2", "a3", "a4")
+		w.crashFirstAsked("a1", "a2", "a3", "a4")
 		wanted := plan(fourShards...)
 		wanted.Required, wanted.MaxAttempts = len(fourShards), 4
 		g.Expect(w.send(wanted, "/shared").AnsweredCount).To(Equal(len(fourShards)))
@@ -130,7 +130,7 @@
 func TestBrokenConnectionsOfAShardThatHasAnsweredCountForNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newDeadlyWorld(fourShards, append(threeCopies, "4"))
+		w := newDeadlyWorld(fourShards, append(threeReplicas, "4"))
 		defer w.close()
 		var asked atomic.Int64
 		for _, name := range []string{"a1", "a2", "a3", "a4"} {
@@ -157,10 +157,10 @@
 func TestAPartThatIsKeptBackClaimsNotRunOnlyIfItWasSentNowhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w, _ := newShardWorld()
+		w, _ := newDeadlyShardWorld()
 		defer w.close()
 		sent, notSent := 0, 0
-		for began := time.Now(); time.Since(began) < repeatFor; time.Sleep(repeatEvery) {
+		for began := time.Now(); time.Since(began) < repeatDuration; time.Sleep(repeatInterval) {
 			wanted := plan(fourShards...)
 			wanted.MaxAttempts = 3
 			result := w.send(wanted, deadlyTarget)
@@ -184,10 +184,10 @@
 func TestATrialThatIsRefusedAfterTheRunIsGivenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newDeadlyWorld(fourShards, threeCopies)
+		w := newDeadlyWorld(fourShards, threeReplicas)
 		defer w.close()
-		for _, copied := range threeCopies {
-			w.servers["a"+copied].Respond = func(exchangetest.Request) exchangetest.Answer {
+		for _, replica := range threeReplicas {
+			w.servers["a"+replica].Respond = func(exchangetest.Request) exchangetest.Answer {
 				refusal := exchangetest.Whole("")
 				refusal.Status, refusal.Delay = http.StatusServiceUnavailable, 100*time.Millisecond
 				refusal.Header = map[string]string{exchangetest.Dialect.NotRun: "1"}
@@ -195,8 +195,8 @@
 			}
 		}
 		request := exchange.Request{Method: "GET", Target: "/suspect"}
-		here := request.Fingerprint(&exchangetest.Dialect).At("a")
-		w.runner.Quarantine.RecordCrashes(here, []fleet.Incarnation{{ID: "x"}, {ID: "y"}, {ID: "z"}}, time.Now())
+		fingerprint := request.Fingerprint(&exchangetest.Dialect).At("a")
+		w.runner.Quarantine.RecordCrashes(fingerprint, []fleet.Incarnation{{ID: "x"}, {ID: "y"}, {ID: "z"}}, time.Now())
 		ended := plan(fourShards...)
 		ended.Target = time.Now().Add(50 * time.Millisecond)
 		result := w.send(ended, "/suspect")
@@ -204,7 +204,7 @@
 		time.Sleep(200 * time.Millisecond)
 		g.Expect(w.arrivals("a1", "a2", "a3")).To(Equal(1), "the trial")
 		for range quarantine.ImmediateTrials {
-			g.Expect(w.runner.Quarantine.ClaimTrial(t.Context(), here)).NotTo(BeNil())
+			g.Expect(w.runner.Quarantine.ClaimTrial(t.Context(), fingerprint)).NotTo(BeNil())
 		}
 	})
 }
--- a/pkg/fanout/kept_back_test.go
+++ b/pkg/fanout/quarantine_test.go
@@ -17,27 +17,27 @@
 	"github.com/bramblemast/bramblemast/pkg/quarantine"
 )
 
-// silentLedger keeps nothing and grants every trial.
-type silentLedger struct{}
+// emptyLedger keeps nothing and grants every trial.
+type emptyLedger struct{}
 
-func (silentLedger) AddNotes(context.Context, []quarantine.Note) error                        { return nil }
-func (silentLedger) ClaimNote(context.Context, quarantine.Note) (bool, error)                 { return true, nil }
-func (silentLedger) RemoveNotes(context.Context, []quarantine.Note) error                     { return nil }
-func (silentLedger) StateChanged(exchange.Fingerprint, quarantine.State, []fleet.Incarnation) {}
-func (silentLedger) LedgerFailed(string, error)                                               {}
+func (emptyLedger) AddNotes(context.Context, []quarantine.Note) error                        { return nil }
+func (emptyLedger) ClaimNote(context.Context, quarantine.Note) (bool, error)                 { return true, nil }
+func (emptyLedger) RemoveNotes(context.Context, []quarantine.Note) error                     { return nil }
+func (emptyLedger) StateChanged(exchange.Fingerprint, quarantine.State, []fleet.Incarnation) {}
+func (emptyLedger) LedgerFailed(string, error)                                               {}
 
 const deadlyTarget = "/deadly"
 
 // newDeadlyWorld has shards with some servers each, which end when they run a deadly request.
-func newDeadlyWorld(services []string, copies []string) *world {
+func newDeadlyWorld(services []string, replicas []string) *world {
 	w := newWorld()
 	guard := quarantine.New(quarantine.Options{
-		Ledger: silentLedger{}, LedgerUnavailable: func() bool { return false }, Dialer: w.network, Events: silentLedger{},
+		Ledger: emptyLedger{}, LedgerUnavailable: func() bool { return false }, Dialer: w.network, Events: emptyLedger{},
 	})
 	w.runner.Quarantine = guard
 	for _, service := range services {
-		for _, copied := range copies {
-			w.addDeadly(service, service+copied)
+		for _, replica := range replicas {
+			w.addDeadly(service, service+replica)
 		}
 	}
 	return w
@@ -62,8 +62,8 @@
 	return w.runner.Run(context.Background(), plan, &exchange.Request{Method: "GET", Target: target, ID: "r"})
 }
 
-// arrivedFor counts the requests for a target at all servers.
-func (w *world) arrivedFor(target string) int {
+// countRequests counts the requests for a target at all servers.
+func (w *world) countRequests(target string) int {
 	count := 0
 	for _, each := range w.servers {
 		for _, request := range each.Requests() {
@@ -75,8 +75,8 @@
 	return count
 }
 
-// endWithTheNext lets servers end with the next request that they run, whatever it is.
-func (w *world) endWithTheNext(names ...string) {
+// crashOnNextRequest lets servers end with the next request that they run, whatever it is.
+func (w *world) crashOnNextRequest(names ...string) {
 	for _, name := range names {
 		w.servers[name].Respond = func(exchangetest.Request) exchangetest.Answer {
 			w.network.Remove(name)
@@ -86,12 +86,12 @@
 }
 
 // suspect lets a request for a target be suspect.
-func (w *world) suspect(target string) {
+func (w *world) markSuspect(target string) {
 	request := exchange.Request{Method: "GET", Target: target}
 	w.runner.Quarantine.RecordCrashes(request.Fingerprint(&exchangetest.Dialect), []fleet.Incarnation{{ID: "x"}, {ID: "y"}, {ID: "z"}}, time.Now())
 }
 
-func (w *world) standing(target string) quarantine.State {
+func (w *world) quarantineState(target string) quarantine.State {
 	request := exchange.Request{Method: "GET", Target: target}
 	return w.runner.Quarantine.State(request.Fingerprint(&exchangetest.Dialect))
 }
@@ -101,15 +101,15 @@
 	w.fleet.Sweep(time.Now())
 }
 
-var fourShards, threeCopies = []string{"a", "b", "c", "d"}, []string{"1", "2", "3"}
+var fourShards, threeReplicas = []string{"a", "b", "c", "d"}, []string{"1", "2", "3"}
 
-// endFirst lets the first of some servers that is asked end under what it is asked; the others
+// crashFirstAsked lets the first of some servers that is asked end under what it is asked; the others
 // answer.
-func (w *world) endFirst(names ...string) {
-	var hasEnded atomic.Bool
+func (w *world) crashFirstAsked(names ...string) {
+	var hasCrashed atomic.Bool
 	for _, name := range names {
 		w.servers[name].Respond = func(exchangetest.Request) exchangetest.Answer {
-			if hasEnded.CompareAndSwap(false, true) {
+			if hasCrashed.CompareAndSwap(false, true) {
 				w.network.Remove(name)
 				return exchangetest.Answer{}
 			}
@@ -123,9 +123,9 @@
 func TestAPartThatLostItsServerWaitsForAnAnswerOfAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newDeadlyWorld(fourShards, threeCopies)
+		w := newDeadlyWorld(fourShards, threeReplicas)
 		defer w.close()
-		w.endFirst("a1", "a2", "a3")
+		w.crashFirstAsked("a1", "a2", "a3")
 		began := time.Now()
 		result := w.send(plan(fourShards...), "/ordinary")
 		g.Expect(result.AnsweredCount).To(Equal(4))
@@ -139,9 +139,9 @@
 func TestAPartThatLostItsServerWaitsNoLongerThanAMoment(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newDeadlyWorld([]string{"a", "b"}, threeCopies)
+		w := newDeadlyWorld([]string{"a", "b"}, threeReplicas)
 		defer w.close()
-		w.endFirst("a1", "a2", "a3")
+		w.crashFirstAsked("a1", "a2", "a3")
 		for _, name := range []string{"b1", "b2", "b3"} {
 			w.servers[name].Respond = func(exchangetest.Request) exchangetest.Answer {
 				answer := quick("x")
@@ -161,21 +161,21 @@
 func TestADeadlyRequestEndsOneServerOfEachShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newDeadlyWorld(fourShards, threeCopies)
+		w := newDeadlyWorld(fourShards, threeReplicas)
 		defer w.close()
 		began := time.Now()
 		deadly := plan(fourShards...)
-		deadly.MaxAttempts = len(threeCopies)
+		deadly.MaxAttempts = len(threeReplicas)
 		result := w.send(deadly, deadlyTarget)
 		g.Expect(result.Reason).To(Equal(fanout.StopQuarantined))
 		g.Expect(result.Outcome).To(Equal(outcome.Unknown))
 		g.Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond))
-		ended := w.arrivedFor(deadlyTarget)
-		g.Expect(ended).To(Equal(6), "one of each shard, and two trials")
+		crashed := w.countRequests(deadlyTarget)
+		g.Expect(crashed).To(Equal(6), "one of each shard, and two trials")
 		result = w.send(plan(fourShards...), deadlyTarget)
 		g.Expect(result.Reason).To(Equal(fanout.StopQuarantined))
 		g.Expect(result.Outcome).To(Equal(outcome.NotRun))
-		g.Expect(w.arrivedFor(deadlyTarget)).To(Equal(ended))
+		g.Expect(w.countRequests(deadlyTarget)).To(Equal(crashed))
 	})
 }
 
@@ -184,9 +184,9 @@
 func TestWhatSharedAServerIsRetriedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newDeadlyWorld(fourShards, threeCopies)
+		w := newDeadlyWorld(fourShards, threeReplicas)
 		defer w.close()
-		w.endWithTheNext("a1", "b1", "c1")
+		w.crashOnNextRequest("a1", "b1", "c1")
 		wanted := plan(fourShards...)
 		wanted.Required = len(fourShards)
 		began := time.Now()
@@ -202,19 +202,19 @@
 func TestATrialAsksOneServerFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newDeadlyWorld(fourShards, threeCopies)
+		w := newDeadlyWorld(fourShards, threeReplicas)
 		defer w.close()
 		for _, target := range []string{deadlyTarget, "/shared"} {
-			w.suspect(target)
+			w.markSuspect(target)
 		}
 		result := w.send(plan(fourShards...), deadlyTarget)
 		g.Expect(result.Reason).To(Equal(fanout.StopQuarantined))
-		g.Expect(w.arrivedFor(deadlyTarget)).To(Equal(2))
+		g.Expect(w.countRequests(deadlyTarget)).To(Equal(2))
 		tried := plan(fourShards...)
 		tried.Required = len(fourShards)
 		result = w.send(tried, "/shared")
 		g.Expect(result.AnsweredCount).To(Equal(len(fourShards)))
-		g.Expect(w.standing("/shared")).To(Equal(quarantine.Clear))
+		g.Expect(w.quarantineState("/shared")).To(Equal(quarantine.Clear))
 	})
 }
 
@@ -231,8 +231,8 @@
 		result := w.send(plan(shards...), deadlyTarget)
 		g.Expect(result.Reason).To(Equal(fanout.StopQuarantined))
 		g.Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond), "nobody waits for what is not tried")
-		g.Expect(w.arrivedFor(deadlyTarget)).To(Equal(len(shards)))
-		g.Expect(w.standing(deadlyTarget)).To(Equal(quarantine.Suspect))
+		g.Expect(w.countRequests(deadlyTarget)).To(Equal(len(shards)))
+		g.Expect(w.quarantineState(deadlyTarget)).To(Equal(quarantine.Suspect))
 		needed := plan(shards...)
 		needed.Required = len(shards)
 		g.Expect(w.send(needed, "/ordinary").AnsweredCount).To(Equal(len(shards)), "each shard has a server")
@@ -241,7 +241,7 @@
 
 		w.addDeadly("b", "b3")
 		w.send(plan(shards...), deadlyTarget)
-		g.Expect(w.arrivedFor(deadlyTarget)).To(Equal(len(shards)+1), "tried once, with shard b")
+		g.Expect(w.countRequests(deadlyTarget)).To(Equal(len(shards)+1), "tried once, with shard b")
 		needed = plan(shards...)
 		needed.Required = len(shards)
 		g.Expect(w.send(needed, "/other").AnsweredCount).To(Equal(len(shards)))
@@ -253,16 +253,16 @@
 func TestARequestThatLostAllItsServersIsTriedAgainWithinItsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newDeadlyWorld(fourShards, threeCopies)
+		w := newDeadlyWorld(fourShards, threeReplicas)
 		defer w.close()
-		w.endWithTheNext("a1", "b1", "c1", "d1")
+		w.crashOnNextRequest("a1", "b1", "c1", "d1")
 		wanted := plan(fourShards...)
 		wanted.Required = len(fourShards)
 		began := time.Now()
 		result := w.send(wanted, "/shared")
 		g.Expect(result.AnsweredCount).To(Equal(len(fourShards)))
 		g.Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond))
-		g.Expect(w.standing("/shared")).To(Equal(quarantine.Clear))
+		g.Expect(w.quarantineState("/shared")).To(Equal(quarantine.Clear))
 	})
 }
 
@@ -272,16 +272,16 @@
 		g := NewWithT(t)
 		w := newDeadlyWorld(nil, nil)
 		defer w.close()
-		time.AfterFunc(100*time.Millisecond, func() { w.suspect("/waits") })
+		time.AfterFunc(100*time.Millisecond, func() { w.markSuspect("/waits") })
 		time.AfterFunc(200*time.Millisecond, func() { w.add("late", "late1", exchangetest.Whole("x")) })
 		waiting := plan("late")
 		waiting.MaxServerWait = time.Second
 		w.fleet.Apply(fleet.Server{ID: "gone", Service: "late", Address: "gone", Zone: "z"}, time.Now())
 		result := w.send(waiting, "/waits")
 		g.Expect(result.AnsweredCount).To(Equal(1))
-		g.Expect(w.standing("/waits")).To(Equal(quarantine.Clear))
+		g.Expect(w.quarantineState("/waits")).To(Equal(quarantine.Clear))
 
-		w.suspect("/refused")
+		w.markSuspect("/refused")
 		request := exchange.Request{Method: "GET", Target: "/refused"}
 		for range 2 {
 			g.Expect(w.runner.Quarantine.ClaimTrial(context.Background(), request.Fingerprint(&exchangetest.Dialect))).NotTo(BeNil())
--- a/pkg/fanout/regions_test.go
+++ b/pkg/fanout/regions_test.go
@@ -41,7 +41,7 @@
 // TestNoHedgeOrRetryLeavesTheRegions: the server in the allowed region is silent, another
 // one refuses; both stay the only ones that get the request.
 func TestNoHedgeOrRetryLeavesTheRegions(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.inRegions()
 		w.add("a", "a-near", exchangetest.Answer{Hang: true})
 		w.add("a", "a-far", quick("A"))
@@ -55,7 +55,7 @@
 // TestAChangeOfRegionsBindsARequestUnderWay: what is sent after the change goes where it
 // allows only.
 func TestAChangeOfRegionsBindsARequestUnderWay(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.inRegions()
 		w.add("a", "a-near", exchangetest.Answer{Hang: true})
 		w.add("a", "a-far", quick("A"))
@@ -69,7 +69,7 @@
 
 // TestWhatNoAllowedServerCanServeIsRefusedAtOnce, as not run.
 func TestWhatNoAllowedServerCanServeIsRefusedAtOnce(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.inRegions()
 		for _, service := range []string{"a", "b", "c"} {
 			w.add(service, service+"-near", quick(service))
--- a/pkg/fanout/result.go
+++ b/pkg/fanout/result.go
@@ -17,7 +17,7 @@
 		return
 	}
 	part.refusal = result.answer
-	if r.refused(result.answer) {
+	if r.isRefusal(result.answer) {
 		r.returnTrial(result.attempt)
 		part.shed = part.shed || result.answer.Status != statusMisdirected
 		part.executions--
@@ -25,7 +25,7 @@
 		part.markNotRun(result.attempt.lease)
 		return
 	}
-	part.ran = true
+	part.hasRun = true
 }
 
 // noteError updates what is known of the execution after an attempt without an answer.
@@ -54,7 +54,7 @@
 }
 
 // refused reports whether a server answered without running the request.
-func (r *run) refused(answer *exchange.Response) bool {
+func (r *run) isRefusal(answer *exchange.Response) bool {
 	return answer.Header.Get(r.runner.Dialect.NotRun) != "" || answer.Status == statusMisdirected
 }
 
@@ -70,25 +70,25 @@
 }
 
 // records lists the attempts of the parts that the first server did not answer.
-func (r *run) records(now time.Time) []AttemptRecord {
+func (r *run) attemptRecords(now time.Time) []AttemptRecord {
 	var records []AttemptRecord
 	for index := range r.parts {
 		each := &r.parts[index]
-		if len(each.sent) == 1 && each.answer != nil {
+		if len(each.attempts) == 1 && each.answer != nil {
 			continue
 		}
-		for _, sent := range each.sent {
+		for _, sent := range each.attempts {
 			if len(records) == maxAttemptRecords {
 				return records
 			}
-			records = append(records, r.recordOf(each, sent, now))
+			records = append(records, r.attemptRecord(each, sent, now))
 		}
 	}
 	return records
 }
 
-// recordOf is the story of one attempt, as far as it has come.
-func (r *run) recordOf(part *part, sent *attempt, now time.Time) AttemptRecord {
+// attemptRecord is the story of one attempt, as far as it has come.
+func (r *run) attemptRecord(part *part, sent *attempt, now time.Time) AttemptRecord {
 	ended, result := sent.endedAt, sent.result
 	if ended.IsZero() {
 		ended, result = now, "pending"
@@ -105,9 +105,9 @@
 	result := Result{
 		Parts: make([]*exchange.Response, len(r.parts)), Failures: make([]error, len(r.parts)),
 		Refusals:      make([]*exchange.Response, len(r.parts)),
-		AnsweredCount: r.got, Reason: reason, Hedges: r.hedges, Retries: r.retries, Sent: r.sent, Denied: r.denied, BrokenConnections: r.broken,
-		Attempts: r.records(time.Now()), OwnersAsked: len(r.questions), OwnerRecords: r.ownerRecords(),
-		CrashedServers: r.endedServers(), Admission: r.admission,
+		AnsweredCount: r.answered, Reason: reason, Hedges: r.hedges, Retries: r.retries, Sent: r.sent, Denied: r.denied, BrokenConnections: r.brokenConnections,
+		Attempts: r.attemptRecords(time.Now()), OwnersAsked: len(r.questions), OwnerRecords: r.ownerRecords(),
+		CrashedServers: r.crashedServers(), Admission: r.admission,
 		MayRun: make([]bool, len(r.parts)), ShedParts: make([]bool, len(r.parts)),
 	}
 	ran, mayRun := false, false
@@ -118,7 +118,7 @@
 			result.Shed++
 		}
 		result.MayRun[index], result.ShedParts[index] = each.mayHaveRun(), each.shed
-		ran = ran || each.ran
+		ran = ran || each.hasRun
 		mayRun = mayRun || each.executions > 0
 	}
 	switch {
@@ -130,20 +130,20 @@
 	return result
 }
 
-// refusedBecause returns why a request is not begun at all; empty if it is. A question of
+// refusalReason returns why a request is not begun at all; empty if it is. A question of
 // another node was let in there, which also makes the trials of a suspect request.
-func (r *run) refusedBecause() StopReason {
-	standing, isForOther := r.standing(), r.plan.Collect != nil
+func (r *run) refusalReason() StopReason {
+	state, isForOther := r.state(), r.plan.Collect != nil
 	switch {
-	case standing == quarantine.Quarantined || isForOther && standing == quarantine.Suspect:
+	case state == quarantine.Quarantined || isForOther && state == quarantine.Suspect:
 		return StopQuarantined
 	case isForOther:
 		return ""
-	case r.lacksShutShards():
+	case r.needsBarredShards():
 		return StopQuarantined
 	case !r.isServable():
 		return StopUnservable
-	case !r.isLetIn():
+	case !r.isAdmitted():
 		return StopOverloaded
 	}
 	return ""
@@ -156,7 +156,7 @@
 
 // refusal is the result of a request that is not begun: its services have more to do than
 // they can, or no server that may be asked.
-func (r *run) refusal(reason StopReason) Result {
+func (r *run) refusedResult(reason StopReason) Result {
 	cause := outcome.ReasonOverloaded
 	switch reason {
 	case StopUnservable:
--- a/pkg/fanout/run.go
+++ b/pkg/fanout/run.go
@@ -19,17 +19,17 @@
 	// recheck is after which time a part for which no server could be asked is tried again: a
 	// tenth of the shortest target that is set for gathered requests (120 ms), so that a part
 	// whose rank has changed meanwhile loses little. Waiters are woken without it.
-	recheck = 12 * time.Millisecond
-	// deniedRecheck is after which time a hedge or a retry that the budget denied is tried
+	recheckInterval = 12 * time.Millisecond
+	// deniedRecheckInterval is after which time a hedge or a retry that the budget denied is tried
 	// again: a third of that target. At 3 requests a second and node the budget of a service
 	// changes less often than that.
-	deniedRecheck = 40 * time.Millisecond
-	// freeRefusals is how many refusals of servers a part may meet at once: with
+	deniedRecheckInterval = 40 * time.Millisecond
+	// immediateRefusals is how many refusals of servers a part may meet at once: with
 	// three servers a shard, each of them is then asked once.
-	freeRefusals = 2
-	// refusedRecheck is after which time it is tried again after that: about what a full
+	immediateRefusals = 2
+	// refusedRecheckInterval is after which time it is tried again after that: about what a full
 	// server (3 to 5 slots, 20 to 28 ms a request) needs to empty its slots twice.
-	refusedRecheck = 60 * time.Millisecond
+	refusedRecheckInterval = 60 * time.Millisecond
 )
 
 // attempt is one sub-request under way.
@@ -69,14 +69,14 @@
 	// the rule is to be asked again; zero for never.
 	coveredAt time.Time
 	recheckAt time.Time
-	// groups are the services with an owner. isKeptFromOwners says that no owner was looked for,
+	// groups are the services with an owner. isWithheldFromOwners says that no owner was looked for,
 	// since the request is kept back.
-	groups           []Group
-	isKeptFromOwners bool
+	groups               []Group
+	isWithheldFromOwners bool
 	// admission is the decision by which the request was let in or not.
 	admission loadshed.Decision
 	// spared counts the parts that are spared; see part.spared.
-	spared int
+	skipped int
 	// work is the typical time that a server needs for a part; zero until it is asked for.
 	work time.Duration
 	// questions are those to owners, and inbox what they have reported.
@@ -85,39 +85,39 @@
 	// fresh are the answers that the other node of Plan.Collect has not been told, and wants the
 	// parts that need a further server; reportAt is when it is told next, and told says that
 	// it was once.
-	fresh    map[int]*exchange.Response
-	wants    []int
-	reportAt time.Time
-	told     bool
+	unreported  map[int]*exchange.Response
+	wantedParts []int
+	reportAt    time.Time
+	hasReported bool
 	// served says that a server has answered the request; attempts read it too.
 	served atomic.Bool
 	// trial is leave to send the request to one server although it is suspect; nil for none.
-	// claims brings it, isClaiming says that it was asked for, and isRefusedTrial that there
+	// claims brings it, isClaiming says that it was asked for, and isTrialRefused that there
 	// was none.
 	trial          *quarantine.Trial
 	claims         chan *quarantine.Trial
 	isClaiming     bool
-	isRefusedTrial bool
-	// shardClaims brings leave for one part, and hasKept says that parts are kept back.
+	isTrialRefused bool
+	// shardClaims brings leave for one part, and hasWithheld says that parts are kept back.
 	shardClaims chan shardTrial
-	hasKept     bool
+	hasWithheld bool
 	// fingerprinted is the request's fingerprint once it was made.
-	fingerprinted *exchange.Fingerprint
+	cachedFingerprint *exchange.Fingerprint
 	// lot orders the request among others, alike on all nodes.
-	lot     uint64
-	got     int
-	open    int
-	hedges  int
-	retries int
-	sent    int
-	denied  int
-	// broken counts the connections that broke, and brokenAt is when the first one did.
-	broken   int
-	brokenAt time.Time
+	samplingValue uint64
+	answered      int
+	open          int
+	hedges        int
+	retries       int
+	sent          int
+	denied        int
+	// broken counts the connections that broke, and firstBrokenAt is when the first one did.
+	brokenConnections int
+	firstBrokenAt     time.Time
 }
 
 // newRun returns the state of a run of which nothing was asked yet. The request's lot is that of its id
-// until isLetIn or a question sets another one.
+// until isAdmitted or a question sets another one.
 func newRun(runner *Runner, plan Plan, request *exchange.Request) *run {
 	parts := make([]part, len(plan.Services))
 	for index, service := range plan.Services {
@@ -125,7 +125,7 @@
 	}
 	return &run{
 		runner: runner, plan: plan, request: request, parts: parts, open: len(parts), began: time.Now(),
-		lot: xxhash.Sum64String(request.ID), admission: loadshed.Decision{IsAdmitted: true, Share: 1},
+		samplingValue: xxhash.Sum64String(request.ID), admission: loadshed.Decision{IsAdmitted: true, Share: 1},
 		results: make(chan finished, len(parts)), wakes: make(chan int, len(parts)), ended: make(chan struct{}),
 		inbox: newInbox(), claims: make(chan *quarantine.Trial), shardClaims: make(chan shardTrial),
 	}
@@ -140,7 +140,7 @@
 }
 
 // load names the load on a service that the request is counted in.
-func (r *run) load(service string) loadshed.Key {
+func (r *run) loadKey(service string) loadshed.Key {
 	return loadshed.Key{Service: service, Regions: r.regions().Key()}
 }
 
@@ -150,12 +150,12 @@
 	defer timer.Stop()
 	for {
 		now := time.Now()
-		r.settleKept(now)
+		r.settleWithheld(now)
 		if reason, done := r.decide(now); done {
 			return reason
 		}
 		r.claimTrial()
-		if err := r.tell(now); err != nil {
+		if err := r.sendReport(now); err != nil {
 			return StopCancelled
 		}
 		wait := r.nextEvent(now).Sub(now)
@@ -168,19 +168,19 @@
 		case <-ctx.Done():
 			return StopCancelled
 		case result := <-r.results:
-			r.take(result, time.Now())
+			r.handleResult(result, time.Now())
 		case <-r.inbox.arrived:
-			r.takeReports(time.Now())
+			r.handleReports(time.Now())
 		case claimed := <-r.claims:
-			r.takeTrial(claimed)
+			r.handleTrial(claimed)
 		case claimed := <-r.shardClaims:
-			r.takeShardTrial(claimed)
-		case granted := <-r.granted():
-			r.takeGrant(granted, time.Now())
+			r.handleShardTrial(claimed)
+		case granted := <-r.grants():
+			r.handleGrant(granted, time.Now())
 		case index := <-r.wakes:
 			r.handleWake(index, time.Now())
 		case <-timer.C:
-			r.handleTime(time.Now())
+			r.handleTimer(time.Now())
 		}
 	}
 }
@@ -191,16 +191,16 @@
 func (r *run) handleDue(now time.Time) {
 	select {
 	case result := <-r.results:
-		r.take(result, now)
+		r.handleResult(result, now)
 	case <-r.inbox.arrived:
-		r.takeReports(now)
+		r.handleReports(now)
 	default:
-		r.handleTime(now)
+		r.handleTimer(now)
 	}
 }
 
-// handleTime asks further servers for the parts that are due.
-func (r *run) handleTime(now time.Time) {
+// handleTimer asks further servers for the parts that are due.
+func (r *run) handleTimer(now time.Time) {
 	r.handleSilence(now)
 	for index := range r.parts {
 		due := &r.parts[index]
@@ -210,8 +210,8 @@
 		due.hedgeAt = time.Time{}
 		switch {
 		case due.question != nil:
-			r.askBeside(index, now)
-		case due.unpaid:
+			r.askDirectly(index, now)
+		case due.needsRetry:
 			r.retry(index, now)
 		case !due.idleSince.IsZero():
 			r.launchNext(index, now)
@@ -222,19 +222,19 @@
 }
 
 // take handles the end of an attempt.
-func (r *run) take(result finished, now time.Time) {
+func (r *run) handleResult(result finished, now time.Time) {
 	index := result.attempt.part
 	part := &r.parts[index]
-	part.live = without(part.live, result.attempt)
+	part.inFlight = without(part.inFlight, result.attempt)
 	result.attempt.endedAt, result.attempt.result = now, result.describe()
 	if result.attempt.Broken {
-		r.noteBrokenConnection(now)
-		r.noteBrokenPart(part, result.attempt, now)
+		r.countBrokenConnection(now)
+		r.recordBrokenOfPart(part, result.attempt, now)
 	}
 	if result.err == nil && result.answer.Evidence != "" {
 		// Also a failure that a server has made shows that it lives.
-		r.noteServedAt(part, now)
-		r.noteServed()
+		r.recordAnswerAt(part, now)
+		r.recordAnswer()
 	}
 	if part.answer != nil {
 		return
@@ -244,7 +244,7 @@
 		return
 	}
 	r.noteFailure(part, result)
-	if len(part.live) == 0 {
+	if len(part.inFlight) == 0 {
 		r.retry(index, now)
 	}
 }
@@ -252,23 +252,23 @@
 // accept takes the answer of a part.
 func (r *run) accept(index int, answer *exchange.Response, now time.Time) {
 	part := &r.parts[index]
-	r.noteServedAt(part, now)
-	r.noteServed()
+	r.recordAnswerAt(part, now)
+	r.recordAnswer()
 	r.withdraw(part)
 	part.answer = answer
-	part.ran = true
+	part.hasRun = true
 	part.hedgeAt = time.Time{}
-	r.noteServedPart(part)
-	r.got++
-	r.noteWhole(now)
+	r.recordServedLoad(part)
+	r.answered++
+	r.recordCompleteAnswer(now)
 	if !part.closed {
 		r.open--
 	}
-	for _, other := range part.live {
+	for _, other := range part.inFlight {
 		other.Expire(now.Add(r.runner.Linger))
 	}
 	if r.plan.Collect != nil {
-		r.fresh[index] = answer
+		r.unreported[index] = answer
 	}
 }
 
@@ -284,22 +284,22 @@
 		r.closePart(part)
 		return
 	}
-	if r.mustAsk(index) {
+	if r.needsGrant(index) {
 		return
 	}
-	if r.keepBack(part, now) {
-		part.unpaid = true
+	if r.withhold(part, now) {
+		part.needsRetry = true
 		return
 	}
-	if part.refusals > freeRefusals {
-		r.awaitRoom(part, now)
+	if part.refusals > immediateRefusals {
+		r.awaitCapacity(part, now)
 		return
 	}
 	if part.arrivals > 0 && !r.spend(part, now) {
 		r.awaitBudget(part, now)
 		return
 	}
-	part.unpaid = false
+	part.needsRetry = false
 	r.retries++
 	r.launchNext(index, now)
 }
@@ -307,28 +307,28 @@
 // awaitBudget keeps a part open for a while when the budget does not pay for a
 // further server: it pays again as soon as the service is asked for others.
 func (r *run) awaitBudget(part *part, now time.Time) {
-	if !r.staysOpen(part, now) {
+	if !r.keepOpen(part, now) {
 		return
 	}
-	part.unpaid = true
-	part.hedgeAt = now.Add(deniedRecheck)
+	part.needsRetry = true
+	part.hedgeAt = now.Add(deniedRecheckInterval)
 }
 
-// awaitRoom keeps a part open for a while when servers have turned it away again
+// awaitCapacity keeps a part open for a while when servers have turned it away again
 // and again: they have room later. Those that did not run it may be asked anew.
-func (r *run) awaitRoom(part *part, now time.Time) {
-	if !r.staysOpen(part, now) {
+func (r *run) awaitCapacity(part *part, now time.Time) {
+	if !r.keepOpen(part, now) {
 		return
 	}
 	part.refusals = 0
 	part.forgetNotRun()
-	part.unpaid = true
-	part.hedgeAt = now.Add(refusedRecheck)
+	part.needsRetry = true
+	part.hedgeAt = now.Add(refusedRecheckInterval)
 }
 
-// staysOpen reports whether a part that is being asked nowhere may still wait,
+// keepOpen reports whether a part that is being asked nowhere may still wait,
 // and closes it if not.
-func (r *run) staysOpen(part *part, now time.Time) bool {
+func (r *run) keepOpen(part *part, now time.Time) bool {
 	if part.idleSince.IsZero() {
 		part.idleSince = now
 	}
@@ -343,7 +343,7 @@
 // expected before it ends: an outage lasts about as long again as it has. A gathered
 // request keeps what it has got.
 func (r *run) isHopeless(part *part, now time.Time) bool {
-	return len(r.parts) == 1 && part.absent && r.runner.Fleet.NoServerDuration(r.load(part.service), now) >= r.plan.Deadline.Sub(now)
+	return len(r.parts) == 1 && part.absent && r.runner.Fleet.NoServerDuration(r.loadKey(part.service), now) >= r.plan.Deadline.Sub(now)
 }
 
 // closePart ends the search for a server of a part.
@@ -351,7 +351,7 @@
 	part.closed = true
 	part.hedgeAt = time.Time{}
 	r.open--
-	r.takeBackSpared()
+	r.restoreSkipped()
 }
 
 // without returns a list of attempts without one of them. It reuses the list.
--- a/pkg/fanout/spared_test.go
+++ b/pkg/fanout/skipped_test.go
@@ -14,14 +14,14 @@
 )
 
 // told is what an owner reports, and when.
-type told struct {
+type scriptedReport struct {
 	after  time.Duration
 	report fanout.Report
 }
 
 // scriptedOwners give each service an owner of its own, which is named like it and reports what
 // the test says.
-type scriptedOwners map[string][]told
+type scriptedOwners map[string][]scriptedReport
 
 func (s scriptedOwners) Divide(services []string, _ route.Regions) []fanout.Group {
 	var groups []fanout.Group
@@ -35,43 +35,43 @@
 	for _, each := range s[question.Owner] {
 		time.AfterFunc(each.after, func() { report(each.report) })
 	}
-	return ignored{}
+	return ignoredQuestion{}
 }
 
 // ignored is a question whose owner does what it does.
-type ignored struct{}
+type ignoredQuestion struct{}
 
-func (ignored) Cancel()     {}
-func (ignored) MarkSilent() {}
-func (ignored) Grant([]int) {}
+func (ignoredQuestion) Cancel()     {}
+func (ignoredQuestion) MarkSilent() {}
+func (ignoredQuestion) Grant([]int) {}
 
-func answeredBy(owner string) fanout.Report {
+func answerReport(owner string) fanout.Report {
 	answer := &exchange.Response{Status: 200, Evidence: owner, Body: []byte("x")}
 	return fanout.Report{Ended: true, Answers: map[int]*exchange.Response{0: answer}}
 }
 
-func failed(isNotRun bool) fanout.Report {
+func failureReport(isNotRun bool) fanout.Report {
 	return fanout.Report{Ended: true, Failures: map[int]fanout.OwnerFailure{0: {Cause: errors.New("failed"), NotRun: isNotRun}}}
 }
 
-// leaveToOthers makes a service short of room, so that requests that have enough without it leave
+// limitService makes a service short of room, so that requests that have enough without it leave
 // it to others.
-func (w *world) leaveToOthers(service string) {
+func (w *world) limitService(service string) {
 	w.runner.Admission = fanout.NewAdmissionControl(w.fleet)
-	w.runner.Admission.Admitter.Update(loadshed.Key{Service: service}, share(0), time.Now())
+	w.runner.Admission.Admitter.Update(loadshed.Key{Service: service}, sharesOf(0), time.Now())
 }
 
 // TestASparedPartStaysWithItsOwner once another part has failed: the one server that may run the
 // request is at work for the owner.
 func TestASparedPartStaysWithItsOwner(t *testing.T) {
-	in(t, func(g *WithT, w *world) {
+	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
 		w.runner.Owners = scriptedOwners{
-			"a": {{20 * time.Millisecond, answeredBy("a")}},
-			"b": {{5 * time.Millisecond, failed(false)}},
-			"c": {{2 * time.Millisecond, answeredBy("c")}},
+			"a": {{20 * time.Millisecond, answerReport("a")}},
+			"b": {{5 * time.Millisecond, failureReport(false)}},
+			"c": {{2 * time.Millisecond, answerReport("c")}},
 		}
-		w.leaveToOthers("a")
+		w.limitService("a")
 		asked := plan("a", "b", "c")
 		asked.MaxAttempts = 1
 		result, took := w.run(asked)
@@ -85,21 +85,21 @@
 // get it then is helped.
 func TestAnOwnerHasTimeForASparedPart(t *testing.T) {
 	for name, expected := range map[string]struct {
-		answer       []told
+		answer       []scriptedReport
 		spent, asked int
 	}{
-		"in time": {[]told{{120 * time.Millisecond, answeredBy("a")}}, 0, 0},
-		"never":   {[]told{{120 * time.Millisecond, fanout.Report{}}}, 1, 1},
+		"in time": {[]scriptedReport{{120 * time.Millisecond, answerReport("a")}}, 0, 0},
+		"never":   {[]scriptedReport{{120 * time.Millisecond, fanout.Report{}}}, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			in(t, func(g *WithT, w *world) {
+			inBubble(t, func(g *WithT, w *world) {
 				w.add("a", "a1", quick("a"))
 				w.runner.Owners = scriptedOwners{
-					"a": append([]told{{60 * time.Millisecond, fanout.Report{}}}, expected.answer...),
-					"b": {{5 * time.Millisecond, failed(true)}},
-					"c": {{2 * time.Millisecond, answeredBy("c")}},
+					"a": append([]scriptedReport{{60 * time.Millisecond, fanout.Report{}}}, expected.answer...),
+					"b": {{5 * time.Millisecond, failureReport(true)}},
+					"c": {{2 * time.Millisecond, answerReport("c")}},
 				}
-				w.leaveToOthers("a")
+				w.limitService("a")
 				result, took := w.run(plan("a", "b", "c"))
 				g.Expect(result.AnsweredCount).To(Equal(2))
 				g.Expect(took).To(BeNumerically("<", 150*time.Millisecond))
--- a/pkg/fanout/due_test.go
+++ b/pkg/fanout/stall_test.go
@@ -22,7 +22,7 @@
 		plan := Plan{Services: []string{"a"}, Required: 1, Repeatable: true, MaxAttempts: 2, Deadline: now.Add(time.Second)}
 		stalled := newRun(runner, plan, &exchange.Request{})
 		answered := &attempt{Attempt: &exchange.Attempt{}, part: 0}
-		stalled.parts[0].live = []*attempt{answered}
+		stalled.parts[0].inFlight = []*attempt{answered}
 		stalled.parts[0].hedgeAt = now.Add(-time.Millisecond)
 		stalled.results <- finished{attempt: answered, answer: &exchange.Response{Status: 200}}
 
