--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -18,8 +18,8 @@
 	"github.com/bramblemast/bramblemast/pkg/template"
 )
 
-// Entry is the decoded state of one key. At most one of the pointers is set; those below Note are not
-// set for a deleted key, nor for one that has no meaning to a node.
+// Entry is the decoded state of one key. At most one of the pointers is set; those below Note are
+// not set for a deleted key, nor for one that has no meaning to a node.
 type Entry struct {
 	Key string
 	// Era and Revision are the position at which the store wrote the state; see Position.
