--- a/pkg/fleet/absence.go
+++ b/pkg/fleet/absence.go
@@ -7,26 +7,26 @@
 	"github.com/bramblemast/bramblemast/pkg/loadshed"
 )
 
-// absenceQuiet is the time without a request that found no server after which nothing is
+// absenceExpiry is the time without a request that found no server after which nothing is
 // known of it any more.
-const absenceQuiet = time.Second
+const absenceExpiry = time.Second
 
 // absence is since when requests of a load have found no server, and when one did last. The
 // mutex of the Fleet guards it.
-type absence struct{ since, at time.Time }
+type absence struct{ since, lastAt time.Time }
 
 // load names the load that a choice is counted in.
-func (c Choice) load() loadshed.Key {
+func (c Choice) loadKey() loadshed.Key {
 	return loadshed.Key{Service: c.Service, Regions: c.Regions.Key()}
 }
 
-// noteAbsent notes that a request has found no server. The mutex is held.
-func (f *Fleet) noteAbsent(key loadshed.Key, now time.Time) {
+// recordAbsence notes that a request has found no server. The mutex is held.
+func (f *Fleet) recordAbsence(key loadshed.Key, now time.Time) {
 	known := f.absences[key]
-	if now.Sub(known.at) > absenceQuiet {
+	if now.Sub(known.lastAt) > absenceExpiry {
 		known.since = now
 	}
-	known.at = now
+	known.lastAt = now
 	f.absences[key] = known
 }
 
@@ -41,7 +41,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	known, isKnown := f.absences[key]
-	if !isKnown || now.Sub(known.at) > absenceQuiet {
+	if !isKnown || now.Sub(known.lastAt) > absenceExpiry {
 		return 0
 	}
 	return now.Sub(known.since)
--- a/pkg/fleet/choose.go
+++ b/pkg/fleet/choose.go
@@ -9,22 +9,22 @@
 
 // Constants of the choice of a server.
 const (
-	// failedCost is added for a server that failed a short while ago.
-	failedCost = 2 * time.Second
-	// nearShare and farShare are the parts of a server's connections that the
+	// avoidedServerCost is added for a server that failed a short while ago.
+	avoidedServerCost = 2 * time.Second
+	// sameZoneShare and otherZoneShare are the parts of a server's connections that the
 	// nodes of its zone and all other nodes use.
-	nearShare = 0.3
-	farShare  = 0.5
-	// leastLimit is the least number of requests that a node may have at one
+	sameZoneShare  = 0.3
+	otherZoneShare = 0.5
+	// minLimit is the least number of requests that a node may have at one
 	// server.
-	leastLimit = 1
+	minLimit = 1
 	// jitterShare spreads requests over servers that are about alike.
 	jitterShare = 0.1
 	// stallFactor times the expected time is when a silent server is taken for
 	// stalled.
 	stallFactor = 2
-	// stallFloor is the least time after which a server is taken for stalled.
-	stallFloor = 12 * time.Millisecond
+	// minStall is the least time after which a server is taken for stalled.
+	minStall = 12 * time.Millisecond
 )
 
 // Choice is a request for a server.
@@ -77,20 +77,20 @@
 	best, _, availability := f.cheapest(choice, profile, now)
 	if best == nil {
 		if availability == Absent {
-			f.noteAbsent(choice.load(), now)
+			f.recordAbsence(choice.loadKey(), now)
 		}
 		return nil, availability
 	}
-	if f.isAwaited(best, choice.Rank, now) {
+	if f.hasPrecedingWaiter(best, choice.Rank, now) {
 		return nil, Busy
 	}
 	lease := &Lease{
-		Server: best.Server, Pool: best.pool, member: best, profile: profile, load: choice.load(), began: now,
+		Server: best.Server, Pool: best.pool, member: best, profile: profile, loadKey: choice.loadKey(), acquiredAt: now,
 		Network: best.zone.roundTrip, Expected: best.zone.roundTrip + profile.typical() + 2*profile.deviation,
 	}
 	best.active = append(best.active, lease)
-	best.rhythm.RecordSent(now, &f.periods)
-	f.noteColdSend(best, now)
+	best.rhythm.RecordSent(now, &f.sharedPeriod)
+	f.recordColdSend(best, now)
 	lease.target = choice.Target
 	if len(best.active) >= f.limit(best, now) {
 		best.filledAt = now
@@ -128,30 +128,30 @@
 // cheapest returns the member with the least cost. One that leaves is the last choice, and
 // one whose zone is being evacuated where the others have no room. The mutex is held.
 func (f *Fleet) cheapest(choice Choice, profile *Profile, now time.Time) (*member, time.Duration, Availability) {
-	var best, leaving *member
-	var bestCost, leavingCost time.Duration
+	var best, lastResort *member
+	var bestCost, lastResortCost time.Duration
 	availability := Absent
 	for _, each := range f.services[choice.Service] {
 		if choice.AsOwner {
-			each.ownedAt = now
+			each.askedAsOwnerAt = now
 		}
-		if !f.mayAsk(choice, each) || f.isOut(each, now) {
+		if !f.isEligible(choice, each) || f.isWithdrawn(each, now) {
 			continue
 		}
-		if now.Before(each.retryAt) && !each.refusesInPart(now) || len(each.active) >= f.limit(each, now) {
+		if now.Before(each.retryAt) && !each.refusesPartially(now) || len(each.active) >= f.limit(each, now) {
 			if !each.unreachable {
 				availability = Busy
 			}
 			continue
 		}
-		if each.isCold(now) && !f.mayAskCold(each, now) {
+		if each.isCold(now) && !f.isWithinColdQuota(each, now) {
 			availability = Busy
 			continue
 		}
 		cost := f.cost(each, profile, now)
-		if f.isLastChoice(each, now) {
-			if leaving == nil || cost < leavingCost {
-				leaving, leavingCost = each, cost
+		if f.isLastResort(each, now) {
+			if lastResort == nil || cost < lastResortCost {
+				lastResort, lastResortCost = each, cost
 			}
 			continue
 		}
@@ -162,8 +162,8 @@
 	if best != nil {
 		return best, bestCost, Available
 	}
-	if leaving != nil && (availability == Absent || !leaving.isLeaving(now)) {
-		return leaving, leavingCost, Available
+	if lastResort != nil && (availability == Absent || !lastResort.isLeaving(now)) {
+		return lastResort, lastResortCost, Available
 	}
 	return nil, 0, availability
 }
@@ -172,97 +172,97 @@
 // nodes together stay within the server's connections. Nodes of the server's
 // own zone have more of them, since servers nearby are asked first. The mutex
 // is held.
-func (f *Fleet) limit(each *member, now time.Time) int {
-	shared := min(f.sharedLimit(each, now), max(leastLimit, int(each.room)))
-	if now.Before(each.narrowUntil) {
-		return min(shared, each.narrowLimit)
+func (f *Fleet) limit(server *member, now time.Time) int {
+	shared := min(f.sharedLimit(server, now), max(minLimit, int(server.adaptiveLimit)))
+	if now.Before(server.reducedUntil) {
+		return min(shared, server.reducedLimit)
 	}
 	return shared
 }
 
 // sharedLimit is the limit by the connections of the server alone. The mutex is
 // held.
-func (f *Fleet) sharedLimit(each *member, now time.Time) int {
-	connections := f.connections[each.Service]
+func (f *Fleet) sharedLimit(server *member, now time.Time) int {
+	connections := f.connections[server.Service]
 	if connections <= 0 {
 		return math.MaxInt
 	}
-	share := farShare
-	if each.Zone == f.settings.Local.Zone {
-		share = nearShare
+	share := otherZoneShare
+	if server.Zone == f.settings.Local.Zone {
+		share = sameZoneShare
 	}
-	return max(leastLimit, int(share*float64(connections)/float64(max(1, f.sharers(each, now)))))
+	return max(minLimit, int(share*float64(connections)/float64(max(1, f.sharers(server, now)))))
 }
 
 // sharers counts the nodes that divide a part of a server's connections among
 // them: for a server nearby those of its zone, for another one all others. Where
 // owners ask on behalf of the nodes around them, there is about one in each zone.
 // The mutex is held.
-func (f *Fleet) sharers(each *member, now time.Time) int {
-	near, isOwned := each.Zone == f.settings.Local.Zone, f.isOwned(each, now)
+func (f *Fleet) sharers(server *member, now time.Time) int {
+	isSameZone, asOwner := server.Zone == f.settings.Local.Zone, f.asOwner(server, now)
 	switch {
-	case near && isOwned:
+	case isSameZone && asOwner:
 		return 1
-	case near:
-		return f.callers.ByZone[each.Zone]
-	case isOwned:
+	case isSameZone:
+		return f.callers.ByZone[server.Zone]
+	case asOwner:
 		return len(f.callers.ByZone)
 	}
-	return f.callers.Total - f.callers.ByZone[each.Zone]
+	return f.callers.Total - f.callers.ByZone[server.Zone]
 }
 
-// ownedSpan is for how long a node counts as the owner of a service after it was
+// ownerSpan is for how long a node counts as the owner of a service after it was
 // last asked as such: longer than the pauses between requests at a low rate.
-const ownedSpan = 5 * time.Second
+const ownerSpan = 5 * time.Second
 
-// isOwned reports whether this node asks a server's service on behalf of others.
+// asOwner reports whether this node asks a server's service on behalf of others.
 // The mutex is held.
-func (f *Fleet) isOwned(each *member, now time.Time) bool {
-	return !each.ownedAt.IsZero() && now.Sub(each.ownedAt) < ownedSpan
+func (f *Fleet) asOwner(server *member, now time.Time) bool {
+	return !server.askedAsOwnerAt.IsZero() && now.Sub(server.askedAsOwnerAt) < ownerSpan
 }
 
 // cost estimates when a server would answer. The mutex is held.
-func (f *Fleet) cost(each *member, profile *Profile, now time.Time) time.Duration {
+func (f *Fleet) cost(server *member, profile *Profile, now time.Time) time.Duration {
 	typical := profile.typical()
-	slots := each.Slots
+	slots := server.Slots
 	if slots <= 0 {
 		slots = 1
 	}
-	load := 1 + float64(len(each.active))/float64(slots)
-	cost := each.zone.roundTrip + time.Duration(float64(typical)*each.currentRatio(now)*load)
-	if each.pool.Idle() == 0 {
-		cost += each.zone.connect
+	load := 1 + float64(len(server.active))/float64(slots)
+	cost := server.zone.roundTrip + time.Duration(float64(typical)*server.currentRatio(now)*load)
+	if server.pool.Idle() == 0 {
+		cost += server.zone.connect
 	}
-	if now.Before(each.avoidUntil) {
-		cost += failedCost
+	if now.Before(server.avoidUntil) {
+		cost += avoidedServerCost
 	}
-	if now.Before(each.retryAt) {
-		cost += failedCost
+	if now.Before(server.retryAt) {
+		cost += avoidedServerCost
 	}
-	cost += time.Duration(each.currentFailureRate(now) * float64(failureCost))
-	cost += stallCost(each, typical, now)
-	cost += each.rhythm.ExpectedWait(now, each.zone.roundTrip+typical, &f.periods)
+	cost += time.Duration(server.currentFailureRate(now) * float64(failedRequestCost))
+	cost += stallCost(server, typical, now)
+	cost += server.rhythm.ExpectedWait(now, server.zone.roundTrip+typical, &f.sharedPeriod)
 	return cost + time.Duration(jitterShare*f.settings.Random.Float64()*float64(typical))
 }
 
 // stallCost is added for a server that is silent for longer than an answer takes.
 // Since one heavy request among others does not count, a server nearby is not left for
 // one far away while it goes on answering.
-func stallCost(each *member, typical time.Duration, now time.Time) time.Duration {
-	since := each.silentSince()
+func stallCost(server *member, typical time.Duration, now time.Time) time.Duration {
+	since := server.silentSince()
 	if since.IsZero() {
 		return 0
 	}
-	overdue := now.Sub(since) - each.zone.roundTrip - max(stallFactor*each.active[0].profile.typical(), stallFloor)
+	overdue := now.Sub(since) - server.zone.roundTrip - max(stallFactor*server.active[0].profile.typical(), minStall)
 	if overdue <= 0 {
 		return 0
 	}
 	return overdue + 2*typical
 }
 
-// mayAsk reports whether a request may go to a server at all: it was not asked before and
+// isEligible reports whether a request may go to a server at all: it was not asked before and
 // stands in an allowed region. The mutex is held.
-func (f *Fleet) mayAsk(choice Choice, candidate *member) bool {
+func (f *Fleet) isEligible(choice Choice, candidate *member) bool {
 	for _, lease := range choice.Excluded {
 		if lease.member == candidate {
 			return false
--- a/pkg/fleet/cold.go
+++ b/pkg/fleet/cold.go
@@ -26,20 +26,20 @@
 
 // Constants of the requests to cold servers.
 const (
-	// coldSpan is the span over which they are counted.
-	coldSpan = time.Second
+	// coldWindow is the span over which they are counted.
+	coldWindow = time.Second
 	// coldShare of the bound is used: requests are counted when a server is chosen and
 	// leave once a connection is open, and nodes that have just started are not known to
 	// all others.
 	coldShare = 0.8
-	// ownersShare of that is for the owners of services that have owners; the rest is for
+	// ownerShare of that is for the owners of services that have owners; the rest is for
 	// all nodes, which turn to the servers themselves where an owner is silent.
-	ownersShare = 0.75
+	ownerShare = 0.75
 	// OwnersPerRegion is how many nodes of a region may take themselves for the owner of a
 	// service at the same time: as many as have a rank for it (package owner).
 	OwnersPerRegion = 3
-	// assumedCallers share the bound until the nodes are known.
-	assumedCallers = 64
+	// assumedCallerCount share the bound until the nodes are known.
+	assumedCallerCount = 64
 )
 
 // SetWarmUps takes what cold servers bear, by service; the caller does not change the map
@@ -60,7 +60,7 @@
 }
 
 // cool notes that the server is cold until a moment.
-func (m *member) cool(until time.Time) {
+func (m *member) markCold(until time.Time) {
 	if until.After(m.warmUntil) {
 		m.warmUntil = until
 	}
@@ -69,57 +69,57 @@
 // isCold reports whether the server is still warming up.
 func (m *member) isCold(now time.Time) bool { return now.Before(m.warmUntil) }
 
-// coldQuota is how many requests this node may send to a server in a coldSpan while it is
+// coldQuota is how many requests this node may send to a server in a coldWindow while it is
 // cold.
 type coldQuota struct {
 	// general is for any request, owned for those that this node asks as an owner beyond it.
-	general, owned int
+	general, owner int
 	// generation is that of the nodes for which it was computed.
 	generation uint64
 }
 
-// mayAskCold reports whether this node may send one more request to a server that is cold,
+// isWithinColdQuota reports whether this node may send one more request to a server that is cold,
 // so that all nodes together stay within what it bears. The mutex is held.
-func (f *Fleet) mayAskCold(each *member, now time.Time) bool {
-	if f.warmUps[each.Service].PerSecond <= 0 {
+func (f *Fleet) isWithinColdQuota(server *member, now time.Time) bool {
+	if f.warmUps[server.Service].PerSecond <= 0 {
 		return true
 	}
-	if each.quota.generation != f.callersGeneration || each.quota.generation == 0 {
-		each.quota = f.quotaOf(each)
+	if server.coldQuota.generation != f.callersGeneration || server.coldQuota.generation == 0 {
+		server.coldQuota = f.newColdQuota(server)
 	}
-	allowed := each.quota.general
-	if f.isOwned(each, now) {
-		allowed += each.quota.owned
+	allowed := server.coldQuota.general
+	if f.asOwner(server, now) {
+		allowed += server.coldQuota.owner
 	}
-	each.coldSends = slices.DeleteFunc(each.coldSends, func(at time.Time) bool { return now.Sub(at) >= coldSpan })
-	return len(each.coldSends) < allowed
+	server.coldSends = slices.DeleteFunc(server.coldSends, func(at time.Time) bool { return now.Sub(at) >= coldWindow })
+	return len(server.coldSends) < allowed
 }
 
-// quotaOf divides what a cold server bears among the nodes, without messages: in even
+// newColdQuota divides what a cold server bears among the nodes, without messages: in even
 // parts, and where that is less than one request for each, one for each of the first nodes
 // by rank. The mutex is held.
-func (f *Fleet) quotaOf(each *member) coldQuota {
+func (f *Fleet) newColdQuota(server *member) coldQuota {
 	bounds := f.warmUpBounds
-	bound := coldShare * (max(1, bounds.Factor)*f.warmUps[each.Service].PerSecond + bounds.Extra)
+	bound := coldShare * (max(1, bounds.Factor)*f.warmUps[server.Service].PerSecond + bounds.Extra)
 	quota := coldQuota{generation: f.callersGeneration}
-	if f.crowds(float64(f.connections[each.Service])) {
-		quota.owned = int(ownersShare * bound / float64(OwnersPerRegion*f.regionCount()))
-		bound *= 1 - ownersShare
+	if f.areConnectionsScarce(float64(f.connections[server.Service])) {
+		quota.owner = int(ownerShare * bound / float64(OwnersPerRegion*f.regionCount()))
+		bound *= 1 - ownerShare
 	}
 	callers := len(f.callers.Names)
 	if callers == 0 {
-		callers = assumedCallers
+		callers = assumedCallerCount
 	}
 	quota.general = int(bound) / callers
-	if quota.general == 0 && f.ranksAmong(each.ID, int(bound)) {
+	if quota.general == 0 && f.isAmongTop(server.ID, int(bound)) {
 		quota.general = 1
 	}
 	return quota
 }
 
-// ranksAmong reports whether this node is one of the first for a server. The mutex is held.
-func (f *Fleet) ranksAmong(server string, first int) bool {
-	return slices.Contains(rendezvous.Top(server, f.callers.Names, first), f.settings.Node)
+// isAmongTop reports whether this node is one of the first for a server. The mutex is held.
+func (f *Fleet) isAmongTop(server string, count int) bool {
+	return slices.Contains(rendezvous.Top(server, f.callers.Names, count), f.settings.Node)
 }
 
 // regionCount counts the regions of the zones that have nodes. The mutex is held.
@@ -131,9 +131,9 @@
 	return max(1, len(regions))
 }
 
-// noteColdSend counts a request to a server if it is cold. The mutex is held.
-func (f *Fleet) noteColdSend(each *member, now time.Time) {
-	if each.isCold(now) && f.warmUps[each.Service].PerSecond > 0 {
-		each.coldSends = append(each.coldSends, now)
+// recordColdSend counts a request to a server if it is cold. The mutex is held.
+func (f *Fleet) recordColdSend(server *member, now time.Time) {
+	if server.isCold(now) && f.warmUps[server.Service].PerSecond > 0 {
+		server.coldSends = append(server.coldSends, now)
 	}
 }
--- a/pkg/fleet/evacuation.go
+++ b/pkg/fleet/evacuation.go
@@ -8,9 +8,9 @@
 	from, until time.Time
 }
 
-// shareGone returns how much of the load is to have left by now, 0 to 1. It grows evenly,
+// progress returns how much of the load is to have left by now, 0 to 1. It grows evenly,
 // so that the servers elsewhere do not get all of it in one moment.
-func (e evacuation) shareGone(now time.Time) float64 {
+func (e evacuation) progress(now time.Time) float64 {
 	if !now.Before(e.until) {
 		return 1
 	}
@@ -44,36 +44,36 @@
 	f.generation++
 	for _, each := range f.members {
 		if each.Zone == zone {
-			each.cool(now.Add(f.warmUps[each.Service].Span))
+			each.markCold(now.Add(f.warmUps[each.Service].Span))
 			f.wakeWaiters(each, now)
 		}
 	}
 	return true
 }
 
-// shareEvacuated returns how much of the load of a server is to have left it, since its
+// evacuatedShare returns how much of the load of a server is to have left it, since its
 // zone is being evacuated. The mutex is held.
-func (f *Fleet) shareEvacuated(each *member, now time.Time) float64 {
-	found, known := f.evacuations[each.Zone]
+func (f *Fleet) evacuatedShare(server *member, now time.Time) float64 {
+	found, known := f.evacuations[server.Zone]
 	if !known {
 		return 0
 	}
-	return found.shareGone(now)
+	return found.progress(now)
 }
 
-// isOut reports whether a server is not asked at all: it has ended, or its zone is
+// isWithdrawn reports whether a server is not asked at all: it has ended, or its zone is
 // evacuated. The mutex is held.
-func (f *Fleet) isOut(each *member, now time.Time) bool {
-	return each.hasEnded(now) || f.shareEvacuated(each, now) >= 1
+func (f *Fleet) isWithdrawn(server *member, now time.Time) bool {
+	return server.hasEnded(now) || f.evacuatedShare(server, now) >= 1
 }
 
-// isLastChoice reports whether a server is asked only if its service has no other: it
+// isLastResort reports whether a server is asked only if its service has no other: it
 // leaves, or this request is one of those that go elsewhere while its zone is being
 // evacuated. The mutex is held.
-func (f *Fleet) isLastChoice(each *member, now time.Time) bool {
-	if each.isLeaving(now) {
+func (f *Fleet) isLastResort(server *member, now time.Time) bool {
+	if server.isLeaving(now) {
 		return true
 	}
-	share := f.shareEvacuated(each, now)
+	share := f.evacuatedShare(server, now)
 	return share > 0 && f.settings.Random.Float64() < share
 }
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -40,15 +40,15 @@
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
-	// leaveWithin and warmUpBounds are those of the settings until others are set.
-	leaveWithin  time.Duration
+	// leaveGrace and warmUpBounds are those of the settings until others are set.
+	leaveGrace   time.Duration
 	warmUpBounds WarmUpBounds
 	members      map[string]*member
 	services     map[string][]*member
 	zones        map[string]*zoneTimes
 	profiles     map[string]*Profile
 	// periods are those in which servers pause.
-	periods rhythm.SharedPeriod
+	sharedPeriod rhythm.SharedPeriod
 	// callers are the nodes that share the servers' connections.
 	callers Callers
 	// connections is the greatest number of connections of a server, by service.
@@ -57,9 +57,9 @@
 	// them and with callers.
 	warmUps           map[string]WarmUp
 	callersGeneration uint64
-	// startExpected has the ids whose server had told its start when an entry of theirs was refused:
+	// startRequired has the ids whose server had told its start when an entry of theirs was refused:
 	// an entry without a start is not taken for the server's, also once the server is forgotten.
-	startExpected map[string]bool
+	startRequired map[string]bool
 	// evacuations are the zones to whose servers nothing is to be sent.
 	evacuations map[string]evacuation
 	// waiters are the sub-requests for which no server was free, by service.
@@ -73,8 +73,8 @@
 // New returns an empty fleet.
 func New(settings Settings) *Fleet {
 	return &Fleet{
-		settings:    settings,
-		leaveWithin: settings.LeaveGrace, warmUpBounds: settings.WarmUpBounds,
+		settings:   settings,
+		leaveGrace: settings.LeaveGrace, warmUpBounds: settings.WarmUpBounds,
 		members:       make(map[string]*member),
 		services:      make(map[string][]*member),
 		zones:         make(map[string]*zoneTimes),
@@ -82,7 +82,7 @@
 		connections:   make(map[string]int),
 		waiters:       make(map[string][]*Waiter),
 		evacuations:   make(map[string]evacuation),
-		startExpected: make(map[string]bool),
+		startRequired: make(map[string]bool),
 		absences:      make(map[loadshed.Key]absence),
 	}
 }
@@ -95,13 +95,13 @@
 	defer f.mutex.Unlock()
 	known := f.members[server.ID]
 	switch {
-	case known == nil && server.Start == 0 && f.startExpected[server.ID]:
+	case known == nil && server.Start == 0 && f.startRequired[server.ID]:
 		return Change{Kind: StillInvalid}
 	case known == nil:
 		f.add(server, now)
 		return Change{Kind: Added}
 	case server.Start == 0 && known.Start != 0:
-		return f.leaveMistaken(known, now)
+		return f.unlistInvalid(known, now)
 	case known.Address != server.Address || known.Service != server.Service || known.Start != server.Start:
 		return f.replace(known, server, now)
 	}
@@ -112,13 +112,13 @@
 func (f *Fleet) add(server Server, now time.Time) {
 	added := &member{
 		Server: server, pool: exchange.NewPool(server.Address, f.settings.Dialer), ratio: 1, ratioAt: now, listed: true,
-		room: math.MaxInt32,
+		adaptiveLimit: math.MaxInt32,
 	}
 	added.pool.SetIdle(f.idleBound(added))
 	added.zone = f.zone(server.Zone)
-	added.cool(now.Add(server.WarmUp))
+	added.markCold(now.Add(server.WarmUp))
 	if server.Draining {
-		added.leave(now, now.Add(f.leaveWithin))
+		added.scheduleLeave(now, now.Add(f.leaveGrace))
 	}
 	f.generation++
 	f.members[server.ID] = added
@@ -129,44 +129,44 @@
 func (f *Fleet) update(known *member, server Server, now time.Time) ChangeKind {
 	wasListed, wasDraining := known.listed, known.Draining
 	known.Server, known.listed = server, true
-	known.cool(now.Add(server.WarmUp))
+	known.markCold(now.Add(server.WarmUp))
 	switch {
 	case server.Draining && !wasDraining:
 		f.generation++
-		known.leave(now, now.Add(f.leaveWithin))
+		known.scheduleLeave(now, now.Add(f.leaveGrace))
 		return Draining
 	case !server.Draining && (wasDraining || !wasListed):
 		f.generation++
-		known.stay()
+		known.cancelLeave()
 		return Returned
 	}
 	return Unchanged
 }
 
 // Remove takes a server that left the platform's list and reports whether it was listed. Until
-// the moment doubtedUntil the list itself is not confirmed, and the server is asked as before as
+// the moment unconfirmedUntil the list itself is not confirmed, and the server is asked as before as
 // long as it answers.
-func (f *Fleet) Remove(id string, doubtedUntil, now time.Time) bool {
+func (f *Fleet) Remove(id string, unconfirmedUntil, now time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	delete(f.startExpected, id)
+	delete(f.startRequired, id)
 	known := f.members[id]
-	return known != nil && f.unlist(known, doubtedUntil, now)
+	return known != nil && f.unlist(known, unconfirmedUntil, now)
 }
 
 // unlist notes that the platform's list names a server no longer, and reports whether it did.
 // The mutex is held.
-func (f *Fleet) unlist(known *member, doubtedUntil, now time.Time) bool {
+func (f *Fleet) unlist(known *member, unconfirmedUntil, now time.Time) bool {
 	if !known.listed {
 		return false
 	}
 	known.listed = false
 	f.generation++
-	if doubtedUntil.After(now) {
-		known.leave(doubtedUntil, doubtedUntil)
+	if unconfirmedUntil.After(now) {
+		known.scheduleLeave(unconfirmedUntil, unconfirmedUntil)
 		return true
 	}
-	known.leave(now, now.Add(f.leaveWithin))
+	known.scheduleLeave(now, now.Add(f.leaveGrace))
 	return true
 }
 
@@ -178,7 +178,7 @@
 	for name, members := range f.services {
 		kept := members[:0]
 		for _, each := range members {
-			if f.forgets(each, now) {
+			if f.forgetIfGone(each, now) {
 				closing = append(closing, each.pool)
 				continue
 			}
@@ -202,12 +202,12 @@
 }
 
 // forgets reports whether a server is gone for good. The mutex is held.
-func (f *Fleet) forgets(each *member, now time.Time) bool {
-	if each.listed || len(each.active) > 0 || !each.hasEnded(now) {
+func (f *Fleet) forgetIfGone(server *member, now time.Time) bool {
+	if server.listed || len(server.active) > 0 || !server.hasEnded(now) {
 		return false
 	}
-	if f.members[each.ID] == each {
-		delete(f.members, each.ID)
+	if f.members[server.ID] == server {
+		delete(f.members, server.ID)
 	}
 	return true
 }
@@ -217,14 +217,14 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.connections = connections
-	f.boundIdle()
+	f.updateIdleBounds()
 }
 
 // SetLeaveGrace takes for how long a leaving server may be asked if its service has no other.
 func (f *Fleet) SetLeaveGrace(span time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.leaveWithin = span
+	f.leaveGrace = span
 }
 
 // Callers counts the nodes that share the servers, this node among them.
@@ -242,7 +242,7 @@
 	defer f.mutex.Unlock()
 	f.callers = callers
 	f.callersGeneration++
-	f.boundIdle()
+	f.updateIdleBounds()
 }
 
 // Len returns the number of listed servers.
@@ -264,7 +264,7 @@
 	defer f.mutex.Unlock()
 	count := 0
 	for _, each := range f.members {
-		if each.listed && each.rhythm.PredictsPause(now, &f.periods) {
+		if each.listed && each.rhythm.PredictsPause(now, &f.sharedPeriod) {
 			count++
 		}
 	}
--- a/pkg/fleet/incarnation.go
+++ b/pkg/fleet/incarnation.go
@@ -60,7 +60,7 @@
 // answers are sound, but nothing new is sent to it. The mutex is held.
 func (f *Fleet) replace(known *member, server Server, now time.Time) Change {
 	known.listed = false
-	known.leave(now, now)
+	known.scheduleLeave(now, now)
 	known.pool.Close()
 	f.add(server, now)
 	if known.Start == server.Start {
@@ -76,13 +76,13 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	known := f.members[id]
-	return known != nil && f.leaveMistaken(known, now).Kind == Invalid
+	return known != nil && f.unlistInvalid(known, now).Kind == Invalid
 }
 
-// leaveMistaken is RejectEntry for a known server. The mutex is held.
-func (f *Fleet) leaveMistaken(known *member, now time.Time) Change {
+// unlistInvalid is RejectEntry for a known server. The mutex is held.
+func (f *Fleet) unlistInvalid(known *member, now time.Time) Change {
 	if known.Start != 0 {
-		f.startExpected[known.ID] = true
+		f.startRequired[known.ID] = true
 	}
 	if !f.unlist(known, now, now) {
 		return Change{Kind: StillInvalid}
--- a/pkg/fleet/lease.go
+++ b/pkg/fleet/lease.go
@@ -24,14 +24,14 @@
 	member  *member
 	profile *Profile
 	// load is that which the request is counted in.
-	load  loadshed.Key
-	began time.Time
+	loadKey    loadshed.Key
+	acquiredAt time.Time
 	// target is that of the Choice.
 	target time.Duration
 }
 
 // AcquiredAt returns when the lease was taken.
-func (l *Lease) AcquiredAt() time.Time { return l.began }
+func (l *Lease) AcquiredAt() time.Time { return l.acquiredAt }
 
 // Result is what a finished request showed of its server.
 type Result int
@@ -71,7 +71,7 @@
 func (f *Fleet) MaySend(lease *Lease, regions route.Regions, now time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return !f.isOut(lease.member, now) && f.isAllowed(regions, lease.member)
+	return !f.isWithdrawn(lease.member, now) && f.isAllowed(regions, lease.member)
 }
 
 // Finish ends a lease. connect is the time that a new connection took, zero if
@@ -79,58 +79,58 @@
 func (f *Fleet) Finish(lease *Lease, result Result, connect time.Duration, now time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	used := lease.member
-	used.removeLease(lease)
+	server := lease.member
+	server.removeLease(lease)
 	if connect > 0 {
-		used.zone.observeConnect(connect)
+		server.zone.observeConnect(connect)
 	}
-	elapsed := now.Sub(lease.began) - connect
-	used.unreachable = result == Unreachable || result == Abandoned && used.unreachable
+	elapsed := now.Sub(lease.acquiredAt) - connect
+	server.unreachable = result == Unreachable || result == Abandoned && server.unreachable
 	switch result {
 	case Answered:
-		used.failures, used.turnedAway = 0, 0
-		used.noteOutcome(false, now)
-		used.answeredAt = now
-		used.rhythm.RecordAnswer(lease.began.Add(connect), now, used.zone.roundTrip+lease.profile.typical(), &f.periods)
-		delete(f.absences, lease.load)
-		used.avoidUntil = time.Time{}
+		server.failures, server.turnedAway = 0, 0
+		server.recordOutcome(false, now)
+		server.answeredAt = now
+		server.rhythm.RecordAnswer(lease.acquiredAt.Add(connect), now, server.zone.roundTrip+lease.profile.typical(), &f.sharedPeriod)
+		delete(f.absences, lease.loadKey)
+		server.avoidUntil = time.Time{}
 		f.observeTime(lease, elapsed, now)
-		f.adapt(lease, elapsed, now)
+		f.adaptLimit(lease, elapsed, now)
 	case Abandoned:
 		if elapsed > lease.Expected {
 			f.observeTime(lease, elapsed, now)
-			f.adapt(lease, elapsed, now)
+			f.adaptLimit(lease, elapsed, now)
 		}
 	case Unreachable:
-		used.fail(now)
-		used.retryAt = now.Add(unreachableRetry)
+		server.recordFailure(now)
+		server.retryAt = now.Add(unreachableRetry)
 	case Failed:
-		used.noteOutcome(true, now)
-		used.fail(now)
+		server.recordOutcome(true, now)
+		server.recordFailure(now)
 	case Refused:
-		used.noteOutcome(true, now)
-		used.retryAt = now.Add(pause.Doubled(firstRefusedRetry, greatestRefusedRetry, used.failures))
-		used.fail(now)
-		f.lowerRoom(lease, now)
+		server.recordOutcome(true, now)
+		server.retryAt = now.Add(pause.Doubled(initialRefusedRetry, maxRefusedRetry, server.failures))
+		server.recordFailure(now)
+		f.lowerAdaptiveLimit(lease, now)
 	case TurnedAway:
-		used.narrow(now)
-		f.pauseTurnedAway(used, now)
+		server.reduceLimit(now)
+		f.backOffTurnedAway(server, now)
 	case WrongInstance:
-		used.leave(now, now)
+		server.scheduleLeave(now, now)
 	}
-	f.wakeWaiters(used, now)
+	f.wakeWaiters(server, now)
 }
 
-// leastServiceTime is the least time that a server is taken to need for a request: the round trip is an
+// minServiceTime is the least time that a server is taken to need for a request: the round trip is an
 // average, of which single answers take less.
-const leastServiceTime = 100 * time.Microsecond
+const minServiceTime = 100 * time.Microsecond
 
 // observeTime takes the time of one request into the profile of its kind and
 // the ratio of its server. The mutex is held.
 func (f *Fleet) observeTime(lease *Lease, elapsed time.Duration, now time.Time) {
-	service := max(elapsed-lease.member.zone.roundTrip, leastServiceTime)
+	service := max(elapsed-lease.member.zone.roundTrip, minServiceTime)
 	typical := lease.profile.typical()
-	lease.member.observe(lease.began, now, float64(service)/float64(typical))
+	lease.member.observe(lease.acquiredAt, now, float64(service)/float64(typical))
 	lease.profile.observe(service)
 }
 
@@ -146,7 +146,7 @@
 
 // leave notes that the server leaves: from one moment it is asked only if its
 // service has no other, from the second not at all. The earliest notice counts.
-func (m *member) leave(leavesAt, endsAt time.Time) {
+func (m *member) scheduleLeave(leavesAt, endsAt time.Time) {
 	if m.leavesAt.IsZero() || leavesAt.Before(m.leavesAt) {
 		m.leavesAt = leavesAt
 	}
@@ -156,7 +156,7 @@
 }
 
 // stay takes back that the server leaves.
-func (m *member) stay() { m.leavesAt, m.endsAt = time.Time{}, time.Time{} }
+func (m *member) cancelLeave() { m.leavesAt, m.endsAt = time.Time{}, time.Time{} }
 
 // isLeaving reports whether the server is asked only as the last one.
 func (m *member) isLeaving(now time.Time) bool {
@@ -167,23 +167,23 @@
 func (m *member) hasEnded(now time.Time) bool { return !m.endsAt.IsZero() && !now.Before(m.endsAt) }
 
 // narrow lowers for a while how many requests this node has at the server.
-func (m *member) narrow(now time.Time) {
-	m.narrowLimit = max(1, len(m.active)/2)
-	m.narrowUntil = now.Add(narrowSpan)
-	m.avoidUntil = now.Add(narrowPenalty)
+func (m *member) reduceLimit(now time.Time) {
+	m.reducedLimit = max(1, len(m.active)/2)
+	m.reducedUntil = now.Add(reducedSpan)
+	m.avoidUntil = now.Add(reducedPenalty)
 }
 
-// pauseTurnedAway sets from when a server that turned a connection away is tried
+// backOffTurnedAway sets from when a server that turned a connection away is tried
 // again. Connections that are turned away during a pause belong to those before
 // it. Nodes that were turned away together come back at different times. The mutex
 // is held.
-func (f *Fleet) pauseTurnedAway(used *member, now time.Time) {
-	if now.Before(used.retryAt) {
+func (f *Fleet) backOffTurnedAway(server *member, now time.Time) {
+	if now.Before(server.retryAt) {
 		return
 	}
-	mean := pause.Doubled(firstTurnedAwayRetry, greatestTurnedAwayRetry, used.turnedAway)
-	used.turnedAway++
-	used.retryAt = now.Add(mean/2 + time.Duration(f.settings.Random.Int64N(int64(mean))))
+	meanDelay := pause.Doubled(initialTurnedAwayRetry, maxTurnedAwayRetry, server.turnedAway)
+	server.turnedAway++
+	server.retryAt = now.Add(meanDelay/2 + time.Duration(f.settings.Random.Int64N(int64(meanDelay))))
 }
 
 // Cancel ends a lease whose request was not sent.
@@ -191,7 +191,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	lease.member.removeLease(lease)
-	used := lease.member
-	used.coldSends = slices.DeleteFunc(used.coldSends, func(at time.Time) bool { return at.Equal(lease.began) })
-	f.wakeWaiters(used, time.Now())
+	server := lease.member
+	server.coldSends = slices.DeleteFunc(server.coldSends, func(at time.Time) bool { return at.Equal(lease.acquiredAt) })
+	f.wakeWaiters(server, time.Now())
 }
--- a/pkg/fleet/places.go
+++ b/pkg/fleet/places.go
@@ -64,7 +64,7 @@
 		if each.hasEnded(now) {
 			continue
 		}
-		if !f.isOut(each, now) && f.isAllowed(regions, each) {
+		if !f.isWithdrawn(each, now) && f.isAllowed(regions, each) {
 			return true
 		}
 		isKnown = true
@@ -81,7 +81,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, each := range f.services[service] {
-		if each.hasEnded(now) || f.isOut(each, now) || !f.isAllowed(regions, each) {
+		if each.hasEnded(now) || f.isWithdrawn(each, now) || !f.isAllowed(regions, each) {
 			continue
 		}
 		all++
@@ -98,5 +98,5 @@
 func (f *Fleet) HasScarceConnections(service string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.crowds(float64(f.connections[service]))
+	return f.areConnectionsScarce(float64(f.connections[service]))
 }
--- a/pkg/fleet/profile.go
+++ b/pkg/fleet/profile.go
@@ -29,28 +29,28 @@
 
 // Constants of profiles.
 const (
-	// profileGain is the share of a new sample in the averages.
-	profileGain = 32
-	// earlySamples are averaged plainly.
-	earlySamples = 16
-	// greatestSample bounds a sample in relation to the mean, so that a pause
+	// profileWindow is the share of a new sample in the averages.
+	profileWindow = 32
+	// warmUpSamples are averaged plainly.
+	warmUpSamples = 16
+	// maxSampleRatio bounds a sample in relation to the mean, so that a pause
 	// does not count as typical.
-	greatestSample = 3
+	maxSampleRatio = 3
 )
 
 // newProfile begins with an assumed mean.
-func newProfile(assumed time.Duration) *Profile {
-	return &Profile{mean: max(assumed, time.Millisecond), deviation: max(assumed, time.Millisecond) / 3}
+func newProfile(assumedMean time.Duration) *Profile {
+	return &Profile{mean: max(assumedMean, time.Millisecond), deviation: max(assumedMean, time.Millisecond) / 3}
 }
 
 func (p *Profile) typical() time.Duration { return max(p.mean, 100*time.Microsecond) }
 
 func (p *Profile) observe(sample time.Duration) {
-	sample = min(sample, greatestSample*p.mean+time.Millisecond)
+	sample = min(sample, maxSampleRatio*p.mean+time.Millisecond)
 	p.samples++
-	gain := time.Duration(min(p.samples+1, profileGain))
-	if p.samples > earlySamples {
-		gain = profileGain
+	gain := time.Duration(min(p.samples+1, profileWindow))
+	if p.samples > warmUpSamples {
+		gain = profileWindow
 	}
 	difference := sample - p.mean
 	p.mean += difference / gain
--- a/pkg/fleet/server.go
+++ b/pkg/fleet/server.go
@@ -32,13 +32,13 @@
 const (
 	// slowRatio is how many times the expected time counts as slow.
 	slowRatio = 2.5
-	// greatestRatio bounds how slow a server is taken for.
-	greatestRatio = 12.0
-	// suspicionRatio is kept after one slow episode.
-	suspicionRatio = 1.4
-	// slowEpisodes in a row, with no normal answer between them, show that a
+	// maxRatio bounds how slow a server is taken for.
+	maxRatio = 12.0
+	// suspectRatio is kept after one slow episode.
+	suspectRatio = 1.4
+	// minSlowEpisodes in a row, with no normal answer between them, show that a
 	// server is slow; one alone is a pause or a heavy request.
-	slowEpisodes = 2
+	minSlowEpisodes = 2
 	// ratioHalfLife is the time in which the doubt in a slow server halves, so
 	// that it is tried again.
 	ratioHalfLife = 3 * time.Second
@@ -49,9 +49,9 @@
 	// that a server is tried again: one that fails 0.6 of its requests gets about one a
 	// second of each owner.
 	failureHalfLife = 3 * time.Second
-	// failureCost is what a request is delayed by that fails: the way to another server,
+	// failedRequestCost is what a request is delayed by that fails: the way to another server,
 	// mostly in another region, its work, and the extra load that is then missing for others.
-	failureCost = 60 * time.Millisecond
+	failedRequestCost = 60 * time.Millisecond
 	// answeringSpan is for how long after an answer a server counts as one that serves.
 	answeringSpan = time.Second
 	// partialFailureRate is the rate of failures below which a server is known to serve a
@@ -59,33 +59,33 @@
 	partialFailureRate = 0.75
 	// ratioGain is the weight of one ordinary sample.
 	ratioGain = 0.25
-	// firstPenalty and greatestPenalty bound for how long a server that failed
+	// initialPenalty and maxPenalty bound for how long a server that failed
 	// or refused a request is avoided; each one in a row doubles the time.
-	firstPenalty    = 300 * time.Millisecond
-	greatestPenalty = 3 * time.Second
+	initialPenalty = 300 * time.Millisecond
+	maxPenalty     = 3 * time.Second
 	// unreachableRetry is how often a server that could not be reached is tried
 	// again by this node: a refused connection costs little, but takes the place
 	// of another server in the choice of every request.
 	unreachableRetry = 100 * time.Millisecond
-	// firstRefusedRetry and greatestRefusedRetry bound for how long a server that
+	// initialRefusedRetry and maxRefusedRetry bound for how long a server that
 	// refused a request for want of room is not asked by this node; each refusal
 	// in a row doubles the time. Refused requests are extra load, and where nodes
 	// outnumber the places at a server, one request of each is too many.
-	firstRefusedRetry    = 50 * time.Millisecond
-	greatestRefusedRetry = 800 * time.Millisecond
-	// firstTurnedAwayRetry and greatestTurnedAwayRetry bound the mean time after
+	initialRefusedRetry = 50 * time.Millisecond
+	maxRefusedRetry     = 800 * time.Millisecond
+	// initialTurnedAwayRetry and maxTurnedAwayRetry bound the mean time after
 	// which this node opens a connection again to a server that turned one away;
 	// each one in a row doubles it. A server spends its time on connections that
 	// it turns away: where all nodes open them at once, as after a loss of power, it
 	// serves none for seconds.
-	firstTurnedAwayRetry    = 50 * time.Millisecond
-	greatestTurnedAwayRetry = 1600 * time.Millisecond
-	// narrowSpan is for how long a server that turned a connection away gets
+	initialTurnedAwayRetry = 50 * time.Millisecond
+	maxTurnedAwayRetry     = 1600 * time.Millisecond
+	// reducedSpan is for how long a server that turned a connection away gets
 	// fewer requests at a time.
-	narrowSpan = time.Second
-	// narrowPenalty is for how long it is avoided, which is less than for a failure: it still
+	reducedSpan = time.Second
+	// reducedPenalty is for how long it is avoided, which is less than for a failure: it still
 	// serves what it has.
-	narrowPenalty = firstPenalty / 3
+	reducedPenalty = initialPenalty / 3
 	// coldRatio is how much slower a server is taken for while it warms up.
 	coldRatio = 1.6
 )
@@ -106,9 +106,9 @@
 	// slowEpisodeEnd is when the last slow episode ended; requests that began
 	// before it tell nothing new.
 	slowEpisodeEnd time.Time
-	// slowRow counts slow episodes since the last normal answer.
-	slowRow  int
-	failures int
+	// slowEpisodes counts slow episodes since the last normal answer.
+	slowEpisodes int
+	failures     int
 	// failureRate is the share of the requests that failed or were refused lately, as of
 	// failureRateAt.
 	failureRate   float64
@@ -124,22 +124,22 @@
 	retryAt   time.Time
 	warmUntil time.Time
 	// quota is this node's part of what the server bears while it is cold, and coldSends are
-	// when requests went to it in the last coldSpan.
-	quota     coldQuota
+	// when requests went to it in the last coldWindow.
+	coldQuota coldQuota
 	coldSends []time.Time
-	// narrowLimit bounds the requests at the server until narrowUntil, since it
+	// reducedLimit bounds the requests at the server until reducedUntil, since it
 	// has turned connections away.
-	narrowLimit int
-	narrowUntil time.Time
+	reducedLimit int
+	reducedUntil time.Time
 	// room bounds the requests at the server by the times of its answers;
-	// crowdedAt is when it was lowered last, filledAt when a request last took all
+	// decreasedAt is when it was lowered last, filledAt when a request last took all
 	// that was left of it.
-	room      float64
-	crowdedAt time.Time
-	filledAt  time.Time
-	// ownedAt is when this node last asked for its service as the owner; zero for
+	adaptiveLimit float64
+	decreasedAt   time.Time
+	filledAt      time.Time
+	// askedAsOwnerAt is when this node last asked for its service as the owner; zero for
 	// never.
-	ownedAt time.Time
+	askedAsOwnerAt time.Time
 	// listed says that the platform lists the server.
 	listed bool
 	// leavesAt is from when it is asked only if its service has no other, and
@@ -162,24 +162,24 @@
 }
 
 // observe takes the time that the server needed for one request.
-func (m *member) observe(began, now time.Time, ratio float64) {
-	ratio = min(ratio, greatestRatio)
+func (m *member) observe(startedAt, now time.Time, ratio float64) {
+	ratio = min(ratio, maxRatio)
 	current := m.currentRatio(now)
 	if ratio < slowRatio {
-		m.slowRow = 0
+		m.slowEpisodes = 0
 		m.setRatio(current+ratioGain*(ratio-current), now)
 		return
 	}
-	if began.Before(m.slowEpisodeEnd) {
+	if startedAt.Before(m.slowEpisodeEnd) {
 		return
 	}
 	m.slowEpisodeEnd = now
-	m.slowRow++
-	if m.slowRow >= slowEpisodes {
+	m.slowEpisodes++
+	if m.slowEpisodes >= minSlowEpisodes {
 		m.setRatio(max(current, ratio), now)
 		return
 	}
-	m.setRatio(max(current, suspicionRatio), now)
+	m.setRatio(max(current, suspectRatio), now)
 }
 
 // currentFailureRate returns the rate of failures with its decay since the last outcome.
@@ -190,15 +190,15 @@
 	return m.failureRate * exp2(-float64(now.Sub(m.failureRateAt))/float64(failureHalfLife))
 }
 
-// refusesInPart reports whether a server that refused its last request serves others: it is
+// refusesPartially reports whether a server that refused its last request serves others: it is
 // not full, and asked where no better one is.
-func (m *member) refusesInPart(now time.Time) bool {
+func (m *member) refusesPartially(now time.Time) bool {
 	isAnswering := !m.answeredAt.IsZero() && now.Sub(m.answeredAt) < answeringSpan
 	return isAnswering && !m.unreachable && m.turnedAway == 0 && m.currentFailureRate(now) < partialFailureRate
 }
 
-// noteOutcome takes whether a request failed at the server or was refused by it.
-func (m *member) noteOutcome(failed bool, now time.Time) {
+// recordOutcome takes whether a request failed at the server or was refused by it.
+func (m *member) recordOutcome(failed bool, now time.Time) {
 	rate := m.currentFailureRate(now)
 	outcome := 0.0
 	if failed {
@@ -213,8 +213,8 @@
 }
 
 // fail notes a request that failed or was refused.
-func (m *member) fail(now time.Time) {
-	m.avoidUntil = now.Add(pause.Doubled(firstPenalty, greatestPenalty, m.failures))
+func (m *member) recordFailure(now time.Time) {
+	m.avoidUntil = now.Add(pause.Doubled(initialPenalty, maxPenalty, m.failures))
 	m.failures++
 }
 
@@ -225,7 +225,7 @@
 	if len(m.active) == 0 {
 		return time.Time{}
 	}
-	if oldest := m.active[0].began; oldest.After(m.answeredAt) {
+	if oldest := m.active[0].acquiredAt; oldest.After(m.answeredAt) {
 		return oldest
 	}
 	return m.answeredAt
--- a/pkg/fleet/waiting.go
+++ b/pkg/fleet/waiting.go
@@ -20,12 +20,12 @@
 	Deadline time.Time
 }
 
-// goesBefore orders by what an answer can still earn. Those without which no
+// precedes orders by what an answer can still earn. Those without which no
 // answer can be given go first; among them those that are in time, by lot, so
 // that under overload the same requests go first at every service: in the order
 // of arrival all would be late together. Late ones follow, the one that ends
 // soonest first.
-func (r Rank) goesBefore(other Rank, now time.Time) bool {
+func (r Rank) precedes(other Rank, now time.Time) bool {
 	if r.Needed != other.Needed {
 		return r.Needed
 	}
@@ -81,11 +81,11 @@
 func (f *Fleet) Backlog(key loadshed.Key, now time.Time) loadshed.Backlog {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	var targeted, others spans
+	var targeted, others spanMean
 	for _, each := range f.waiters[key.Service] {
 		choice := each.Choice
 		switch {
-		case !each.countsIn(key.Regions) || !choice.Rank.isInTime(now):
+		case !each.countsFor(key.Regions) || !choice.Rank.isInTime(now):
 		case choice.Target > 0:
 			targeted.add(choice.Target)
 		case choice.Span > 0:
@@ -100,19 +100,19 @@
 }
 
 // spans are times of which the mean is asked.
-type spans struct {
+type spanMean struct {
 	count int
 	sum   time.Duration
 }
 
-func (s *spans) add(span time.Duration) { s.count, s.sum = s.count+1, s.sum+span }
+func (s *spanMean) add(span time.Duration) { s.count, s.sum = s.count+1, s.sum+span }
 
 // mean returns zero for none.
-func (s *spans) mean() time.Duration { return s.sum / time.Duration(max(1, s.count)) }
+func (s *spanMean) mean() time.Duration { return s.sum / time.Duration(max(1, s.count)) }
 
-// countsIn reports whether a waiter counts in the load of the requests that are bound to
+// countsFor reports whether a waiter counts in the load of the requests that are bound to
 // regions with a key.
-func (w *Waiter) countsIn(regions string) bool {
+func (w *Waiter) countsFor(regions string) bool {
 	return w.Choice.Rank.Needed && w.Choice.Regions.Key() == regions
 }
 
@@ -135,11 +135,11 @@
 	}
 }
 
-// isAwaited reports whether a waiter that goes before a rank may use a server.
+// hasPrecedingWaiter reports whether a waiter that goes before a rank may use a server.
 // The mutex is held.
-func (f *Fleet) isAwaited(free *member, rank Rank, now time.Time) bool {
-	for _, each := range f.waiters[free.Service] {
-		if each.Choice.Rank.goesBefore(rank, now) && f.mayAsk(each.Choice, free) {
+func (f *Fleet) hasPrecedingWaiter(server *member, rank Rank, now time.Time) bool {
+	for _, each := range f.waiters[server.Service] {
+		if each.Choice.Rank.precedes(rank, now) && f.isEligible(each.Choice, server) {
 			return true
 		}
 	}
@@ -148,12 +148,12 @@
 
 // wakeWaiters wakes as many waiters as a server has room for, in their order.
 // The mutex is held.
-func (f *Fleet) wakeWaiters(freed *member, now time.Time) {
-	if len(f.waiters[freed.Service]) == 0 || f.isOut(freed, now) || freed.isLeaving(now) {
+func (f *Fleet) wakeWaiters(server *member, now time.Time) {
+	if len(f.waiters[server.Service]) == 0 || f.isWithdrawn(server, now) || server.isLeaving(now) {
 		return
 	}
-	for room := f.limit(freed, now) - len(freed.active); room > 0; room-- {
-		next := f.firstWaiter(freed, now)
+	for free := f.limit(server, now) - len(server.active); free > 0; free-- {
+		next := f.nextWaiter(server, now)
 		if next == nil {
 			return
 		}
@@ -162,15 +162,15 @@
 	}
 }
 
-// firstWaiter returns the waiter that goes first among those that may use a
+// nextWaiter returns the waiter that goes first among those that may use a
 // server, or nil. The mutex is held.
-func (f *Fleet) firstWaiter(freed *member, now time.Time) *Waiter {
+func (f *Fleet) nextWaiter(server *member, now time.Time) *Waiter {
 	var first *Waiter
-	for _, each := range f.waiters[freed.Service] {
-		if !f.mayAsk(each.Choice, freed) {
+	for _, each := range f.waiters[server.Service] {
+		if !f.isEligible(each.Choice, server) {
 			continue
 		}
-		if first == nil || each.Choice.Rank.goesBefore(first.Choice.Rank, now) {
+		if first == nil || each.Choice.Rank.precedes(first.Choice.Rank, now) {
 			first = each
 		}
 	}
--- a/pkg/fleet/zone.go
+++ b/pkg/fleet/zone.go
@@ -7,9 +7,9 @@
 
 // Network times that are assumed until they are measured.
 const (
-	assumedNear   = 500 * time.Microsecond
-	assumedRegion = 2 * time.Millisecond
-	assumedFar    = 25 * time.Millisecond
+	assumedSameZone    = 500 * time.Microsecond
+	assumedSameRegion  = 2 * time.Millisecond
+	assumedOtherRegion = 25 * time.Millisecond
 )
 
 // zoneTimes is what is known of the network to the servers of one zone.
@@ -37,11 +37,11 @@
 func assumedTimes(local Place, zone, region string) *zoneTimes {
 	switch {
 	case zone == local.Zone:
-		return &zoneTimes{roundTrip: assumedNear}
+		return &zoneTimes{roundTrip: assumedSameZone}
 	case region != "" && region == local.Region:
-		return &zoneTimes{roundTrip: assumedRegion}
+		return &zoneTimes{roundTrip: assumedSameRegion}
 	default:
-		return &zoneTimes{roundTrip: assumedFar}
+		return &zoneTimes{roundTrip: assumedOtherRegion}
 	}
 }
 
