--- a/pkg/fleet/cold.go
+++ b/pkg/fleet/cold.go
@@ -69,9 +69,9 @@
 // isCold reports whether the server is still warming up.
 func (m *member) isCold(now time.Time) bool { return now.Before(m.warmUntil) }
 
-// coldQuota is how many requests this node may send to a server in a coldWindow while it is
+// coldBudget is how many requests this node may send to a server in a coldWindow while it is
 // cold.
-type coldQuota struct {
+type coldBudget struct {
 	// general is for any request, owned for those that this node asks as an owner beyond it.
 	general, owner int
 	// generation is that of the nodes for which it was computed.
@@ -84,12 +84,12 @@
 	if f.warmUps[server.Service].PerSecond <= 0 {
 		return true
 	}
-	if server.coldQuota.generation != f.callersGeneration || server.coldQuota.generation == 0 {
-		server.coldQuota = f.newColdQuota(server)
+	if server.coldBudget.generation != f.callersGeneration || server.coldBudget.generation == 0 {
+		server.coldBudget = f.newColdQuota(server)
 	}
-	allowed := server.coldQuota.general
+	allowed := server.coldBudget.general
 	if f.asOwner(server, now) {
-		allowed += server.coldQuota.owner
+		allowed += server.coldBudget.owner
 	}
 	server.coldSends = slices.DeleteFunc(server.coldSends, func(at time.Time) bool { return now.Sub(at) >= coldWindow })
 	return len(server.coldSends) < allowed
@@ -98,10 +98,10 @@
 // newColdQuota divides what a cold server bears among the nodes, without messages: in even
 // parts, and where that is less than one request for each, one for each of the first nodes
 // by rank. The mutex is held.
-func (f *Fleet) newColdQuota(server *member) coldQuota {
+func (f *Fleet) newColdQuota(server *member) coldBudget {
 	bounds := f.warmUpBounds
 	bound := coldShare * (max(1, bounds.Factor)*f.warmUps[server.Service].PerSecond + bounds.Extra)
-	quota := coldQuota{generation: f.callersGeneration}
+	quota := coldBudget{generation: f.callersGeneration}
 	if f.areConnectionsScarce(float64(f.connections[server.Service])) {
 		quota.owner = int(ownerShare * bound / float64(OwnersPerRegion*f.regionCount()))
 		bound *= 1 - ownerShare
--- a/pkg/fleet/server.go
+++ b/pkg/fleet/server.go
@@ -125,8 +125,8 @@
 	warmUntil time.Time
 	// quota is this node's part of what the server bears while it is cold, and coldSends are
 	// when requests went to it in the last coldWindow.
-	coldQuota coldQuota
-	coldSends []time.Time
+	coldBudget coldBudget
+	coldSends  []time.Time
 	// reducedLimit bounds the requests at the server until reducedUntil, since it
 	// has turned connections away.
 	reducedLimit int
