--- a/pkg/fleet/adaptive_limit.go
+++ b/pkg/fleet/adaptive_limit.go
@@ -59,7 +59,7 @@
 // all of its slots. The mutex is held.
 func (f *Fleet) minAdaptiveLimit(server *member, now time.Time) float64 {
 	sharers := f.callers.Total
-	if f.asOwner(server, now) {
+	if f.isOwner(server, now) {
 		sharers = len(f.callers.ByZone)
 	}
 	return max(minLimit, minLimitPerSlot*float64(server.Slots)/float64(max(1, sharers)))
--- a/pkg/fleet/choose.go
+++ b/pkg/fleet/choose.go
@@ -199,7 +199,7 @@
 // owners ask on behalf of the nodes around them, there is about one in each zone.
 // The mutex is held.
 func (f *Fleet) sharers(server *member, now time.Time) int {
-	isSameZone, asOwner := server.Zone == f.settings.Local.Zone, f.asOwner(server, now)
+	isSameZone, asOwner := server.Zone == f.settings.Local.Zone, f.isOwner(server, now)
 	switch {
 	case isSameZone && asOwner:
 		return 1
@@ -215,9 +215,9 @@
 // last asked as such: longer than the pauses between requests at a low rate.
 const ownerSpan = 5 * time.Second
 
-// asOwner reports whether this node asks a server's service on behalf of others.
+// isOwner reports whether this node asks a server's service on behalf of others.
 // The mutex is held.
-func (f *Fleet) asOwner(server *member, now time.Time) bool {
+func (f *Fleet) isOwner(server *member, now time.Time) bool {
 	return !server.askedAsOwnerAt.IsZero() && now.Sub(server.askedAsOwnerAt) < ownerSpan
 }
 
--- a/pkg/fleet/cold.go
+++ b/pkg/fleet/cold.go
@@ -69,9 +69,9 @@
 // isCold reports whether the server is still warming up.
 func (m *member) isCold(now time.Time) bool { return now.Before(m.warmUntil) }
 
-// coldBudget is how many requests this node may send to a server in a coldWindow while it is
+// coldQuota is how many requests this node may send to a server in a coldWindow while it is
 // cold.
-type coldBudget struct {
+type coldQuota struct {
 	// general is for any request, owned for those that this node asks as an owner beyond it.
 	general, owner int
 	// generation is that of the nodes for which it was computed.
@@ -88,7 +88,7 @@
 		server.coldBudget = f.newColdQuota(server)
 	}
 	allowed := server.coldBudget.general
-	if f.asOwner(server, now) {
+	if f.isOwner(server, now) {
 		allowed += server.coldBudget.owner
 	}
 	server.coldSends = slices.DeleteFunc(server.coldSends, func(at time.Time) bool { return now.Sub(at) >= coldWindow })
@@ -98,10 +98,10 @@
 // newColdQuota divides what a cold server bears among the nodes, without messages: in even
 // parts, and where that is less than one request for each, one for each of the first nodes
 // by rank. The mutex is held.
-func (f *Fleet) newColdQuota(server *member) coldBudget {
+func (f *Fleet) newColdQuota(server *member) coldQuota {
 	bounds := f.warmUpBounds
 	bound := coldShare * (max(1, bounds.Factor)*f.warmUps[server.Service].PerSecond + bounds.Extra)
-	quota := coldBudget{generation: f.callersGeneration}
+	quota := coldQuota{generation: f.callersGeneration}
 	if f.areConnectionsScarce(float64(f.connections[server.Service])) {
 		quota.owner = int(ownerShare * bound / float64(OwnersPerRegion*f.regionCount()))
 		bound *= 1 - ownerShare
--- a/pkg/fleet/server.go
+++ b/pkg/fleet/server.go
@@ -125,7 +125,7 @@
 	warmUntil time.Time
 	// quota is this node's part of what the server bears while it is cold, and coldSends are
 	// when requests went to it in the last coldWindow.
-	coldBudget coldBudget
+	coldBudget coldQuota
 	coldSends  []time.Time
 	// reducedLimit bounds the requests at the server until reducedUntil, since it
 	// has turned connections away.
