--- a/pkg/catalog/batcher.go
+++ b/pkg/catalog/batcher.go
@@ -11,36 +11,36 @@
 
 // Defaults of BatcherOptions.
 const (
-	// DefaultBatchWindow is short against the second in which the probers of a
-	// server find a change.
+	// DefaultBatchWindow is short compared with the one second in which the probers of a server
+	// detect a change.
 	DefaultBatchWindow   = 100 * time.Millisecond
 	DefaultBatchMaxBytes = 4096
 )
 
-// BatcherOptions sets up a Batcher. Only Send is required.
+// BatcherOptions configures a Batcher. Only Send is required.
 type BatcherOptions struct {
-	// Send passes an encoded batch on to the peers. It must not block.
+	// Send broadcasts an encoded batch to the peers. It must not block.
 	Send func(encoded []byte) error
-	// Window is how long a change of versions waits for others.
+	// Window is the maximum time for which a version change is held to be batched with others.
 	Window time.Duration
-	// MaxBytes bounds an encoded batch of changes of versions.
+	// MaxBytes is the maximum size of an encoded batch of version changes.
 	MaxBytes int
-	// Logger is nil for none.
+	// Logger receives failures to send. Nil disables logging.
 	Logger hclog.Logger
 }
 
-// Batcher sends news to peers: changes of versions together with others of the
-// same short time, since a new index version makes one for each server, and all
-// other news at once. It is safe for concurrent use.
+// Batcher sends updates to peers. It batches version changes over a short window, because a new
+// index version produces one for each server, and sends all other updates immediately. It is safe
+// for concurrent use.
 type Batcher struct {
 	options BatcherOptions
 	// mutex guards waiting.
 	mutex sync.Mutex
-	// waiting are the changes to be sent, by VersionChange.Base.
+	// waiting holds the version changes to be sent, by VersionChange.Base.
 	waiting map[uint64]Update
 }
 
-// NewBatcher returns a batcher.
+// NewBatcher returns a Batcher with defaults applied to options.
 func NewBatcher(options BatcherOptions) *Batcher {
 	setDuration(&options.Window, DefaultBatchWindow)
 	if options.MaxBytes <= 0 {
@@ -52,7 +52,7 @@
 	return &Batcher{options: options, waiting: make(map[uint64]Update)}
 }
 
-// Submit sends updates, or keeps it for at most the window.
+// Submit sends an update immediately, or holds a version change for at most Window.
 func (b *Batcher) Submit(update Update) {
 	if update.Change.Base == 0 {
 		b.send([]Update{update})
@@ -68,8 +68,8 @@
 	}
 }
 
-// DropReceived drops the changes that a peer has told meanwhile: several nodes probe
-// the same server.
+// DropReceived drops the held version changes that a peer has sent in the meantime: several nodes
+// probe the same server and find the same change.
 func (b *Batcher) DropReceived(batch []Update) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -81,7 +81,7 @@
 	}
 }
 
-// flush sends all changes that wait.
+// flush sends all held version changes.
 func (b *Batcher) flush() {
 	b.mutex.Lock()
 	batch := make([]Update, 0, len(b.waiting))
@@ -102,7 +102,7 @@
 	b.send(batch)
 }
 
-// send passes a batch on, in parts if it is too large.
+// send sends a batch and splits it if its encoding exceeds MaxBytes.
 func (b *Batcher) send(batch []Update) {
 	encoded, err := EncodeUpdates(batch)
 	if err == nil && len(encoded) > b.options.MaxBytes && len(batch) > 1 {
@@ -115,7 +115,7 @@
 		err = b.options.Send(encoded)
 	}
 	if err != nil {
-		b.options.Logger.Error("news of back ends was not sent", "server", string(batch[0].Server),
+		b.options.Logger.Error("server updates not sent to peers", "server", string(batch[0].Server),
 			"news", len(batch), "error", err)
 	}
 }
--- a/pkg/catalog/build.go
+++ b/pkg/catalog/build.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// buildCostFactor bounds the share of time spent on building one view: after a
-	// build that took t, the next one waits for buildCostFactor times t.
+	// buildCostFactor limits the share of time spent on building views: after a build that took t,
+	// the next one waits for buildCostFactor times t.
 	buildCostFactor = 20
-	// warmUpSteps is the number of steps in which a weight grows.
+	// warmUpSteps is the number of steps in which a weight grows during warm-up.
 	warmUpSteps = 20
 )
 
-// serviceState is one service with its current view.
+// serviceState is one service and its current view.
 type serviceState struct {
 	service target.Service
-	// members and sorted are guarded by the catalog's mutex. sorted holds the
-	// members by server; nil if it is to be made anew.
+	// members and sorted are guarded by the catalog's mutex. sorted holds the members sorted by
+	// server ID; it is nil when it has to be rebuilt.
 	members map[target.ServerID]*record
 	sorted  []*record
 	// dirty is set when the view is out of date.
@@ -30,11 +30,12 @@
 	built atomic.Pointer[builtView]
 }
 
-// builtView is a view with when to build the next one.
+// builtView is a view and the times that decide when the next one is built.
 type builtView struct {
 	view *View
-	// notBefore is the earliest time of the next build after a change, and
-	// changesAt the time at which the view changes by itself; zero for never.
+	// notBefore is the earliest time of the next build after a change. changesAt is the time at
+	// which the view changes without an external event, such as the end of an ejection; zero for
+	// never.
 	notBefore time.Time
 	changesAt time.Time
 }
@@ -46,10 +47,9 @@
 	return !dirty || now.Before(b.notBefore)
 }
 
-// View implements Source. A view is built when it is asked for and something
-// changed since the last one. Building takes at most a twentieth of the time,
-// so that under many changes a view may be older by twenty times what it takes
-// to build it.
+// View implements Source. A view is built on demand if something changed since the last one.
+// Building takes at most a twentieth of the time (see buildCostFactor), so under frequent changes a
+// view can be out of date by twenty times its build time.
 func (c *Catalog) View(service target.Service) *View {
 	state := (*c.services.Load())[service]
 	if state == nil {
@@ -78,7 +78,7 @@
 	return names
 }
 
-// build makes the view of a service, under the mutex.
+// build builds the view of a service. The caller holds the mutex.
 func (c *Catalog) build(state *serviceState, now time.Time) *builtView {
 	state.dirty.Store(false)
 	members := state.sortedMembers()
@@ -99,7 +99,7 @@
 	return built
 }
 
-// sortedMembers returns the records of a service by server.
+// sortedMembers returns the records of a service, sorted by server ID.
 func (s *serviceState) sortedMembers() []*record {
 	if s.sorted != nil {
 		return s.sorted
@@ -112,7 +112,8 @@
 	return s.sorted
 }
 
-// changes takes the time at which one server of the view changes by itself.
+// noteChangeAt lowers changesAt to the time at which one server of the view changes without an
+// external event. Zero is ignored.
 func (b *builtView) noteChangeAt(at time.Time) {
 	if at.IsZero() {
 		return
@@ -122,7 +123,8 @@
 	}
 }
 
-// nextChange returns when the state or weight of a server changes by itself.
+// nextChange returns when the state or weight of a server changes without an external event; zero
+// for never.
 func (c *Catalog) nextChange(r *record, now time.Time) time.Time {
 	var next builtView
 	if r.outlier.ejected(now) {
@@ -137,13 +139,13 @@
 	return next.changesAt
 }
 
-// suspected reports whether only recent answers keep a server from ejection.
+// suspected reports whether only recent answers protect the server from ejection.
 func (c *Catalog) suspected(r *record) bool {
 	return r.ejectionCause(r.lastAnswer.Add(c.options.AnswerFreshness), &c.options) != CauseNone
 }
 
-// buildServer returns the server's entry, the one of the last view if nothing
-// changed.
+// buildServer returns the view's entry for a server. It reuses the entry of the last view if
+// nothing changed.
 func (c *Catalog) buildServer(r *record, now time.Time) *Server {
 	r.builtLoad = r.results.getLoad()
 	server := Server{
@@ -175,8 +177,8 @@
 		s.ReportedLoad == other.ReportedLoad && sameIndexes(s.Indexes, other.Indexes)
 }
 
-// sameIndexes reports whether both are one and the same slice. Contents are
-// immutable, so that another slice means other contents.
+// sameIndexes reports whether both are the same slice. Contents are immutable, so a different slice
+// means different contents.
 func sameIndexes(a, b []backend.Index) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
@@ -208,7 +210,7 @@
 	}
 }
 
-// baseState returns the state of a server without regard to ejection.
+// baseState returns the state of a server before ejection is considered.
 func (c *Catalog) baseState(r *record, now time.Time) (State, Cause) {
 	if r.gone(now, &c.options) {
 		return Gone, CauseUnlisted
@@ -219,8 +221,8 @@
 	return Active, CauseNone
 }
 
-// compareCandidates orders the servers to eject: dead ones first, then those
-// that are ejected already, so that the choice does not flap.
+// compareCandidates orders the candidates for ejection: dead servers first, then servers that are
+// already ejected, so that the choice does not flap.
 func compareCandidates(a, b *record) int {
 	rank := func(r *record) int {
 		switch {
@@ -234,8 +236,8 @@
 	return cmp.Compare(rank(a), rank(b))
 }
 
-// ejectionFloor counts the replicas of each part and how many of them are
-// ejected. At most half of them may be, and never the last one.
+// ejectionFloor counts the replicas of each part and how many of them are ejected. At most half of
+// the replicas of a part are ejected, so the last one never is.
 type ejectionFloor struct {
 	parts map[backend.Shard]*partCount
 }
@@ -245,8 +247,7 @@
 	ejected  int
 }
 
-// newEjectionFloor counts the replicas, among the active members, of the parts
-// that candidates hold.
+// newEjectionFloor counts the active replicas of the parts that the candidates hold.
 func newEjectionFloor(candidates, members []*record) *ejectionFloor {
 	floor := &ejectionFloor{parts: make(map[backend.Shard]*partCount)}
 	for _, r := range candidates {
@@ -270,7 +271,8 @@
 	}
 }
 
-// eject reports whether a server may be ejected, and counts it if so.
+// eject reports whether a server may be ejected without violating the floor, and if so counts it as
+// ejected.
 func (f *ejectionFloor) eject(r *record) bool {
 	parts := r.parts()
 	for _, part := range parts {
@@ -285,8 +287,8 @@
 	return true
 }
 
-// parts returns the parts of the newest version that a server holds, or its
-// group as a whole if its contents are unknown.
+// parts returns the parts of the newest version that a server holds. If its contents are unknown,
+// its whole group counts as one part.
 func (r *record) parts() []backend.Shard {
 	current := r.facts.current()
 	if current != nil && current.Contents != nil {
--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -15,43 +15,42 @@
 
 // Catalog implements Source. It is safe for concurrent use.
 //
-// View, ReportHints and ReportResult are on the path of every sub-request and
-// take no lock unless something changed.
+// View, ReportHints and ReportResult run for every sub-request. They take the mutex only when
+// something changed.
 type Catalog struct {
 	options Options
-	// records maps target.ServerID to *record. It is written under mutex.
+	// records maps target.ServerID to *record. Writers hold mutex.
 	records sync.Map
-	// services is replaced as a whole, under mutex.
+	// services is replaced as a whole by writers that hold mutex.
 	services atomic.Pointer[map[target.Service]*serviceState]
-	// membership counts the changes of the set of servers.
+	// membership counts the changes to the set of servers.
 	membership atomic.Uint64
 
-	// mutex guards the records' fields, the fields below and the building of
-	// views.
+	// mutex guards the fields of the records, the fields below and the building of views.
 	mutex sync.Mutex
-	// listed is the length of the last whole machine list.
+	// listedCount is the length of the last complete machine list.
 	listedCount int
-	// pending counts the records of servers that the machine list never named.
+	// pending counts the records of servers that the machine list has never named.
 	pending int
-	// watched are the records that Refresh looks at: those with recent results
-	// and those that are missing from the machine list.
+	// watched holds the records that Refresh examines: those with recent results and those that are
+	// missing from the machine list.
 	watched map[*record]struct{}
-	// wanted are the records with a wish for one probe.
+	// probeRequests holds the records for which a single probe is requested.
 	probeRequests map[*record]struct{}
 	// bases maps VersionChange.Base to the record of the server.
 	bases map[uint64]*record
-	// unresolved are the changes of versions whose base is not known yet.
+	// unresolved holds version changes whose base is not known yet.
 	unresolved unresolvedChanges
-	// probeWakeup wakes the probe loop for probes that are wanted at once.
+	// probeWakeup wakes the probe loop for probes that are requested immediately.
 	probeWakeup chan struct{}
 }
 
 var _ Source = (*Catalog)(nil)
 
-// maxPending bounds the records of servers that only peers have told of.
+// maxPending bounds the number of records of servers that are known only from peers.
 const maxPending = 4096
 
-// ErrUnknownServer means that the catalog has no such server.
+// ErrUnknownServer means that the catalog has no record of the server.
 var ErrUnknownServer = errors.New("unknown server")
 
 // New returns an empty catalog.
@@ -68,13 +67,14 @@
 	return created
 }
 
-// mutation is one change of the catalog, under its mutex.
+// mutation is one change to the catalog. It runs with the catalog's mutex held and collects the
+// updates to publish afterwards.
 type mutation struct {
 	now     time.Time
 	updates []Update
 }
 
-// tell adds news about a server to what is sent when the change is done.
+// queueUpdate queues an update about a server for publication when the mutation completes.
 func (c *Catalog) queueUpdate(m *mutation, r *record, kind UpdateKind, instance *instanceFacts) {
 	update := Update{Server: r.server, Kind: kind, Observer: c.options.Node, Operator: r.facts.operator}
 	if instance != nil {
@@ -83,14 +83,14 @@
 	m.updates = append(m.updates, update)
 }
 
-// change runs a change under the mutex and sends its news afterwards.
+// mutate runs a change with the mutex held and publishes the queued updates after releasing it.
 func (c *Catalog) mutate(run func(m *mutation)) {
 	m := &mutation{now: c.options.Now()}
 	c.mutex.Lock()
 	run(m)
 	c.mutex.Unlock()
 	for _, update := range m.updates {
-		c.options.Logger.Debug("news of back end", "server", update.Server, "kind", update.Kind.String(),
+		c.options.Logger.Debug("publishing server update", "server", update.Server, "kind", update.Kind.String(),
 			"instance", update.Instance.ID, "generation", update.Instance.Generation)
 		c.options.OnUpdate(update)
 	}
@@ -105,7 +105,7 @@
 	return found.(*record)
 }
 
-// touched marks the view of a server's service for rebuilding.
+// markDirty marks the view of the server's service for rebuilding.
 func (c *Catalog) markDirty(r *record) {
 	if state := (*c.services.Load())[r.listing.Service]; state != nil {
 		state.dirty.Store(true)
@@ -132,8 +132,8 @@
 	}
 }
 
-// noteServerDrain takes a server's own word that it is leaving. Without an
-// instance it is taken for the word of the current one.
+// noteServerDrain records a server's own statement that it drains. A statement that names no
+// instance is attributed to the current instance.
 func (c *Catalog) noteServerDrain(r *record, instance string) {
 	if r.results.isKnownDraining(instance) {
 		return
@@ -160,8 +160,8 @@
 	})
 }
 
-// requestVersionProbe asks for one probe of a server that said that it has a newer index
-// version, unless news of it comes first.
+// requestVersionProbe requests a single probe of a server that reported a newer index version. The
+// probe is delayed and is skipped if a peer's update brings that version first.
 func (c *Catalog) requestVersionProbe(r *record, newest target.Version) {
 	const delay = 1500 * time.Millisecond
 	c.mutate(func(m *mutation) {
@@ -181,12 +181,14 @@
 	c.probeRequests[r] = struct{}{}
 }
 
-// ReportResult implements Source. A refusal for draining counts as a drain only
-// for servers that do not name their instance in hints: otherwise ReportHints,
-// which is to be called for refusals too, says which instance drains, while a
-// refusal that is reported late could be taken for one of the next instance. A
-// refusal that contradicts what is known of the server's contents has it probed
-// at once.
+// ReportResult implements Source.
+//
+// A refusal because of draining counts as a drain only for servers that do not name their instance
+// in hints. For the others, ReportHints, which callers also call for refusals, identifies the
+// draining instance; a refusal that is reported late could otherwise be attributed to the next
+// instance.
+//
+// A refusal that contradicts the known contents of the server triggers a probe immediately.
 func (c *Catalog) ReportResult(server target.ServerID, err error) {
 	r := c.find(server)
 	switch {
@@ -213,7 +215,7 @@
 	}
 }
 
-// watch has Refresh look at a server.
+// watch adds a server to those that Refresh examines.
 func (c *Catalog) watch(r *record) {
 	if r.results.watched.Load() {
 		return
@@ -228,8 +230,8 @@
 	c.watched[r] = struct{}{}
 }
 
-// failed counts a failed sub-request and ejects the server if it is one too
-// many.
+// recordFailure counts a failed sub-request and ejects the server when the number of consecutive
+// failures reaches Options.ConsecutiveFailures.
 func (c *Catalog) recordFailure(r *record) {
 	c.watch(r)
 	if r.results.failure() < c.options.ConsecutiveFailures {
@@ -248,8 +250,9 @@
 	c.options.Logger.Info("back end ejected", "server", r.server, "until", r.outlier.until)
 }
 
-// Drain sets or takes back the operators' wish that a server gets no new work.
-// It stands until it is taken back, also over restarts of the server.
+// Drain sets or clears the operators' drain mark of a server; a drained server gets no new work.
+// The mark persists until it is cleared, also across restarts of the server. The error is
+// ErrUnknownServer if the catalog has no such server.
 func (c *Catalog) Drain(server target.ServerID, drained bool, author string) error {
 	r := c.find(server)
 	if r == nil {
@@ -267,8 +270,8 @@
 	return nil
 }
 
-// Apply takes news from a peer. It returns those that taught something, for
-// the relay to pass on; news that is known already must not be passed on.
+// Apply merges updates from a peer. It returns those that changed the catalog, for the relay to
+// forward; updates that change nothing must not be forwarded.
 func (c *Catalog) Apply(batch ...Update) []Update {
 	var learnt []Update
 	c.mutate(func(m *mutation) {
@@ -306,8 +309,8 @@
 	return true
 }
 
-// refuted delays this node's next announcement that a server is dead, since
-// another node reaches it.
+// refuted extends the wait before this node announces a server as dead again, because another node
+// can reach the server.
 func (c *Catalog) refuted(m *mutation, r *record) {
 	if r.probe.failures < c.options.ProbeFailures {
 		return
@@ -317,7 +320,7 @@
 	r.probe.announceAfter = m.now.Add(c.options.DeadAnnouncementBackoff << r.probe.refutations)
 }
 
-// settle brings a record in line after its facts changed.
+// factsChanged updates the derived state of a record after its facts changed.
 func (c *Catalog) factsChanged(m *mutation, r *record, previousID string) {
 	current := r.facts.current()
 	if current != nil && current.ID != previousID {
@@ -333,8 +336,8 @@
 	c.updateBases(m, r)
 }
 
-// addPending makes the record of a server that the machine list has not named
-// yet, or returns nil if there are too many of them.
+// addPending creates the record of a server that the machine list has not named yet. It returns nil
+// if there are maxPending of them already.
 func (c *Catalog) addPending(m *mutation, server target.ServerID) *record {
 	if c.pending >= maxPending {
 		return nil
@@ -347,8 +350,8 @@
 	return r
 }
 
-// Snapshot returns everything that is known of the servers that the machine
-// list names, for a peer that starts or was cut off.
+// Snapshot returns all facts about the servers of the machine list, for a peer that starts or was
+// disconnected.
 func (c *Catalog) Snapshot() []Update {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -362,8 +365,7 @@
 	return all
 }
 
-// recordUpdates returns the news that make another catalog know what this one
-// knows of a server.
+// recordUpdates returns the updates that bring another catalog to the same facts about a server.
 func (c *Catalog) recordUpdates(r *record, now time.Time) []Update {
 	base := Update{Server: r.server, Observer: c.options.Node, Operator: r.facts.operator}
 	if len(r.facts.instances) == 0 && base.Operator.Sequence > 0 {
@@ -378,7 +380,7 @@
 	return updates
 }
 
-// sortedRecords returns all records by server.
+// sortedRecords returns all records, sorted by server ID.
 func (c *Catalog) sortedRecords() []*record {
 	var sorted []*record
 	c.records.Range(func(_, value any) bool {
--- a/pkg/catalog/change.go
+++ b/pkg/catalog/change.go
@@ -9,19 +9,18 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// Bounds of the changes that are kept until their base is known.
+// Bounds of the version changes that are kept until their base is known.
 const (
 	maxUnresolvedBases = 4096
 	maxChangesPerBase  = 4
 )
 
-// unresolvedChanges are changes of versions by their base. They came before the
-// news that they build on, or that news was lost.
+// unresolvedChanges holds version changes by their base. They arrived before the update that they
+// build on, or that update was lost.
 type unresolvedChanges map[uint64][]Update
 
-// add keeps a change if its revision is the highest for its base. When there
-// are too many, all are dropped; what is lost by that, the next comparison with
-// a peer brings.
+// add keeps a change if its revision is the highest for its base. When there are maxUnresolvedBases
+// bases, all changes are dropped; the next anti-entropy exchange with a peer restores what is lost.
 func (u unresolvedChanges) add(update *Update) {
 	if len(u) >= maxUnresolvedBases {
 		clear(u)
@@ -43,8 +42,7 @@
 	return v.Base == other.Base && v.Revision == other.Revision && slices.Equal(v.Versions, other.Versions)
 }
 
-// setVersionChange marks news as no more than other versions, if the base is the same
-// before and after.
+// setVersionChange turns the update into a version change if the base is the same before and after.
 func (n *Update) setVersionChange(before, after uint64) {
 	if before == 0 || before != after {
 		return
@@ -55,8 +53,8 @@
 	}
 }
 
-// changeBase returns VersionChange.Base for an instance: zero if its contents
-// are unknown or its versions have different shards.
+// changeBase returns VersionChange.Base for an instance. It is zero if the contents are unknown or
+// the versions have different shards.
 func (i *instanceFacts) changeBase(server target.ServerID) uint64 {
 	if i.Contents != i.baseOf {
 		i.base, i.baseOf = computeBase(server, &i.Instance), i.Contents
@@ -75,7 +73,7 @@
 	return xxhash.Sum64(key)
 }
 
-// sameShards reports whether there is an index and all have the same shards.
+// sameShards reports whether there is at least one index and all have the same shards.
 func sameShards(indexes []backend.Index) bool {
 	for _, index := range indexes {
 		if !slices.Equal(index.Shards, indexes[0].Shards) {
@@ -85,8 +83,8 @@
 	return len(indexes) > 0
 }
 
-// updateBases brings the bases of a server in line with its facts, and applies
-// the changes that waited for one of them.
+// updateBases updates the index of bases after the facts of a server changed, and applies the
+// version changes that were waiting for one of the new bases.
 func (c *Catalog) updateBases(m *mutation, r *record) {
 	bases := make([]uint64, 0, len(r.facts.instances))
 	for _, instance := range r.facts.instances {
@@ -118,8 +116,8 @@
 	r.bases = nil
 }
 
-// applyChange takes a change of versions. It reports whether it taught
-// anything; one whose base is unknown is kept for later.
+// applyChange applies a version change and reports whether it changed anything. A change with an
+// unknown base is kept for later.
 func (c *Catalog) applyChange(m *mutation, update *Update) bool {
 	if update.Change.Base == 0 {
 		return false
@@ -137,7 +135,7 @@
 	return c.apply(m, &expanded)
 }
 
-// instanceWithBase returns nil if the instance was dropped as too old.
+// instanceWithBase returns the instance with a base, or nil if the instance was pruned.
 func (r *record) instanceWithBase(base uint64) *instanceFacts {
 	for _, instance := range r.facts.instances {
 		if instance.changeBase(r.server) == base {
@@ -147,7 +145,7 @@
 	return nil
 }
 
-// expandChange returns the news that a change of versions stands for.
+// expandChange returns the complete update that a version change represents.
 func (r *record) expandChange(m *mutation, known *instanceFacts, update *Update) Update {
 	instance := known.instanceAt(m.now)
 	shards := instance.Contents.Indexes[0].Shards
--- a/pkg/catalog/change_encoding.go
+++ b/pkg/catalog/change_encoding.go
@@ -7,8 +7,8 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// appendChange adds a change of versions to the last entry of a message, or to
-// a new one if that has others.
+// appendChange adds a version change to the last entry of a message, or to a new entry if the last
+// one has different versions.
 func appendChange(message *catalogpb.NewsBatch, update *Update) {
 	var last *catalogpb.VersionChange
 	if count := len(message.VersionChanges); count > 0 {
@@ -37,8 +37,7 @@
 	return true
 }
 
-// changesFromProto checks and converts changes of versions, one news for each
-// process.
+// changesFromProto validates and converts version changes. It returns one update for each process.
 func changesFromProto(message *catalogpb.VersionChange) ([]Update, error) {
 	if err := checkChange(message); err != nil {
 		return nil, err
@@ -51,7 +50,7 @@
 	for index, base := range message.Bases {
 		revision := message.Revisions[index]
 		if base == 0 || revision == 0 || revision > maxCounter {
-			return nil, errors.Errorf("process %d has a base or revision that is out of bounds", index)
+			return nil, errors.Errorf("process %d: base or revision out of bounds", index)
 		}
 		changes = append(changes, Update{
 			Kind:   KindContents,
@@ -64,9 +63,9 @@
 func checkChange(message *catalogpb.VersionChange) error {
 	switch {
 	case len(message.Versions) == 0 || len(message.Versions) > maxIndexes:
-		return errors.New("has no versions or too many")
+		return errors.New("number of versions is zero or above the limit")
 	case len(message.Bases) != len(message.Revisions):
-		return errors.New("has more bases than revisions, or fewer")
+		return errors.New("numbers of bases and revisions differ")
 	}
 	seen := make(map[uint64]struct{}, len(message.Versions))
 	for _, version := range message.Versions {
--- a/pkg/catalog/digest.go
+++ b/pkg/catalog/digest.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// digestBuckets is the number of groups of servers that are compared.
+	// digestBuckets is the number of buckets of servers whose digests are compared.
 	digestBuckets = 256
-	// maxSyncBytes bounds the news of one reply.
+	// maxSyncBytes is the size of the updates in a reply after which no further bucket is added.
 	maxSyncBytes = 128 << 10
 )
 
-// digests sums up what is known of the servers of each bucket. Two catalogs
-// with the same facts have the same digests.
+// digests holds one digest of the facts for each bucket of servers. Two catalogs with the same
+// facts have the same digests.
 type digests [digestBuckets]uint64
 
 func bucketOf(server target.ServerID) int {
 	return int(xxhash.Sum64String(string(server)) % digestBuckets)
 }
 
-// digests returns the digests of the facts about the servers of the machine
-// list, or of the operators' marks alone.
+// digests returns the digests of the facts about the servers of the machine list. With
+// operatorOnly, only the operators' marks are included.
 func (c *Catalog) digests(operatorOnly bool) digests {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -42,9 +42,9 @@
 	return sums
 }
 
-// digest is zero for a server of which nothing is known. Contents count by
-// their revision alone: where two nodes hold different ones of the same
-// revision, the next probe gives a higher one.
+// digest returns the digest of the facts about a server; zero if there are none. Contents are
+// represented by their revision alone: if two nodes hold different contents with the same revision,
+// the next probe assigns a higher one.
 func (r *record) digest(operatorOnly bool) uint64 {
 	var sum uint64
 	if mark := r.facts.operator; mark.Sequence > 0 {
@@ -70,8 +70,8 @@
 	return xxhash.Sum64(buffer)
 }
 
-// answerSync returns the news of all buckets whose digest differs from the one
-// asked about, beginning with the bucket first, up to the bound.
+// answerSync returns the updates of all buckets whose digest differs from the peer's, beginning
+// with firstBucket. It sets More when it stops at maxSyncBytes.
 func (c *Catalog) answerSync(peerDigests []uint64, firstBucket int, operatorOnly bool) *catalogpb.SyncReply {
 	own := c.digests(operatorOnly)
 	reply := &catalogpb.SyncReply{}
@@ -99,7 +99,7 @@
 	return reply
 }
 
-// appendSync adds what is known of a server and returns its size in bytes.
+// appendSync adds the facts about a server to the reply and returns their size in bytes.
 func (c *Catalog) appendSync(reply *catalogpb.SyncReply, r *record, now time.Time, operatorOnly bool) int {
 	size := 0
 	for _, update := range c.recordUpdates(r, now) {
--- a/pkg/catalog/encoding.go
+++ b/pkg/catalog/encoding.go
@@ -13,20 +13,19 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// Bounds of what is taken from the wire.
+// Bounds of accepted input. Names are in bytes.
 const (
 	maxNameBytes = 255
 	maxIndexes   = 64
 	maxShards    = 4096
 	maxLimit     = 1 << 20
 	maxUptime    = 100 * 365 * 24 * time.Hour
-	// maxCounter leaves room for successors of every counter.
+	// maxCounter leaves room for every counter to be incremented.
 	maxCounter = 1 << 62
 )
 
-// EncodeUpdates returns the wire form of a batch of news. Changes of versions come
-// after the others, and adjacent ones with the same versions share what is
-// equal.
+// EncodeUpdates returns the wire form of a batch of updates. Version changes follow the others;
+// adjacent ones with the same versions are stored as one entry.
 func EncodeUpdates(batch []Update) ([]byte, error) {
 	message := &catalogpb.NewsBatch{}
 	for index := range batch {
@@ -37,21 +36,21 @@
 		}
 	}
 	encoded, err := message.MarshalVT()
-	return encoded, errors.Wrap(err, "encode news")
+	return encoded, errors.Wrap(err, "encode updates")
 }
 
-// DecodeUpdates reads the wire form of a batch. It fails as a whole if any of the
-// news is malformed.
+// DecodeUpdates decodes a batch. If any update is malformed, the whole batch is rejected with an
+// error.
 func DecodeUpdates(encoded []byte) ([]Update, error) {
 	var message catalogpb.NewsBatch
 	if err := message.UnmarshalVT(encoded); err != nil {
-		return nil, errors.Wrap(err, "decode news")
+		return nil, errors.Wrap(err, "decode updates")
 	}
 	batch := make([]Update, 0, len(message.News))
 	for index, item := range message.News {
 		update, err := FromProto(item)
 		if err != nil {
-			return nil, errors.Wrapf(err, "news %d", index)
+			return nil, errors.Wrapf(err, "update %d", index)
 		}
 		batch = append(batch, update)
 	}
@@ -65,8 +64,8 @@
 	return batch, nil
 }
 
-// ToProto returns the protobuf message of one news, as a whole also if it is no
-// more than a change of versions.
+// ToProto returns the protobuf message of one update. A version change is written in its complete
+// form.
 func ToProto(update *Update) *catalogpb.News {
 	message := &catalogpb.News{
 		Server:   string(update.Server),
@@ -111,8 +110,8 @@
 	return message
 }
 
-// indexToProto leaves the shards out if the index before has the same: most
-// new versions keep the layout.
+// indexToProto omits the shards if the previous index has the same ones, as most new versions keep
+// the layout.
 func indexToProto(indexes []backend.Index, position int, index backend.Index) *catalogpb.Index {
 	message := &catalogpb.Index{Version: uint64(index.Version)}
 	if position > 0 {
@@ -142,7 +141,7 @@
 	return encoded
 }
 
-// FromProto checks and converts one news.
+// FromProto validates and converts one update.
 func FromProto(message *catalogpb.News) (Update, error) {
 	if _, _, err := net.SplitHostPort(message.GetServer()); err != nil || len(message.GetServer()) > maxNameBytes {
 		return Update{}, errors.Errorf("server %.40q is not host:port", message.GetServer())
@@ -229,15 +228,15 @@
 	return slices.ContainsFunc(indexes, func(index backend.Index) bool { return index.Version == version })
 }
 
-// checkStatus refuses a status that could not be told to other nodes.
+// checkStatus returns an error for a status that other nodes would not accept in an update.
 func checkStatus(status *backend.Status) error {
 	contents := contentsToProto(newContents(status))
 	_, err := instanceFromProto(&catalogpb.Instance{Id: status.Instance, Revision: 1, Contents: contents})
 	return err
 }
 
-// shardsFromProto returns the shards of an index; earlier are the indexes
-// before it.
+// shardsFromProto returns the shards of an index. earlier holds the indexes that precede it in the
+// message.
 func shardsFromProto(earlier []backend.Index, message *catalogpb.Index) ([]backend.Shard, error) {
 	if message.SameAs != 0 {
 		for _, index := range earlier {
--- a/pkg/catalog/exchange.go
+++ b/pkg/catalog/exchange.go
@@ -15,7 +15,7 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// The messages of an Exchange.
+// The kinds of peer messages of an Exchange.
 const (
 	kindSync    peer.Kind = "catalog.sync"
 	kindForward peer.Kind = "catalog.forward"
@@ -28,28 +28,26 @@
 	DefaultExchangeTimeout    = 2 * time.Second
 )
 
-// maxSyncRounds bounds the calls of one Pull: enough for the contents of
-// 90,000 servers.
+// maxSyncRounds bounds the calls of one Pull. It suffices for the contents of 90,000 servers.
 const maxSyncRounds = 200
 
-// ExchangeOptions sets up an Exchange. Catalog, Transport and Peers are
-// required.
+// ExchangeOptions configures an Exchange. Catalog, Transport and Peers are required.
 type ExchangeOptions struct {
 	Catalog   *Catalog
 	Transport peer.Transport
-	// Peers returns the live nodes of this node's zone but for itself.
+	// Peers returns the live nodes of this node's zone, without this node.
 	Peers func() []peer.Address
-	// Remote returns a few live nodes of each other zone that the operators'
-	// marks must reach. Nil means none.
+	// Remote returns a few live nodes of each other zone, which receive the operators' marks. Nil
+	// means none.
 	Remote func() []peer.Address
-	// OnForwarded receives the news that came from another zone and taught
-	// something, to be told to this zone. It must not block.
+	// OnForwarded receives the updates from another zone that changed the catalog, to be broadcast
+	// in this zone. It must not block.
 	OnForwarded func(update Update)
-	// Interval is the mean time between two comparisons with a peer, and
-	// RemoteInterval with a remote one.
+	// Interval is the mean time between two exchanges with a peer of the zone, and RemoteInterval
+	// with a remote one.
 	Interval       time.Duration
 	RemoteInterval time.Duration
-	// Timeout bounds a call.
+	// Timeout bounds a call to a peer.
 	Timeout time.Duration
 	Random  *rand.Rand
 	Logger  hclog.Logger
@@ -74,21 +72,20 @@
 	return o
 }
 
-// Exchange makes up for news that was missed. In intervals it compares digests
-// with one random peer of the zone and takes what differs, so that a node that
-// starts, was cut off or lost a message ends with what the others know. Towards
-// other zones only the operators' marks are exchanged: what servers say of
-// themselves, each zone's probes find out.
+// Exchange is the anti-entropy protocol of the catalog. At intervals it compares digests with one
+// random peer of the zone and fetches the differences, so that a node that starts, was disconnected
+// or lost a message converges to what the others know. Only the operators' marks are exchanged with
+// other zones; what servers report about themselves is found by each zone's own probes.
 type Exchange struct {
 	options ExchangeOptions
-	// running waits for the calls of Forward.
+	// running tracks the calls of Forward.
 	running sync.WaitGroup
 	// mutex guards options.Random.
 	mutex sync.Mutex
 }
 
-// NewExchange registers the handlers at the transport. It must be called before
-// the transport serves.
+// NewExchange returns an Exchange and registers its handlers with the transport. It must be called
+// before the transport serves.
 func NewExchange(options ExchangeOptions) *Exchange {
 	e := &Exchange{options: options.withDefaults()}
 	e.options.Transport.Handle(kindSync, e.handleSync)
@@ -96,7 +93,7 @@
 	return e
 }
 
-// Run compares until ctx ends, waits for calls of Forward, and returns the
+// Run exchanges digests at intervals until ctx ends, waits for calls of Forward, and returns the
 // error of ctx.
 func (e *Exchange) Run(ctx context.Context) error {
 	defer e.running.Wait()
@@ -125,7 +122,7 @@
 	return time.Duration(float64(interval) * (1 + share*(2*e.options.Random.Float64()-1)))
 }
 
-// randomBelow returns a random number from 0 up to bound (exclusive).
+// randomBelow returns a random number in [0, bound).
 func (e *Exchange) randomBelow(bound int) int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -138,12 +135,12 @@
 	}
 	address := peers[e.randomBelow(len(peers))]
 	if err := e.pull(ctx, address, operatorOnly); err != nil && ctx.Err() == nil {
-		e.options.Logger.Debug("catalog was not compared", "peer", string(address), "error", err)
+		e.options.Logger.Debug("catalog exchange with peer failed", "peer", string(address), "error", err)
 	}
 }
 
-// Pull takes everything that the node at address knows and this one does not. A
-// node calls it before it serves.
+// Pull fetches all updates that the node at address has and this node lacks. A node calls it before
+// it serves. It returns the first error of a call or of decoding.
 func (e *Exchange) Pull(ctx context.Context, address peer.Address) error {
 	return e.pull(ctx, address, false)
 }
@@ -158,7 +155,7 @@
 	return nil
 }
 
-// pullOnce reports whether there is more to take.
+// pullOnce makes one call and reports whether there is more to fetch.
 func (e *Exchange) pullOnce(ctx context.Context, address peer.Address, operatorOnly bool) (bool, error) {
 	sums := e.options.Catalog.digests(operatorOnly)
 	request := &catalogpb.SyncRequest{
@@ -200,8 +197,8 @@
 	}
 }
 
-// Forward sends an operator's mark to the other zones at once. Other news is
-// left out. A call that fails is made up for by the next comparison.
+// Forward sends an operator's mark to the other zones immediately. Other updates are ignored. The
+// next anti-entropy exchange makes up for a call that fails.
 func (e *Exchange) Forward(ctx context.Context, update Update) {
 	if update.Operator.Sequence == 0 || update.Kind != KindOperator {
 		return
@@ -213,7 +210,7 @@
 			defer cancel()
 			var reply catalogpb.Received
 			if err := e.options.Transport.Call(bounded, address, kindForward, batch, &reply); err != nil {
-				e.options.Logger.Warn("operator's mark was not forwarded", "peer", string(address), "error", err)
+				e.options.Logger.Warn("operator's mark not forwarded to peer", "peer", string(address), "error", err)
 			}
 		})
 	}
--- a/pkg/catalog/facts.go
+++ b/pkg/catalog/facts.go
@@ -6,31 +6,30 @@
 	"time"
 )
 
-// maxInstances bounds the instances that are kept for one server. Older ones
-// only matter for news that is still on its way.
+// maxInstances is the number of instances that are kept for each server. Older ones matter only for
+// updates that are still in transit.
 const maxInstances = 4
 
-// facts is everything that nodes tell each other about one server. It is a
-// join semilattice: merge is commutative, associative and idempotent, as long
-// as no more than maxInstances instances are in the news at once.
+// facts is all that nodes exchange about one server. It is a join semilattice: merge is
+// commutative, associative and idempotent as long as the updates in circulation concern at most
+// maxInstances instances.
 type facts struct {
 	instances []*instanceFacts
 	operator  OperatorMark
 }
 
-// instanceFacts is an Instance with what this node adds to it.
+// instanceFacts is an Instance with data that is local to this node.
 type instanceFacts struct {
 	Instance
-	// startedAt is the start of the process by this node's clock; zero if
-	// unknown.
+	// startedAt is the start time of the process by this node's clock; zero if unknown.
 	startedAt time.Time
 	// base is VersionChange.Base for the contents baseOf.
 	base   uint64
 	baseOf *Contents
 }
 
-// current returns the instance with the highest generation, or nil. An instance
-// without a generation was only heard of and is never current.
+// current returns the instance with the highest generation, or nil. An instance without a
+// generation is known only by mention, for example from a drain hint, and is never current.
 func (f *facts) current() *instanceFacts {
 	var found *instanceFacts
 	for _, candidate := range f.instances {
@@ -41,8 +40,8 @@
 	return found
 }
 
-// newerThan orders instances by generation, and equal ones by ID so that all
-// nodes agree.
+// newerThan orders instances by generation. Equal generations are ordered by ID so that all nodes
+// agree.
 func (i *instanceFacts) newerThan(other *instanceFacts) bool {
 	if i.Generation != other.Generation {
 		return i.Generation > other.Generation
@@ -50,7 +49,7 @@
 	return i.ID > other.ID
 }
 
-// nextGeneration returns a generation above all known ones.
+// nextGeneration returns a generation higher than all known ones.
 func (f *facts) nextGeneration() uint64 {
 	var highest uint64
 	for _, instance := range f.instances {
@@ -59,7 +58,7 @@
 	return highest + 1
 }
 
-// instance returns the facts of an instance and makes an entry if there is none.
+// instance returns the facts of an instance and adds an entry if there is none.
 func (f *facts) instance(id string) *instanceFacts {
 	for _, known := range f.instances {
 		if known.ID == id {
@@ -71,7 +70,7 @@
 	return added
 }
 
-// prune drops the oldest instances above the bound.
+// prune drops the oldest instances beyond maxInstances.
 func (f *facts) prune() {
 	if len(f.instances) <= maxInstances {
 		return
@@ -85,7 +84,7 @@
 	f.instances = f.instances[:maxInstances]
 }
 
-// merge adds news to the facts and reports whether it taught anything.
+// merge merges an update into the facts and reports whether it changed them.
 func (f *facts) merge(update *Update, now time.Time) bool {
 	changed := false
 	if update.Operator.supersedes(f.operator) {
@@ -98,12 +97,13 @@
 	known := f.instance(update.Instance.ID)
 	learnt := known.merge(&update.Instance, now)
 	f.prune()
-	// What is dropped at once was not learnt: it must not be passed on again
-	// and again.
+	// An instance that is pruned immediately does not count as a change; otherwise the update would
+	// be forwarded repeatedly.
 	return changed || learnt && slices.Contains(f.instances, known)
 }
 
-// merge joins two states of the same instance field by field.
+// merge merges another state of the same instance field by field and reports whether anything
+// changed.
 func (i *instanceFacts) merge(update *Instance, now time.Time) bool {
 	changed := false
 	if update.Generation > i.Generation {
@@ -127,9 +127,9 @@
 	return changed
 }
 
-// contentsSupersededBy reports whether the contents of news are to replace those of
-// i. Two observers may give the same revision to different contents; all nodes
-// then keep the same one, and the next probe gives a higher revision.
+// contentsSupersededBy reports whether the contents of update replace those of i. Two observers can
+// assign the same revision to different contents; all nodes then keep the same one, and the next
+// probe assigns a higher revision.
 func (i *instanceFacts) contentsSupersededBy(update *Instance) bool {
 	if update.Revision != i.Revision {
 		return update.Revision > i.Revision
@@ -140,11 +140,10 @@
 	return bytes.Compare(contentsKey(update.Contents), contentsKey(i.Contents)) > 0
 }
 
-// dead reports whether probers say that the process does not answer.
+// dead reports whether the probers consider the process dead (odd Liveness).
 func (i *instanceFacts) dead() bool { return i.Liveness%2 == 1 }
 
-// withoutContents returns the facts without the contents, for news that is
-// small.
+// withoutContents returns a copy without the contents, to keep updates small.
 func (i *instanceFacts) withoutContents() *instanceFacts {
 	small := *i
 	small.Contents = nil
@@ -152,7 +151,7 @@
 	return &small
 }
 
-// news returns the facts about an instance as news. The uptime is that of now.
+// instanceAt returns the Instance to send to peers, with its uptime as of now.
 func (i *instanceFacts) instanceAt(now time.Time) Instance {
 	instance := i.Instance
 	if instance.Contents != nil {
--- a/pkg/catalog/machines.go
+++ b/pkg/catalog/machines.go
@@ -10,15 +10,15 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// discoverySpread is the time, for each server of the machine list, over which
-// first probes are spread; at most maxDiscoverySpread.
+// First probes of new servers are spread over discoverySpread for each server of the machine list,
+// at most over maxDiscoverySpread.
 const (
 	discoverySpread    = time.Millisecond
 	maxDiscoverySpread = 2 * time.Second
 )
 
-// ReplaceMachines takes a new reading of the machine list. A server that is
-// missing from it is kept for a while; see Options.UnlistedSilentTimeout.
+// ReplaceMachines applies a complete machine list. A server that is missing from it is kept for a
+// while; see Options.UnlistedSilentTimeout.
 func (c *Catalog) ReplaceMachines(list machinelist.List) {
 	c.mutate(func(m *mutation) {
 		c.listedCount = len(list)
@@ -38,8 +38,8 @@
 	})
 }
 
-// ApplyMachines takes what changed since the last reading of the machine list:
-// entries that are new or differ, and servers that are missing from it now.
+// ApplyMachines applies the difference from the last machine list: entries that are new or changed,
+// and servers that were removed.
 func (c *Catalog) ApplyMachines(changed machinelist.List, removed []target.ServerID) {
 	c.mutate(func(m *mutation) {
 		spread := c.discoverySpread()
@@ -59,7 +59,7 @@
 	return min(time.Duration(c.listedCount)*discoverySpread, maxDiscoverySpread)
 }
 
-// list takes one entry of the machine list.
+// applyEntry applies one entry of the machine list.
 func (c *Catalog) applyEntry(m *mutation, entry machinelist.Entry, spread time.Duration) {
 	r := c.find(entry.Server)
 	if r == nil {
@@ -83,10 +83,10 @@
 	c.membership.Add(1)
 }
 
-// requestFirstProbe asks for a probe by this node itself, since news may never
-// come. The time depends on node and server, so that the nodes of a zone do not
-// all probe a new server at once and news can come first. Servers of other
-// regions are left to the nodes that are to probe them.
+// requestFirstProbe requests a probe by this node, because an update from a peer may never arrive.
+// The delay depends on node and server, so that the nodes of a zone do not all probe a new server
+// at the same time and an update can arrive first. Servers of other regions are left to their
+// assigned probers.
 func (c *Catalog) requestFirstProbe(m *mutation, r *record, spread time.Duration) {
 	if r.listing.distance(c.options.Zone, c.options.Region) > distanceRegion {
 		return
@@ -96,8 +96,8 @@
 	c.requestProbeAt(r, m.now.Add(delay))
 }
 
-// applyState looks for a change of what the list says; the same statement again
-// says nothing new, since the list lags.
+// applyState reacts to a change of the listed state. A repeated state is no new information,
+// because the list lags.
 func (l *listing) applyState(state machinelist.State, now time.Time) {
 	if state == l.State {
 		return
@@ -120,7 +120,7 @@
 	c.markDirty(r)
 }
 
-// join puts a server into the view of its service.
+// joinService adds a server to the view of its service.
 func (c *Catalog) joinService(r *record, service target.Service) {
 	if r.listing.everListed && r.listing.Service == service {
 		return
@@ -139,7 +139,7 @@
 	state.dirty.Store(true)
 }
 
-// leave takes a server out of the view of its service.
+// leaveService removes a server from the view of its service.
 func (c *Catalog) leaveService(r *record) {
 	state := (*c.services.Load())[r.listing.Service]
 	if state == nil {
@@ -150,10 +150,9 @@
 	state.dirty.Store(true)
 }
 
-// Refresh does what depends on time alone: it looks at recent results, and
-// forgets servers that are gone. ProbeLoop calls it; it is meant to be called
-// about twice a second. It looks only at servers with recent results and at
-// those that are missing from the machine list.
+// Refresh applies changes that depend only on time: it evaluates recent results and forgets servers
+// that are gone. It examines only servers with recent results and those that are missing from the
+// machine list. ProbeLoop calls it about twice a second.
 func (c *Catalog) Refresh() {
 	c.mutate(func(m *mutation) {
 		for r := range c.watched {
@@ -197,7 +196,7 @@
 	}
 }
 
-// forget drops the record of a server that is gone.
+// forget deletes the record of a server that is gone.
 func (c *Catalog) forget(r *record) {
 	c.leaveService(r)
 	c.records.Delete(r.server)
--- a/pkg/catalog/options.go
+++ b/pkg/catalog/options.go
@@ -24,52 +24,48 @@
 	DefaultDeadAnnouncementBackoff = 3 * time.Second
 )
 
-// Options sets up a Catalog. Only Node and Zone are required.
+// Options configures a Catalog. Only Node and Zone are required.
 type Options struct {
-	// Node is this node; it is the observer of the news that it sends.
+	// Node is this node. It is the observer of the updates that the catalog publishes.
 	Node target.NodeID
-	// Zone and Region are where this node runs; Region may be empty.
+	// Zone and Region are the location of this node. Region may be empty.
 	Zone   target.Zone
 	Region target.Region
 
-	// WarmUp is the time after its start over which the weight of a server
-	// grows to 1.
+	// WarmUp is the time after its start over which the weight of a server grows to 1.
 	WarmUp time.Duration
-	// ProbeFailures is the number of failed probes in a row after which this
-	// node suspects a server.
+	// ProbeFailures is the number of consecutive failed probes after which this node suspects a
+	// server.
 	ProbeFailures int
-	// ConsecutiveFailures is the number of failed sub-requests in a row that
-	// eject a server.
+	// ConsecutiveFailures is the number of consecutive failed sub-requests that eject a server.
 	ConsecutiveFailures int
-	// FailureShare ejects a server if at least that share of its recent
-	// sub-requests failed, of at least MinResults.
+	// FailureShare is the share of failed recent sub-requests at which a server is ejected,
+	// provided that there are at least MinResults recent results.
 	FailureShare float64
 	MinResults   int
-	// EjectionTime is the time of a first ejection; it doubles with each one
-	// that follows, up to MaxEjectionTime.
+	// EjectionTime is the duration of the first ejection. It doubles with each subsequent one, up
+	// to MaxEjectionTime.
 	EjectionTime    time.Duration
 	MaxEjectionTime time.Duration
-	// UnlistedSilentTimeout is the time after which a server that is missing from the
-	// machine list and does not answer probes is removed, UnlistedTimeout that
-	// of one that does answer. Retention is how long after that it is
-	// remembered.
+	// UnlistedSilentTimeout is the time after which a server that is missing from the machine list
+	// and does not answer probes is removed; UnlistedTimeout is that time for a server that does
+	// answer. Retention is how long the record is kept after UnlistedTimeout.
 	UnlistedSilentTimeout time.Duration
 	UnlistedTimeout       time.Duration
 	Retention             time.Duration
-	// AnswerFreshness is how long after a good answer to a sub-request a
-	// server is not suspected, whatever probes say.
+	// AnswerFreshness is the time after a successful sub-request during which a server is not
+	// suspected, whatever the probes report.
 	AnswerFreshness time.Duration
-	// DeadAnnouncementBackoff is the least time between two times that this node
-	// announces the same server as dead; it doubles with each refutation.
+	// DeadAnnouncementBackoff is the minimum time between two announcements by this node that the
+	// same server is dead. It doubles with each refutation.
 	DeadAnnouncementBackoff time.Duration
 
-	// OnUpdate receives the news that this node has to tell its peers. It is
-	// called outside all locks, from the goroutine that brought the change,
-	// and must not block. Nil means none.
+	// OnUpdate receives the updates to publish to peers. It is called without locks held, on the
+	// goroutine that made the change, and must not block. Nil disables it.
 	OnUpdate func(update Update)
-	// Now is the clock; nil means time.Now.
+	// Now is the clock. Nil means time.Now.
 	Now func() time.Time
-	// Logger is nil for none.
+	// Logger receives log records. Nil disables logging.
 	Logger hclog.Logger
 }
 
--- a/pkg/catalog/outlier.go
+++ b/pkg/catalog/outlier.go
@@ -11,26 +11,26 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// unknownLoad stands for a load that was not said.
+// unknownLoad represents a load that was not reported.
 const unknownLoad = -1
 
-// results counts how sub-requests to a server ended. It is written for each of
-// them, so that it has no lock.
+// results counts the outcomes of sub-requests to a server. It is updated for every sub-request and
+// therefore uses atomics instead of a lock.
 type results struct {
 	successes   atomic.Uint64
 	failures    atomic.Uint64
 	consecutive atomic.Int64
 	load        atomic.Uint64
-	// watched tells that Refresh looks at the server.
+	// watched is set while Refresh examines the server.
 	watched atomic.Bool
-	// namesInstance tells that the server names its instance in hints.
+	// namesInstance is set once the server has named its instance in hints.
 	namesInstance atomic.Bool
-	// doubted tells that a probe for doubted contents is asked for.
+	// suspectedStale is set while a probe for suspected stale contents is requested.
 	suspectedStale atomic.Bool
-	// newest is the newest index version that the server is known to have, or
-	// to have spoken of.
+	// newest is the newest index version that the server is known to have or has mentioned in a
+	// hint.
 	newest atomic.Uint64
-	// draining is the instance that is last known to drain; nil for none.
+	// draining is the instance that was last found to drain; nil if there is none.
 	draining atomic.Pointer[string]
 }
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// failure counts a failed sub-request and returns how many failed in a row.
+// failure counts a failed sub-request and returns the number of consecutive failures.
 func (r *results) failure() int {
 	r.failures.Add(1)
 	return int(r.consecutive.Add(1))
@@ -69,8 +69,8 @@
 	}
 }
 
-// isKnownDraining reports whether it is known already that an instance drains.
-// Without an instance it is not known which one is meant.
+// isKnownDraining reports whether an instance is already known to drain. It is false for an empty
+// instance, because that does not say which one is meant.
 func (r *results) isKnownDraining(instance string) bool {
 	known := r.draining.Load()
 	return known != nil && *known == instance
@@ -78,7 +78,7 @@
 
 func (r *results) setDraining(instance string) { r.draining.Store(&instance) }
 
-// updateFrom takes over what later hints are compared with.
+// updateFrom stores the facts with which later hints are compared.
 func (r *results) updateFrom(current *instanceFacts) {
 	if current == nil {
 		return
@@ -89,9 +89,8 @@
 	}
 }
 
-// countsAsFailure reports whether an error speaks against the server. A
-// refusal for lack of slots, a cancelled sub-request or one that was never sent
-// for lack of time does not.
+// countsAsFailure reports whether an error counts against the server. A refusal for lack of slots,
+// a cancelled sub-request and one that was never sent for lack of time do not.
 func countsAsFailure(err error) bool {
 	var failed *outcome.Error
 	if !errors.As(err, &failed) {
@@ -107,14 +106,14 @@
 	return false
 }
 
-// outlier is the ejection of one server. The catalog's mutex guards it.
+// outlier is the ejection state of one server. The catalog's mutex guards it.
 type outlier struct {
 	until time.Time
-	// consecutive counts the ejections without a calm time between them.
+	// consecutive counts the ejections since the server was last healthy for MaxEjectionTime.
 	consecutive int
-	// wasEjected tells that the server was ejected in the last view.
+	// wasEjected is set if the server was ejected in the last view.
 	wasEjected bool
-	// window holds recent results, older ones with less weight.
+	// The window counts recent results; older ones have less weight.
 	windowSuccesses float64
 	windowFailures  float64
 	// seenSuccesses and seenFailures are the counts at the last roll.
@@ -124,7 +123,7 @@
 
 func (o *outlier) ejected(now time.Time) bool { return now.Before(o.until) }
 
-// eject starts an ejection, unless one runs.
+// eject starts an ejection unless one is in progress.
 func (o *outlier) eject(now time.Time, options *Options) {
 	if o.ejected(now) {
 		return
@@ -139,13 +138,13 @@
 	o.windowSuccesses, o.windowFailures = 0, 0
 }
 
-// reset forgets everything, for a new instance.
+// reset clears the state for a new instance. The counts at the last roll remain.
 func (o *outlier) reset() {
 	*o = outlier{seenSuccesses: o.seenSuccesses, seenFailures: o.seenFailures}
 }
 
-// roll takes the counts since the last roll into the window and returns the
-// number of successes among them.
+// roll adds the results since the last roll to the window and returns the number of successes among
+// them.
 func (o *outlier) roll(counts *results) uint64 {
 	const decay = 0.9
 	successes, failures := counts.successes.Load(), counts.failures.Load()
@@ -156,19 +155,19 @@
 	return fresh
 }
 
-// idle reports whether no recent result is left to look at.
+// idle reports whether there are neither recent results nor recent ejections.
 func (o *outlier) idle() bool {
 	const negligible = 0.01
 	return o.windowSuccesses+o.windowFailures < negligible && o.consecutive == 0
 }
 
-// exceedsFailureShare reports whether the failed share of the window is too great.
+// exceedsFailureShare reports whether the failed share of the window reaches Options.FailureShare.
 func (o *outlier) exceedsFailureShare(options *Options) bool {
 	total := o.windowSuccesses + o.windowFailures
 	return total >= float64(options.MinResults) && o.windowFailures >= options.FailureShare*total
 }
 
-// calm forgets earlier ejections once the server did well for a while.
+// expireEjections resets the count of ejections once MaxEjectionTime has passed since the last one.
 func (o *outlier) expireEjections(now time.Time, options *Options) {
 	if o.consecutive > 0 && now.Sub(o.until) >= options.MaxEjectionTime {
 		o.consecutive = 0
--- a/pkg/catalog/probe.go
+++ b/pkg/catalog/probe.go
@@ -7,14 +7,14 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// ReportProbe takes the result of a probe that was sent at sentAt: a status, or
-// the error why there is none.
+// ReportProbe records the result of a probe that was sent at sentAt: a status, or the error if
+// there is none.
 func (c *Catalog) ReportProbe(server target.ServerID, sentAt time.Time, status *backend.Status, err error) {
 	c.reportProbe(server, sentAt, status, err, true)
 }
 
-// reportProbe is ReportProbe. Other contents are told to peers if announceContents
-// is set, and else left to the server's regular probers.
+// reportProbe implements ReportProbe. Changed contents are announced to peers if announceContents
+// is set; otherwise that is left to the server's regular probers.
 func (c *Catalog) reportProbe(
 	server target.ServerID, sentAt time.Time, status *backend.Status, err error, announceContents bool,
 ) {
@@ -35,8 +35,8 @@
 	})
 }
 
-// probeFailed counts a failed probe. After some in a row the server is
-// suspected here, and announced as dead unless it answers sub-requests.
+// probeFailed counts a failed probe. After Options.ProbeFailures consecutive failures this node
+// suspects the server, and announces it as dead unless it still answers sub-requests.
 func (c *Catalog) probeFailed(m *mutation, r *record, cause error) {
 	r.probe.failures++
 	if r.probe.failures < c.options.ProbeFailures {
@@ -55,8 +55,8 @@
 	c.queueUpdate(m, r, KindDead, current.withoutContents())
 }
 
-// probeAnswered takes a status. It is fresh evidence, unless the server was
-// replaced while the probe was on its way.
+// probeAnswered resets the failure count and merges the status. The status is ignored if the
+// instance changed after the probe was sent.
 func (c *Catalog) probeAnswered(m *mutation, r *record, sentAt time.Time, status *backend.Status, announceContents bool) {
 	if r.probe.failures >= c.options.ProbeFailures {
 		c.markDirty(r)
@@ -91,7 +91,7 @@
 	}
 }
 
-// observe joins a status with the facts. It returns what changed.
+// observe merges a status into the facts. It returns the kind of change and whether there was one.
 func (c *Catalog) observe(m *mutation, r *record, status *backend.Status) (UpdateKind, bool) {
 	previous := r.facts.current()
 	kind, changed := KindOther, false
@@ -126,8 +126,8 @@
 	return kind, changed
 }
 
-// startTimeOf returns when a process started. One that takes the place of another
-// started after that was last seen, whatever uptime it claims.
+// startTimeOf returns the start time of a process. A process that replaces another cannot have
+// started before the last successful probe of that one, whatever uptime it reports.
 func (c *Catalog) startTimeOf(m *mutation, r *record, previous *instanceFacts, uptime time.Duration) time.Time {
 	started := m.now.Add(-uptime)
 	if previous != nil && started.Before(r.probe.lastOK) {
@@ -136,9 +136,8 @@
 	return started
 }
 
-// probeScope returns the servers that the nodes of this zone probe: those of
-// the own zone and region, and farther ones only of a group that has none
-// there.
+// probeScope returns the servers that the nodes of this zone probe: those of their own zone and
+// region, and remote ones only for a group that has no server there.
 func (c *Catalog) probeScope() []target.ServerID {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -157,8 +156,7 @@
 	return scope
 }
 
-// nearestByGroup returns, for each group of a service, the least distance of
-// its servers.
+// nearestByGroup returns, for each group of a service, the minimum distance of its servers.
 func (c *Catalog) nearestByGroup(state *serviceState) map[string]int {
 	nearest := make(map[string]int)
 	for _, r := range state.members {
@@ -170,16 +168,16 @@
 	return nearest
 }
 
-// requestedProbe is a server that wants one probe now.
+// requestedProbe is a single probe that is due now.
 type requestedProbe struct {
 	server target.ServerID
-	// doubted is set if its contents are doubted, so that its regular probers
-	// must not wait for their next probe either.
+	// suspectedStale is set if the contents are suspected to be stale. The server is then probed
+	// immediately even if this node is one of its regular probers.
 	suspectedStale bool
 }
 
-// takeRequestedProbes returns the servers that want one probe by now, and forgets that
-// they do. A server whose need was met meanwhile is left out.
+// takeRequestedProbes removes and returns the requested probes that are due. Servers whose need has
+// been met in the meantime are left out.
 func (c *Catalog) takeRequestedProbes() []requestedProbe {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -201,7 +199,7 @@
 	return due
 }
 
-// requestProbeAgain asks once more for a probe that could not be sent.
+// requestProbeAgain repeats the request for a probe that could not be sent.
 func (c *Catalog) requestProbeAgain(probe requestedProbe, at time.Time) {
 	r := c.find(probe.server)
 	if r == nil {
@@ -212,7 +210,7 @@
 	c.requestProbeAt(r, at)
 }
 
-// needsProbe reports whether a probe would tell something that is asked for.
+// needsProbe reports whether a probe would still provide information that is missing.
 func (r *record) needsProbe() bool {
 	current := r.facts.current()
 	if current == nil || current.Contents == nil || r.listing.awaitsProbe || r.staleness.suspected {
--- a/pkg/catalog/probeloop.go
+++ b/pkg/catalog/probeloop.go
@@ -23,33 +23,32 @@
 )
 
 const (
-	// probeTick is how often the loop looks for probes that are due.
+	// probeTick is the interval at which the loop checks for due probes.
 	probeTick = 50 * time.Millisecond
-	// refreshEvery is how often the loop calls Catalog.Refresh.
+	// refreshEvery is the interval between calls of Catalog.Refresh.
 	refreshEvery = 500 * time.Millisecond
-	// intervalJitter is the share by which the interval is varied.
+	// intervalJitter is the maximum relative deviation from the interval.
 	intervalJitter = 0.1
 )
 
-// ProbeOptions sets up a ProbeLoop. Catalog and Prober are required.
+// ProbeOptions configures a ProbeLoop. Catalog and Prober are required.
 type ProbeOptions struct {
 	Catalog *Catalog
 	Prober  backend.Prober
-	// Members returns the live nodes of this node's zone, itself included.
-	// Nil, or an empty result, means that this node is alone and probes all.
+	// Members returns the live nodes of this node's zone, including this node. If it is nil or
+	// returns nothing, this node probes all servers.
 	Members func() []target.NodeID
-	// Interval is the mean time between two probes of a server by one node.
+	// Interval is the mean time between two probes of a server by the same node.
 	Interval time.Duration
-	// Timeout bounds a probe.
+	// Timeout is the time limit of a probe.
 	Timeout time.Duration
-	// Probers is the number of nodes that probe a server. It falls to one when
-	// this node would have to send more than ProbesPerSecond, and Interval
-	// grows when it would have to even then.
+	// Probers is the number of nodes that probe each server. It is reduced to one if this node
+	// would otherwise exceed ProbesPerSecond; if that does not suffice, Interval is extended.
 	Probers         int
 	ProbesPerSecond int
-	// MaxConcurrentProbes bounds the probes that run at once.
+	// MaxConcurrentProbes is the maximum number of concurrent probes.
 	MaxConcurrentProbes int
-	// Random is the source of jitter; nil means a random seed.
+	// Random is the source of jitter. Nil means a randomly seeded one.
 	Random *rand.Rand
 }
 
@@ -74,36 +73,35 @@
 	return o
 }
 
-// ProbeLoop probes this node's share of the servers. Each server is probed by
-// few nodes of a zone, chosen by rendezvous hashing over the live ones; the
-// others hear of changes as news. Nobody is told who probes what: every node
-// works it out from the same membership.
+// ProbeLoop probes this node's share of the servers. Each server is probed by a few nodes of the
+// zone, chosen by rendezvous hashing over the live ones; the others receive changes as updates.
+// There is no coordination: every node computes the assignment from the same membership.
 type ProbeLoop struct {
 	options ProbeOptions
-	// slots bounds the probes that run at once.
+	// slots limits the number of concurrent probes.
 	slots chan struct{}
-	// running waits for the probes when the loop ends.
+	// running tracks the probes in flight.
 	running sync.WaitGroup
 
-	// The fields below belong to the goroutine of Run.
+	// The fields below are used only by the goroutine of Run.
 	schedule   map[target.ServerID]*scheduled
 	members    []target.NodeID
 	nodes      *rendezvous.Set[target.NodeID]
 	membership uint64
 	refreshAt  time.Time
 	probers    int
-	// interval is Options.Interval, or longer; see ProbeOptions.Probers.
+	// interval is ProbeOptions.Interval, or longer; see ProbeOptions.Probers.
 	interval time.Duration
 }
 
-// scheduled is one server that this node probes.
+// scheduled is one server that this node probes regularly.
 type scheduled struct {
 	next time.Time
-	// busy is set while a probe runs.
+	// busy is set while a probe of the server is in flight.
 	busy atomic.Bool
 }
 
-// NewProbeLoop returns a loop; Run starts it.
+// NewProbeLoop returns a ProbeLoop. Run starts it.
 func NewProbeLoop(options ProbeOptions) *ProbeLoop {
 	options = options.withDefaults()
 	return &ProbeLoop{
@@ -113,8 +111,7 @@
 	}
 }
 
-// Run probes until ctx ends, waits for the probes that run, and returns the
-// error of ctx.
+// Run probes until ctx ends, waits for the probes in flight, and returns the error of ctx.
 func (l *ProbeLoop) Run(ctx context.Context) error {
 	defer l.running.Wait()
 	ticker := time.NewTicker(probeTick)
@@ -146,8 +143,8 @@
 	l.startRequested(ctx, now)
 }
 
-// startRequested begins the single probes that are asked for by now. A server that
-// this node probes anyhow gets one ahead of time if its contents are doubted.
+// startRequested starts the requested single probes that are due. A server that this node probes
+// regularly is probed ahead of schedule only if its contents are suspected to be stale.
 func (l *ProbeLoop) startRequested(ctx context.Context, now time.Time) {
 	for _, requested := range l.options.Catalog.takeRequestedProbes() {
 		entry, own := l.schedule[requested.server]
@@ -165,8 +162,9 @@
 	}
 }
 
-// tells reports whether this node tells of other contents that a wanted probe
-// finds: not if they were doubted and enough other nodes will.
+// announces reports whether this node announces changed contents that a requested probe finds. It
+// does not if they were suspected to be stale and enough other nodes announce them; see
+// staleAnnouncers.
 func (l *ProbeLoop) announces(requested requestedProbe) bool {
 	if !requested.suspectedStale || len(l.members) == 0 {
 		return true
@@ -174,7 +172,7 @@
 	return l.nodes.InTop(string(requested.server), l.options.Catalog.options.Node, staleAnnouncers)
 }
 
-// retryAfter returns when to try a probe again that could not be sent.
+// retryAfter returns the delay before the retry of a probe that could not be sent.
 func (l *ProbeLoop) retryAfter(requested requestedProbe) time.Duration {
 	if requested.suspectedStale {
 		return probeTick
@@ -186,8 +184,7 @@
 	return time.Duration(float64(interval) * (1 + intervalJitter*(2*l.options.Random.Float64()-1)))
 }
 
-// reconcile works out this node's share again if the nodes or the servers
-// changed.
+// reconcile recomputes this node's share if the nodes or the servers changed.
 func (l *ProbeLoop) reconcile(now time.Time) {
 	members := l.options.Members()
 	membership := l.options.Catalog.membership.Load()
@@ -214,8 +211,8 @@
 	l.schedule = kept
 }
 
-// pace returns how many nodes probe each server, and how often each does, so
-// that this node sends no more than ProbesPerSecond.
+// pace returns the number of nodes that probe each server and the interval of each, such that this
+// node sends at most ProbesPerSecond.
 func (l *ProbeLoop) pace(servers, members int) (probers int, interval time.Duration) {
 	own := float64(servers) / float64(max(members, 1))
 	bound := float64(l.options.ProbesPerSecond)
@@ -226,8 +223,8 @@
 	return 1, max(l.options.Interval, minInterval)
 }
 
-// start begins a probe unless too many run or one of this server does; it then
-// is tried again at the next tick.
+// start starts a probe, and reports false if MaxConcurrentProbes or a probe of the same server is
+// in flight. The caller retries.
 func (l *ProbeLoop) start(ctx context.Context, server target.ServerID, entry *scheduled, announceContents bool) bool {
 	if !entry.busy.CompareAndSwap(false, true) {
 		return false
--- a/pkg/catalog/record.go
+++ b/pkg/catalog/record.go
@@ -14,10 +14,10 @@
 	distanceFar    = 2
 )
 
-// Cause says why a server is not simply active.
+// Cause is the reason why a server is not simply active.
 type Cause string
 
-// The causes, in the order in which they are looked for.
+// The causes, in the order in which they are checked.
 const (
 	CauseNone        Cause = ""
 	CauseUnlisted    Cause = "unlisted"
@@ -29,25 +29,25 @@
 	CauseFailures    Cause = "failures"
 )
 
-// listing is what the machine list says of a server.
+// listing is what the machine list states about a server.
 type listing struct {
 	machinelist.Entry
-	// everListed is false for a server that only peers have told of.
+	// everListed is false for a server that is known only from peers.
 	everListed bool
 	listed     bool
-	// unlistedSince is when the server was first missing.
+	// unlistedSince is when the server was first missing from the list.
 	unlistedSince time.Time
-	// leaving is set when the list begins to call the server leaving. It ends
-	// with fresh evidence: the list takes it back and a probe confirms that
-	// (awaitsProbe meanwhile), or the server has a new instance.
+	// leaving is set when the list changes the server's state to leaving. It is cleared only by new
+	// evidence: the list withdraws the statement and a probe confirms that (awaitsProbe is set in
+	// between), or the server has a new instance.
 	leaving     bool
 	awaitsProbe bool
-	// retractedAt is when the list took its statement back.
+	// retractedAt is when the list withdrew the statement.
 	retractedAt time.Time
 }
 
-// record is everything that this node knows of one server. The catalog's mutex
-// guards all fields but results, which is safe for concurrent use.
+// record is everything that this node knows about one server. The catalog's mutex guards all fields
+// but results, which is safe for concurrent use.
 type record struct {
 	server    target.ServerID
 	listing   listing
@@ -55,18 +55,18 @@
 	results   results
 	outlier   outlier
 	staleness staleness
-	// bases are those of the known instances in Catalog.bases.
+	// bases are the keys of this server's instances in Catalog.bases.
 	bases []uint64
 
-	// drainUnattributed is set if the server said that it drains before any
-	// instance of it was known.
+	// drainUnattributed is set if the server reported that it drains before any of its instances
+	// was known.
 	drainUnattributed bool
 	// instanceSince is when this node learnt of the current instance.
 	instanceSince time.Time
 	probe         probeRecord
-	// lastAnswer is about when a sub-request was last answered.
+	// lastAnswer is the approximate time of the last successful sub-request.
 	lastAnswer time.Time
-	// built is the entry of the last view, and builtLoad the load in it.
+	// built is the entry in the last view, and builtLoad the load in it.
 	built     *Server
 	builtLoad float64
 	// state and cause are those of the last view.
@@ -74,15 +74,16 @@
 	cause Cause
 }
 
-// probeRecord is how this node's own probes of a server went.
+// probeRecord holds the results of this node's own probes of a server.
 type probeRecord struct {
 	failures int
 	lastOK   time.Time
-	// requestedAt is when to probe the server once although this node is not one
-	// of its probers; zero for never.
+	// requestedAt is when to send a requested single probe; zero if none is requested. This node
+	// need not be one of the server's regular probers.
 	requestedAt time.Time
-	// announceAfter is when this node may announce the server as dead again,
-	// and announced how often it has in vain.
+	// announceAfter is the earliest time at which this node may announce the server as dead again.
+	// refutations counts the announcements that another node refuted since the last successful
+	// probe; it is capped.
 	announceAfter time.Time
 	refutations   int
 }
@@ -93,7 +94,7 @@
 	return created
 }
 
-// leavingCause returns why the server counts as leaving, or CauseNone.
+// leavingCause returns why the server is considered leaving, or CauseNone.
 func (r *record) leavingCause() Cause {
 	current := r.facts.current()
 	switch {
@@ -107,8 +108,8 @@
 	return CauseNone
 }
 
-// ejectionCause returns why the server should not be asked if there is another
-// one, or CauseNone. Good answers weigh more than probes and what peers say.
+// ejectionCause returns why the server should not be used if there is another one, or CauseNone.
+// Recent successful answers outweigh probes and updates from peers.
 func (r *record) ejectionCause(now time.Time, options *Options) Cause {
 	if r.outlier.ejected(now) {
 		return CauseFailures
@@ -134,8 +135,8 @@
 	return !r.lastAnswer.IsZero() && now.Sub(r.lastAnswer) < options.AnswerFreshness
 }
 
-// gone reports whether the server is to be removed: it is missing from the
-// machine list, and either silent or missing for too long.
+// gone reports whether the server is to be removed: it is missing from the machine list, and either
+// silent for UnlistedSilentTimeout or missing for UnlistedTimeout.
 func (r *record) gone(now time.Time, options *Options) bool {
 	if r.listing.listed {
 		return false
@@ -144,7 +145,7 @@
 	return missing >= options.UnlistedTimeout || (missing >= options.UnlistedSilentTimeout && r.silent(now, options))
 }
 
-// silent reports whether nothing shows that the server still runs.
+// silent reports whether nothing indicates that the server still runs.
 func (r *record) silent(now time.Time, options *Options) bool {
 	if r.answeredRecently(now, options) {
 		return false
@@ -153,7 +154,7 @@
 	return current == nil || current.dead() || r.probe.failures >= options.ProbeFailures
 }
 
-// weight returns the share of normal traffic: it grows over the warm-up.
+// weight returns the share of normal traffic, which grows during the warm-up.
 func (r *record) weight(now time.Time, warmUp time.Duration) float64 {
 	const minWeight = 0.05
 	current := r.facts.current()
@@ -167,8 +168,8 @@
 	return max(minWeight, float64(age)/float64(warmUp))
 }
 
-// instanceChanged is called when the current instance is another than before,
-// which is fresh evidence: it ends what was said of the earlier one.
+// instanceChanged is called when the current instance has changed. A new instance is new evidence:
+// it clears the state that concerns the previous one.
 func (r *record) instanceChanged(previousID string, now time.Time) {
 	r.instanceSince = now
 	if previousID == "" {
@@ -182,8 +183,8 @@
 	r.results.resetConsecutive()
 }
 
-// attributeDrain takes a drain that was said before any instance was known for one
-// of the first instance.
+// attributeDrain attributes a drain that was reported before any instance was known to the first
+// instance.
 func (r *record) attributeDrain() {
 	if r.drainUnattributed {
 		r.facts.current().Draining = true
@@ -191,7 +192,7 @@
 	}
 }
 
-// distance returns how far the server is from a zone and region.
+// distance returns the distance of the server from a zone and region.
 func (l *listing) distance(zone target.Zone, region target.Region) int {
 	switch {
 	case l.Zone == zone:
--- a/pkg/catalog/report.go
+++ b/pkg/catalog/report.go
@@ -7,15 +7,15 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// ServerReport is what a node knows of one server, for operators.
+// ServerReport is what a node knows about one server, for operators.
 type ServerReport struct {
 	Server  target.ServerID `json:"server"`
 	Service target.Service  `json:"service"`
 	Group   string          `json:"group,omitempty"`
 	Zone    target.Zone     `json:"zone"`
 	State   string          `json:"state"`
-	// Cause says why the state is not active, or why the server would be
-	// ejected if enough other replicas were left.
+	// Cause is the reason why the state is not active, or why the server would be ejected if enough
+	// other replicas were left.
 	Cause      Cause   `json:"cause,omitempty"`
 	Weight     float64 `json:"weight"`
 	Instance   string  `json:"instance,omitempty"`
@@ -24,7 +24,7 @@
 	// OperatorDrained and OperatorAuthor are the operators' mark.
 	OperatorDrained bool   `json:"operator_drained,omitempty"`
 	OperatorAuthor  string `json:"operator_author,omitempty"`
-	// ProbeFailures counts this node's failed probes since the last good one.
+	// ProbeFailures is the number of this node's failed probes since the last successful one.
 	ProbeFailures int `json:"probe_failures,omitempty"`
 	// EjectedUntil is zero if the server is not ejected for failures.
 	EjectedUntil  time.Time      `json:"ejected_until,omitzero"`
@@ -35,9 +35,8 @@
 	ReportedLoad float64 `json:"reported_load"`
 }
 
-// Reports returns what is known of every server of the machine list, by
-// service and server. Servers that are gone are included while they are
-// remembered.
+// Reports returns a report on every server of the machine list, sorted by service and server.
+// Servers that are gone are included until their records are deleted.
 func (c *Catalog) Reports() []ServerReport {
 	var reports []ServerReport
 	for _, service := range c.Services() {
@@ -90,12 +89,12 @@
 	return report
 }
 
-// Membership returns a number that changes whenever the set of servers does.
+// Membership returns a number that changes whenever the set of servers changes.
 func (c *Catalog) Membership() uint64 { return c.membership.Load() }
 
-// Parts returns the parts of the newest version of every service, with the
-// servers that hold them and are not gone, for rendezvous.ChooseSubset. Servers
-// whose contents are unknown count as one part for each group.
+// Parts returns the parts of the newest version of every service with the servers that hold them
+// and are not gone, as input for rendezvous.ChooseSubset. For a server with unknown contents, its
+// whole group counts as one part.
 func (c *Catalog) Parts() []rendezvous.Part {
 	var parts []rendezvous.Part
 	for _, service := range c.Services() {
--- a/pkg/catalog/staleness.go
+++ b/pkg/catalog/staleness.go
@@ -7,40 +7,40 @@
 )
 
 const (
-	// staleProbeInterval is the least time between two probes of a server for
-	// refusals that contradict what is known of its contents.
+	// staleProbeInterval is the minimum time between two probes of a server that are caused by
+	// refusals that contradict its known contents.
 	staleProbeInterval = 200 * time.Millisecond
-	// maxStaleProbeDoublings bounds how often the interval doubles while the probes
-	// find that the contents are the same.
+	// maxStaleProbeDoublings is the number of times that the interval doubles while probes find
+	// unchanged contents.
 	maxStaleProbeDoublings = 2
-	// staleAnnouncers is the number of nodes, the first by rank for a server, that
-	// tell peers of new contents found for a doubt. Many nodes are refused at
-	// the same time, and the regular probers tell in any case.
+	// staleAnnouncers is the number of nodes, the highest in rendezvous rank for a server, that
+	// announce new contents found by such a probe. Many nodes are refused at the same time, and the
+	// regular probers announce the change in any case.
 	staleAnnouncers = 4
 )
 
-// doubt is whether refusals contradict what is known of a server's contents.
-// The catalog's mutex guards it.
+// staleness tracks whether refusals contradict the known contents of a server. The catalog's mutex
+// guards it.
 type staleness struct {
 	suspected bool
-	// about are the contents that are doubted; nil if they are unknown. Other
-	// contents end the doubt.
+	// contents are the contents under suspicion; nil if they are unknown. Different contents end
+	// the suspicion.
 	contents *Contents
 	since    time.Time
 	// notBefore is the earliest time of the next probe.
 	notBefore time.Time
-	// unchangedProbes counts the probes in a row that found the same contents.
+	// unchangedProbes counts the consecutive probes that found the same contents.
 	unchangedProbes int
 }
 
-// contradictsContents reports whether a refusal shows that the server does not
-// hold what this node believes.
+// contradictsContents reports whether a refusal shows that the server does not hold what this node
+// has on record.
 func contradictsContents(reason outcome.Reason) bool {
 	return reason == outcome.ReasonRangeNotHeld || reason == outcome.ReasonVersionGone
 }
 
-// suspectContents asks for a probe at once, unless one is asked for already or
-// there was one just before.
+// suspectContents requests a probe immediately, unless one is requested already. After a recent
+// probe the new one waits for staleProbeInterval.
 func (c *Catalog) suspectContents(r *record) {
 	if r.results.suspectedStale.Load() {
 		return
@@ -65,7 +65,7 @@
 	})
 }
 
-// wakeProbeLoop has the probe loop look at once for servers that want a probe.
+// wakeProbeLoop makes the probe loop process requested probes immediately.
 func (c *Catalog) wakeProbeLoop() {
 	select {
 	case c.probeWakeup <- struct{}{}:
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// clearIfContentsChanged ends the doubt if the contents are others by now.
+// clearIfContentsChanged ends the suspicion if the contents have changed since it arose.
 func (r *record) clearIfContentsChanged() {
 	if !r.staleness.suspected || r.currentContents() == r.staleness.contents {
 		return
@@ -90,8 +90,8 @@
 	r.staleness.unchangedProbes = 0
 }
 
-// staleProbeDone ends the doubt if a probe was sent since it arose, whatever its
-// result: the next refusal brings it back.
+// staleProbeDone ends the suspicion if a probe was sent after it arose, whatever its result. The
+// next contradicting refusal starts it again.
 func (r *record) staleProbeDone(sentAt time.Time) {
 	if !r.staleness.suspected || sentAt.Before(r.staleness.since) {
 		return
@@ -105,7 +105,7 @@
 	r.results.suspectedStale.Store(false)
 }
 
-// staleProbeStarted notes that a probe for a doubt is being sent.
+// staleProbeStarted sets the earliest time of the next probe when one is sent.
 func (r *record) staleProbeStarted(now time.Time) {
 	r.staleness.notBefore = now.Add(staleProbeInterval << r.staleness.unchangedProbes)
 }
--- a/pkg/catalog/update.go
+++ b/pkg/catalog/update.go
@@ -8,24 +8,24 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// UpdateKind says what changed. It is for logs and metrics: merging looks only
-// at the other fields of Update.
+// UpdateKind says what changed. It is used for logs and metrics only; merging considers the other
+// fields of Update.
 type UpdateKind uint32
 
-// The kinds of news.
+// The kinds of updates.
 const (
 	KindOther UpdateKind = iota
-	// KindDiscovered: the first instance of a server was probed.
+	// KindDiscovered means that the first instance of a server answered a probe.
 	KindDiscovered
-	// KindDraining: an instance said that it takes no new work.
+	// KindDraining means that an instance reported that it takes no new work.
 	KindDraining
-	// KindDead: an instance does not answer probes.
+	// KindDead means that an instance does not answer probes.
 	KindDead
-	// KindReturned: a server answers again, or has a new instance.
+	// KindReturned means that a server answers again or has a new instance.
 	KindReturned
-	// KindContents: an instance reports other contents or limits.
+	// KindContents means that an instance reports different contents or limits.
 	KindContents
-	// KindOperator: an operator drained a server or took that back.
+	// KindOperator means that an operator drained a server or cleared the drain.
 	KindOperator
 )
 
@@ -39,52 +39,51 @@
 	return kindNames[k]
 }
 
-// Update is what one node tells others about one server: facts about one of its
-// instances and the operators' mark.
+// Update is what one node sends to others about one server: facts about one of its instances and
+// the operators' mark.
 //
-// Facts only grow (see Instance and OperatorMark), so a catalog that applies
-// the same news in any order, once or often, ends in the same state.
+// Facts only grow (see Instance and OperatorMark), so catalogs that apply the same updates in any
+// order, once or repeatedly, reach the same state.
 type Update struct {
 	Server   target.ServerID
 	Kind     UpdateKind
 	Observer target.NodeID
 	Instance Instance
 	Operator OperatorMark
-	// Change is set if the news is no more than other index versions of a
-	// process. On the wire it then takes the place of all other fields.
+	// Change is set if only the index versions of a process changed. On the wire it then replaces
+	// all other fields.
 	Change VersionChange
 }
 
-// VersionChange tells that a process serves other index versions than before,
-// while all else that it reports is the same. It is small: whoever knows the
-// process knows the rest.
+// VersionChange states that a process serves different index versions than before while everything
+// else that it reports is unchanged. It is small because a receiver that knows the process knows
+// the rest.
 type VersionChange struct {
-	// Base names the process and the part of its contents that is the same, by
-	// a digest of them; zero if there is no change of this kind.
+	// Base is a digest that identifies the process and the unchanged part of its contents. Zero
+	// means that the update is not a version change.
 	Base uint64
-	// Revision numbers the new contents, as in Instance.
+	// Revision is the revision of the new contents, as in Instance.
 	Revision uint64
-	// Versions are served now. All of them have the shards known for Base.
+	// Versions are the versions served now. All of them have the shards known for Base.
 	Versions []target.Version
 }
 
-// Instance is what is known of one process of a server, from its start to its
-// end. Two of them with the same ID merge field by field.
+// Instance is what is known about one process of a server, from its start to its end. Two values
+// with the same ID merge field by field.
 type Instance struct {
-	// ID is backend.Status.Instance. Empty if the news is not about one.
+	// ID is backend.Status.Instance. It is empty if the update does not concern an instance.
 	ID string
-	// Generation orders the instances of a server: an observer that finds a new
-	// one gives it one more than the highest that it knows. The highest is the
-	// current instance. Zero means that the order is not known. The greater
-	// wins.
+	// Generation orders the instances of a server. An observer that finds a new instance gives it
+	// the highest generation it knows plus one. The instance with the highest generation is the
+	// current one. Zero means that the order is not known. When merging, the higher value wins.
 	Generation uint64
-	// Draining is true once the process said that it drains. It is never taken
-	// back.
+	// Draining is set once the process reports that it drains. It is never cleared.
 	Draining bool
-	// Liveness is even while the process answers its probers and odd while it
-	// does not. The greater wins.
+	// Liveness is even while the process answers its probers and odd while it does not. When
+	// merging, the higher value wins.
 	Liveness uint64
-	// Revision numbers Contents; zero if there are none. The greater wins.
+	// Revision is the revision of Contents; zero if there are none. When merging, the higher value
+	// wins.
 	Revision uint64
 	Contents *Contents
 }
@@ -93,24 +92,24 @@
 type Contents struct {
 	Service target.Service
 	Ready   bool
-	// Uptime is the time since the process started, when the news was sent. It
-	// does not count when contents are compared.
+	// Uptime is the time since the process started, as of sending. It is ignored when contents are
+	// compared.
 	Uptime      time.Duration
 	Slots       int
 	Connections int
 	Indexes     []backend.Index
 }
 
-// OperatorMark is what operators want of a server. The greater Sequence wins;
-// of two equal ones the one that drains.
+// OperatorMark is the drain state that operators requested for a server. The higher Sequence wins;
+// of two equal ones, the one that drains wins.
 type OperatorMark struct {
-	// Sequence is zero if no operator ever marked the server.
+	// Sequence is zero if no operator has marked the server.
 	Sequence uint64
 	Drained  bool
 	Author   string
 }
 
-// supersedes reports whether m is to replace other.
+// supersedes reports whether m replaces other.
 func (m OperatorMark) supersedes(other OperatorMark) bool {
 	if m.Sequence != other.Sequence {
 		return m.Sequence > other.Sequence
@@ -132,7 +131,7 @@
 	}
 }
 
-// equal compares all but the uptime.
+// equal compares all fields except the uptime.
 func (c *Contents) equal(other *Contents) bool {
 	if c == nil || other == nil {
 		return c == other
