--- a/pkg/fanout/admission.go
+++ b/pkg/fanout/admission.go
@@ -8,13 +8,13 @@
 	"github.com/bramblemast/bramblemast/pkg/loadshed"
 )
 
-// class returns the class by which the request is let in or not.
+// class returns the admission class of the request.
 func (r *run) class() loadshed.Class {
 	return loadshed.Class{Priority: r.plan.Priority, Tenant: r.plan.Tenant}
 }
 
-// contentHash returns a hash of what the request asks, on whose behalf. It is the same for all
-// tries of a client.
+// contentHash returns a hash of the request's content and tenant. It is the same for all retries of
+// a client.
 func (r *run) contentHash() uint64 {
 	var hash xxhash.Digest
 	hash.Reset() // A zero Digest is not ready.
@@ -27,7 +27,8 @@
 	return hash.Sum64()
 }
 
-// isAdmitted decides whether the request is begun, by what is known of the room at its services.
+// isAdmitted decides whether the request is admitted, from what is known of the load on its
+// services.
 func (r *run) isAdmitted() bool {
 	room := r.runner.Admission
 	if room == nil {
@@ -38,30 +39,30 @@
 	return r.admission.IsAdmitted
 }
 
-// isLimited reports whether only a part of the requests like this one is let in.
+// isLimited reports whether only a share of the requests like this one is admitted.
 func (r *run) isLimited(now time.Time) bool {
 	return r.runner.Admission != nil && (r.admission.Share < 1 || r.admit(now).Share < 1)
 }
 
-// limitedHedgeShare is the part of the time to the target after which, at the earliest, a sub-request
-// to a service that is short of room is hedged. A working server that is full answers within that,
-// since pkg/fleet keeps fewer requests at it, and each hedge takes the place of a request that is
+// limitedHedgeShare is the share of the time to the target that a sub-request to a limited service
+// waits at least before it is hedged. A healthy but full server answers within that time, since
+// pkg/fleet limits the requests at it, and each hedge takes the capacity of a request that is then
 // refused.
 const limitedHedgeShare = 0.5
 
-// isServiceLimited reports whether the service of a part has room for only a part of the requests like
-// this one.
+// isServiceLimited reports whether the service of a part has capacity for only a share of the
+// requests like this one.
 func (r *run) isServiceLimited(part *part, now time.Time) bool {
 	return r.runner.Admission != nil && r.runner.Admission.Admitter.ShareOf(r.loadKey(part.service), r.class(), now) < 1
 }
 
-// admit decides about the request by what is known of its services at a moment.
+// admit decides about the request from what is known of its services at the given time.
 func (r *run) admit(now time.Time) loadshed.Decision {
 	return r.runner.Admission.Admitter.Admit(r.plan.Services, r.regions().Key(), r.plan.Required, r.class(), r.samplingValue, now)
 }
 
-// markSkipped marks the services that have no room for the request and without which it can be
-// answered as spared: they are left to requests that need them.
+// markSkipped marks the parts of limited services that the request can be answered without: their
+// capacity is left to requests that need it.
 func (r *run) markSkipped() {
 	skipped := r.admission.Skipped
 	if r.plan.Collect != nil {
@@ -75,7 +76,7 @@
 	}
 }
 
-// skippedIn returns the positions in a group whose services are spared.
+// skippedIn returns the positions in a group whose services are skipped.
 func (r *run) skippedIn(group []int) []int {
 	var skipped []int
 	for position, index := range group {
@@ -86,7 +87,7 @@
 	return skipped
 }
 
-// hasAllButSkipped reports whether some parts are spared and all others are answered.
+// hasAllButSkipped reports whether some parts are skipped and all others are answered.
 func (r *run) hasAllButSkipped() bool {
 	if r.skipped == 0 || r.answered < len(r.parts)-r.skipped {
 		return false
@@ -99,9 +100,9 @@
 	return true
 }
 
-// restoreSkipped asks the spared services after all, once the request cannot be answered without
-// them any more. An owner that is still answering has a server at work or waits for one: it keeps
-// the part, and is given the time of a report before this node asks a further server.
+// restoreSkipped queries the skipped services after all, once the request can no longer be answered
+// without them. An owner with an open question already has a server at work or waits for one: it
+// keeps the part, and this node queries a further server only after the time of a report.
 func (r *run) restoreSkipped() {
 	if r.skipped == 0 || r.plan.Collect != nil || r.answered+r.open-r.countSkippedMissing() >= r.plan.Required {
 		return
@@ -123,8 +124,8 @@
 	}
 }
 
-// askDirectly lets this node ask the servers of a part whose owner has not answered within the time
-// that it was given. What the owner reports later is still taken.
+// askDirectly lets this node query the servers of a part whose owner has not answered in time.
+// Later reports of the owner are still accepted.
 func (r *run) askDirectly(index int, now time.Time) {
 	part := &r.parts[index]
 	if part.executions >= r.plan.MaxAttempts {
@@ -134,7 +135,7 @@
 	r.retry(index, now)
 }
 
-// countSkippedMissing counts the open parts without an answer that are spared.
+// countSkippedMissing counts the skipped parts that are open and have no answer.
 func (r *run) countSkippedMissing() int {
 	count := 0
 	for index := range r.parts {
@@ -145,9 +146,9 @@
 	return count
 }
 
-// recordAdmittedLoad counts a part whose servers this node asks in the load of its service. Parts that
-// it asks in the place of an owner are not counted: they are a small part of the load, by which
-// the rest cannot be judged.
+// recordAdmittedLoad counts a part that this node queries in the load of its service. Parts that it
+// queries in place of an owner are not counted: they are a small share of the load, which says
+// nothing about the rest.
 func (r *run) recordAdmittedLoad(index int, now time.Time) {
 	part := &r.parts[index]
 	isInOwnersPlace := (len(r.groups) > 0 || r.isWithheldFromOwners) && !part.owned
@@ -163,8 +164,8 @@
 	}, now)
 }
 
-// admittedShare returns the part of the requests like this one that a part's service was taken to
-// have room for: by this node, or by the one whose question it answers.
+// admittedShare returns the share of the requests like this one that a part's service was estimated
+// to have capacity for: by this node, or by the node whose question it answers.
 func (r *run) admittedShare(index int, now time.Time) float64 {
 	switch collect := r.plan.Collect; {
 	case collect == nil:
@@ -175,8 +176,8 @@
 	return 1
 }
 
-// admittedShares returns the part of the requests like this one that each service has room
-// for; nil if none is short of it.
+// admittedShares returns the share of the requests like this one that each service has capacity
+// for; nil if no service is limited.
 func (r *run) admittedShares(services []string, now time.Time) []float64 {
 	if r.runner.Admission == nil || r.runner.Admission.Admitter.AdmitsAll() {
 		return nil
@@ -188,7 +189,7 @@
 	return shares
 }
 
-// recordServedLoad counts a part that was noted as offered and is answered.
+// recordServedLoad counts an answered part whose load was recorded.
 func (r *run) recordServedLoad(part *part) {
 	if part.isLoadRecorded {
 		r.runner.Admission.Meters.RecordServed(r.loadKey(part.service), r.work)
--- a/pkg/fanout/decide.go
+++ b/pkg/fanout/decide.go
@@ -6,7 +6,7 @@
 	"github.com/bramblemast/bramblemast/pkg/policy"
 )
 
-// decide reports whether the answer is final.
+// decide reports whether the answer is final, and why.
 func (r *run) decide(now time.Time) (StopReason, bool) {
 	switch {
 	case r.plan.Collect == nil && r.hasAllButSkipped():
@@ -35,7 +35,8 @@
 	return "", false
 }
 
-// stops asks the stop rule.
+// stopRuleApplies reports whether the stop rule ends the wait now, and sets when it is evaluated
+// next.
 func (r *run) stopRuleApplies(now time.Time) bool {
 	if r.plan.Stop == nil {
 		return false
@@ -58,7 +59,7 @@
 	return decision.Stop
 }
 
-// areMissingAbsent reports whether every part that is missing has no server.
+// areMissingAbsent reports whether the services of all missing parts have no server.
 func (r *run) areMissingAbsent() bool {
 	for index := range r.parts {
 		each := &r.parts[index]
@@ -69,15 +70,15 @@
 	return true
 }
 
-// isUnservedAtTarget reports whether the request has come to its target without a server, while
-// not all requests get one: those in time go before it from now on, and its client can
-// retry.
+// isUnservedAtTarget reports whether the request has reached its target without a server while its
+// services are limited: from now on requests that are still in time are queued before it, and its
+// client can retry.
 func (r *run) isUnservedAtTarget(now time.Time) bool {
 	isLate := !r.plan.Target.IsZero() && !now.Before(r.plan.Target)
 	return isLate && r.hasNoExecution() && r.isLimited(now)
 }
 
-// hasNoExecution reports whether no server runs or has run any part.
+// hasNoExecution reports whether no server has executed any part or may be executing it.
 func (r *run) hasNoExecution() bool {
 	for index := range r.parts {
 		each := &r.parts[index]
@@ -88,7 +89,7 @@
 	return true
 }
 
-// nextEvent returns the next moment at which something is to be decided.
+// nextEvent returns the time of the next decision.
 func (r *run) nextEvent(now time.Time) time.Time {
 	next := r.plan.Deadline
 	if r.plan.Target.After(now) && r.hasNoExecution() {
@@ -108,7 +109,7 @@
 	return next
 }
 
-// earlier returns the earlier of two moments; a zero candidate stands for none.
+// earlier returns the earlier of two times; a zero candidate means none.
 func earlier(known, candidate time.Time) time.Time {
 	if candidate.IsZero() || known.Before(candidate) {
 		return known
--- a/pkg/fanout/inbox.go
+++ b/pkg/fanout/inbox.go
@@ -2,10 +2,9 @@
 
 import "sync"
 
-// inbox keeps the reports of owners until the event loop takes them, so that
-// nobody who brings one has to wait.
+// inbox queues the reports of owners for the event loop, so that their senders never block.
 type inbox struct {
-	// arrived has an element while there are reports.
+	// arrived holds an element while there may be reports.
 	arrived chan struct{}
 
 	mutex sync.Mutex
@@ -14,7 +13,7 @@
 	closed  bool
 }
 
-// questionReport is a report with the question that it answers.
+// questionReport is a report and the question that it answers.
 type questionReport struct {
 	question *question
 	report   Report
@@ -22,7 +21,7 @@
 
 func newInbox() *inbox { return &inbox{arrived: make(chan struct{}, 1)} }
 
-// put keeps a report; after close it does nothing.
+// put queues a report. After close it drops the report.
 func (i *inbox) put(from *question, report Report) {
 	i.mutex.Lock()
 	if !i.closed {
@@ -35,7 +34,7 @@
 	}
 }
 
-// take returns the reports that have come, in their order.
+// take returns the queued reports in order of arrival.
 func (i *inbox) take() []questionReport {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -44,7 +43,7 @@
 	return taken
 }
 
-// close drops what was not taken.
+// close drops the queued reports and all later ones.
 func (i *inbox) close() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/pkg/fanout/owners.go
+++ b/pkg/fanout/owners.go
@@ -9,91 +9,92 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// Owners divides services among the nodes that ask their servers on behalf of
-// others, and asks those nodes. It is safe for concurrent use.
+// Owners divides services among the nodes that query their servers on behalf of others, and sends
+// questions to those nodes. It is safe for concurrent use.
 type Owners interface {
-	// Divide returns the groups of services that have an owner to which a request bound
-	// to some regions may be sent on. Services in none are asked by this node, on its own
-	// behalf alone.
+	// Divide returns the groups of services whose owner may be sent a request that is restricted to
+	// the given regions. Services in no group are queried by this node, for its own requests only.
 	Divide(services []string, regions route.Regions) []Group
-	// Ask sends a question to the owner of its group. report takes what the owner
-	// has got; it does not block and may be called before Ask returns.
+	// Ask sends a question to the owner of its group. The owner's results are passed to report,
+	// which does not block and may be called before Ask returns.
 	Ask(question Question, report func(Report)) Pending
 }
 
-// Group is some services with one owner.
+// Group is a set of services with the same owner.
 type Group struct {
-	// Owner is the name of the node to ask; empty if it is this node.
+	// Owner is the name of the node that owns the services; empty if it is this node.
 	Owner string
-	// Indexes are the positions of the services among those that were divided.
+	// Indexes are the positions of the services in the list passed to Divide.
 	Indexes []int
 }
 
-// Question is what an owner is asked.
+// Question is a request to an owner for the answers of its services.
 type Question struct {
 	Owner    string
 	Services []string
-	// Plan is that of the whole request; Required is that of the question.
+	// Plan is the plan of the whole request; Required is the number of parts that the question
+	// needs.
 	Plan     *Plan
 	Required int
 	Request  *exchange.Request
-	// Lot orders the request among others.
+	// SamplingValue orders the request among others, equally on all nodes.
 	SamplingValue uint64
-	// Spared are the positions of services that are left to those that need them.
+	// Skipped holds the positions of limited services that the request leaves to requests that need
+	// them.
 	Skipped []int
-	// AdmittedShares are, for each service, the part of the requests like this one that the
-	// asking node takes the service to have room for; nil for all.
+	// AdmittedShares holds, for each service, the share of requests like this one that the asking
+	// node estimates the service can take; nil means all.
 	AdmittedShares []float64
-	// ReportInterval is the time after which the owner reports what it has.
+	// ReportInterval is the time after which the owner reports the answers that it has.
 	ReportInterval time.Duration
 }
 
-// Leeway is how much later than ReportInterval a report may come before its owner is taken for
-// silent: the time for the ways there and back, and for the delays of two processes.
+// Leeway is how much later than ReportInterval a report may arrive before its owner counts as
+// silent. It covers the network round trip and the delays of two processes.
 func (q *Question) Leeway() time.Duration {
 	return time.Duration((silenceFactor - 1) * float64(q.ReportInterval))
 }
 
-// Pending is a question under way.
+// Pending is a question in progress.
 type Pending interface {
-	// Cancel ends it.
+	// Cancel ends the question.
 	Cancel()
-	// Grant lets the owner ask one further server of each service at the positions.
+	// Grant lets the owner query one further server of each service at the positions.
 	Grant(indexes []int)
-	// MarkSilent tells that no report came in time.
+	// MarkSilent says that the owner's report is overdue.
 	MarkSilent()
 }
 
-// Report is what an owner has got since its last report.
+// Report holds what an owner has received since its last report.
 type Report struct {
-	// Answers are sound answers by the position of their service in the question. The
-	// records of all of them stand merged in the bodies, whichever holds them.
+	// Answers are usable answers by the position of their service in the question. The bodies
+	// together hold the merged records of all of them; a record may be in any of the bodies.
 	Answers map[int]*exchange.Response
-	// Wanted are the positions of the services of which the owner wants to ask a
-	// further server.
+	// Wanted holds the positions of the services for which the owner wants to query a further
+	// server.
 	Wanted []int
-	// Failures tell of the services without an answer once Ended is set.
+	// Failures describes the services without an answer; set with Ended.
 	Failures map[int]OwnerFailure
-	// Ended says that the owner has answered whole.
+	// Ended says that this is the last report and the owner has finished.
 	Ended bool
-	// Err is why nothing more comes; an *outcome.Error.
+	// Err is why no further report will come; an *outcome.Error.
 	Err error
-	// CrashedServers are those that ended while they had the request, if the owner keeps it
-	// from others.
+	// CrashedServers are the servers that crashed while they had the request, if the owner
+	// withholds it from others.
 	CrashedServers []fleet.Incarnation
 	// Sent, Hedges, Retries and Denied count as in Result.
 	Sent, Hedges, Retries, Denied int
 }
 
-// OwnerFailure is why an owner has no answer of a service.
+// OwnerFailure is why an owner has no answer from a service.
 type OwnerFailure struct {
 	Cause error
-	// Shed says that a server had no room or none was free, NotRun that no server
-	// has run the request or will.
+	// Shed says that a server had no capacity or none was free; NotRun says that no server has
+	// executed the request or will.
 	Shed, NotRun bool
 }
 
-// OwnerRecord is the story of a question that was not answered whole in time.
+// OwnerRecord describes in logs a question without a complete answer in time.
 type OwnerRecord struct {
 	Owner    string `json:"owner"`
 	Services int    `json:"services"`
@@ -102,43 +103,46 @@
 
 // Constants of questions to owners.
 const (
-	// reportShare is the part of the time left to the target after which an owner reports
-	// what it has: early enough for the asking node to ask the servers itself.
+	// reportShare is the share of the time until the target after which an owner reports what it
+	// has: early enough for the asking node to query the servers itself.
 	reportShare = 0.3
-	// minReportInterval and maxReportInterval bound it: an owner needs some milliseconds of
-	// a small processor, and its silence is to be noticed also without a target.
+	// minReportInterval and maxReportInterval bound the report interval: an owner needs some
+	// milliseconds of a small processor, and its silence must be noticed even without a target.
 	minReportInterval = 20 * time.Millisecond
 	maxReportInterval = 250 * time.Millisecond
-	// silenceFactor times ReportInterval is when an owner without a report is taken
-	// for silent: the report's way, and the delays of two busy processes.
+	// silenceFactor times the report interval is the time without a report after which an owner
+	// counts as silent. The rest covers the report's network delay and the delays of two busy
+	// processes.
 	silenceFactor = 1.5
-	// stallTolerance is how late a timer may fire before silence is put down to this
-	// process, which has stood still itself: what came meanwhile is read first.
+	// stallTolerance is how late a timer may fire before the silence of owners is attributed to a
+	// stall of this process: reports that arrived during the stall are read first.
 	stallTolerance = 10 * time.Millisecond
 )
 
-// question is a question to the owner of some parts.
+// question is the state of a question to an owner.
 type question struct {
 	owner          string
 	indexes        []int
 	pending        Pending
 	reportInterval time.Duration
-	// silentAt is when the owner is taken for silent; zero once it was, or has ended.
+	// silentAt is when the owner counts as silent; zero once it did, or after the question has
+	// ended.
 	silentAt time.Time
 	ended    bool
 	result   string
-	// told are the positions of the services that the owner has answered for.
+	// answered holds the positions of the services that the owner has answered.
 	answered map[int]bool
 }
 
-// cancel ends the question if it is under way.
+// cancel ends the question if it is in progress.
 func (q *question) cancel() {
 	if !q.ended && q.pending != nil {
 		q.pending.Cancel()
 	}
 }
 
-// askOwners asks the owners of the plan's services.
+// askOwners sends questions to the owners of the plan's services. A run for another node queries
+// all servers itself; so does one whose request is withheld, without its owners.
 func (r *run) askOwners(now time.Time) {
 	if r.plan.Collect != nil {
 		if r.plan.Collect.SamplingValue != 0 {
@@ -166,15 +170,16 @@
 	}
 }
 
-// divide finds the owners of the plan's services. It is called only for a request that is sent on to
-// them: an owner that has just returned is named to one request at a time, and proves itself by it.
+// divide finds the owners of the plan's services. It is called only for requests that are sent on
+// to owners: an owner that has just returned is assigned to only one request at a time, to prove
+// that it works.
 func (r *run) divide() {
 	if r.plan.Collect == nil && r.runner.Owners != nil && r.plan.Repeatable {
 		r.groups = r.runner.Owners.Divide(r.plan.Services, r.regions())
 	}
 }
 
-// ask sends a question to an owner.
+// askOwner sends a question to the owner of a group.
 func (r *run) askOwner(group Group, now time.Time) {
 	sent := &question{owner: group.Owner, indexes: group.Indexes, reportInterval: r.nextReportInterval(now), answered: make(map[int]bool)}
 	sent.silentAt = now.Add(sent.silenceTimeout())
@@ -194,7 +199,8 @@
 	}, func(report Report) { r.inbox.put(sent, report) })
 }
 
-// nextReportInterval returns after which time an owner is to report.
+// nextReportInterval returns the time after which an owner reports, from the time left until the
+// target.
 func (r *run) nextReportInterval(now time.Time) time.Duration {
 	left := r.plan.Target.Sub(now)
 	if r.plan.Target.IsZero() || left <= 0 {
@@ -203,20 +209,20 @@
 	return min(max(time.Duration(reportShare*float64(left)), minReportInterval), maxReportInterval)
 }
 
-// patience is the time without a report after which the owner is silent.
+// silenceTimeout is the time without a report after which the owner counts as silent.
 func (q *question) silenceTimeout() time.Duration {
 	return time.Duration(silenceFactor * float64(q.reportInterval))
 }
 
-// handleReports takes what owners have reported.
+// handleReports handles the reports that owners have sent.
 func (r *run) handleReports(now time.Time) {
 	for _, taken := range r.inbox.take() {
 		r.handleReport(taken.question, taken.report, now)
 	}
 }
 
-// handleReport takes what one owner has got, and decides what becomes of the parts that it did not
-// get once nothing more comes.
+// handleReport handles one report of an owner. If it is the last one, it also retries or closes the
+// parts that the owner did not get.
 func (r *run) handleReport(from *question, report Report, now time.Time) {
 	if !from.silentAt.IsZero() {
 		from.silentAt = now.Add(from.silenceTimeout())
@@ -243,8 +249,8 @@
 	}
 }
 
-// acceptAnswers takes the answers of one report, all or none of them: their records
-// are merged. They take the place of what this node has got for the same parts itself.
+// acceptAnswers accepts all answers of a report or none of them, since their records are merged.
+// They replace answers that this node has got for the same parts itself.
 func (r *run) acceptAnswers(from *question, answers map[int]*exchange.Response, now time.Time) {
 	for position, answer := range answers {
 		if position < 0 || position >= len(from.indexes) || !r.runner.IsUsable(answer) || from.answered[position] {
@@ -261,8 +267,8 @@
 	}
 }
 
-// grant lets an owner ask further servers, as far as the plan allows them: what the
-// owner may do from now on this node does not do any more.
+// grantWanted lets an owner query further servers, as far as the plan allows. Each grant counts as
+// an execution, so that this node does not use the same attempt itself.
 func (r *run) grantWanted(to *question, wanted []int) {
 	var granted []int
 	for _, position := range wanted {
@@ -280,8 +286,8 @@
 	}
 }
 
-// needsGrant reports whether a run for another node may not ask a further server of a
-// part by itself, and asks for it.
+// needsGrant reports whether a run for another node needs a grant to query a further server of a
+// part, and requests the grant.
 func (r *run) needsGrant(index int) bool {
 	part := &r.parts[index]
 	if r.plan.Collect == nil || part.executions < 1+part.grantCount {
@@ -294,7 +300,7 @@
 	return true
 }
 
-// granted returns where a run for another node hears of grants.
+// grants returns the channel of grants of a run for another node; nil for other runs.
 func (r *run) grants() <-chan []int {
 	if r.plan.Collect == nil {
 		return nil
@@ -302,7 +308,7 @@
 	return r.plan.Collect.Granted
 }
 
-// handleGrant asks a further server of each of some parts.
+// handleGrant queries one further server of each granted part.
 func (r *run) handleGrant(indexes []int, now time.Time) {
 	for _, index := range indexes {
 		if index < 0 || index >= len(r.parts) || !r.parts[index].wanted {
@@ -321,7 +327,8 @@
 	}
 }
 
-// endQuestion decides what becomes of a part that its owner did not get.
+// endQuestion handles a part that its owner did not get: a question that was never executed starts
+// over, others are retried.
 func (r *run) endQuestion(index int, report Report, failure OwnerFailure, now time.Time) {
 	part := &r.parts[index]
 	part.question = nil
@@ -341,8 +348,8 @@
 	}
 }
 
-// handleSilence asks the servers of an owner that has not reported in time. What
-// it reports later is still taken.
+// handleSilence lets this node query the servers of owners whose reports are overdue. Their later
+// reports are still accepted.
 func (r *run) handleSilence(now time.Time) {
 	for _, each := range r.questions {
 		if each.silentAt.IsZero() || now.Before(each.silentAt) {
@@ -362,8 +369,8 @@
 	}
 }
 
-// tell reports to the node that this run collects for: what has come, once a
-// report is due, and from then on each answer at once; and what it wants, at once.
+// sendReport reports to the node that this run collects for: new answers once a report is due, and
+// after the first report each answer at once; requests for grants at once.
 func (r *run) sendReport(now time.Time) error {
 	collect := r.plan.Collect
 	if collect == nil {
@@ -377,8 +384,8 @@
 	return collect.Report(fresh, wants)
 }
 
-// isReportDue reports whether the other node is to be told now: at the time that it has set, of
-// what is wanted at once, and of answers at once when it was told before or no more are to come.
+// isReportDue reports whether a report must be sent now: at the report time, at once if a grant is
+// wanted, and at once for new answers if a report was sent before or no more are expected.
 func (r *run) isReportDue(now time.Time) bool {
 	if !now.Before(r.reportAt) || len(r.wantedParts) > 0 {
 		return true
@@ -386,7 +393,7 @@
 	return len(r.unreported) > 0 && (r.hasReported || r.hasAllButSkipped())
 }
 
-// ownerRecords tells of the questions that were not answered whole.
+// ownerRecords describes the questions without a complete answer.
 func (r *run) ownerRecords() []OwnerRecord {
 	var records []OwnerRecord
 	for _, each := range r.questions {
--- a/pkg/fanout/part.go
+++ b/pkg/fanout/part.go
@@ -11,64 +11,65 @@
 	"github.com/bramblemast/bramblemast/pkg/quarantine"
 )
 
-// part is the state of one service in a run.
+// part is the state of the request at one service.
 type part struct {
 	service string
 	answer  *exchange.Response
 	refusal *exchange.Response
 	failure error
-	// asked are the servers asked so far, live the attempts under way.
+	// tried are the servers that the part was sent to, and inFlight the attempts in progress.
 	tried    []triedServer
 	inFlight []*attempt
-	// sent are all attempts, for the record.
+	// attempts are all attempts, for the log records.
 	attempts []*attempt
-	// arrivals counts requests that may have reached a server, executions
-	// those that may have run.
+	// arrivals counts sub-requests that may have reached a server, executions those that may have
+	// been executed, and refusals those that a server refused since the part last waited for
+	// capacity.
 	arrivals   int
 	executions int
 	refusals   int
-	// shed says that a server refused the request for want of room, or that
-	// none was free.
+	// shed says that a server refused the part for lack of capacity, or that none was free.
 	shed bool
-	// ran says that a server is known to have run the request.
+	// hasRun says that a server is known to have executed the part.
 	hasRun bool
-	// hedgeAt is when a further server is to be asked; zero if never.
+	// hedgeAt is when a further server is queried or the part is retried; zero for never.
 	hedgeAt time.Time
-	// idleSince is since when no server is being asked and one is to be found;
-	// zero if one is being asked.
+	// idleSince is the time since which no server has been queried while one is wanted; zero if one
+	// is being queried.
 	idleSince time.Time
-	// waiter waits for a free server; nil if the part waits for none.
+	// waiter waits for a free server; nil if the part does not wait for one.
 	waiter *fleet.Waiter
-	// absent says that the service has no server, so that nothing is waited for
-	// but news of one.
+	// absent says that the service has no server, so that the part can only wait for one to be
+	// listed.
 	absent bool
-	// unpaid says that a further server is to be asked once the budget pays for
-	// it.
+	// needsRetry says that a retry is due at hedgeAt, as the budget, the servers' capacity or the
+	// quarantine prevented an earlier one.
 	needsRetry bool
-	// closed says that no further server is asked.
+	// closed says that no further server is queried.
 	closed bool
-	// question is the question to an owner that this part waits for; nil if this
-	// node asks servers itself.
+	// question is the question to an owner that the part waits for; nil if this node queries the
+	// servers itself.
 	question *question
-	// owned says that this node asks the service's servers for others too.
+	// owned says that this node owns the service: it queries its servers for other nodes too.
 	owned bool
-	// spared says that the service is left to those that need it, since it is short of room and
-	// the request can be answered without it: it is asked where nobody else waits.
+	// skipped says that the service is limited and the request can be answered without it: the part
+	// gets a server only where no request waits that needs it.
 	skipped bool
-	// broken are the attempts whose server ended the connection, and served says that a server of
-	// the service has answered; attempts read it too.
+	// brokenAttempts are the attempts whose server closed the connection. served says that a server
+	// of the service has answered; attempts read it from their goroutines.
 	brokenAttempts []*attempt
 	served         atomic.Bool
-	// kept says that the request is kept from the service's servers. trial is leave for one of
-	// them, isClaiming says that it was asked for, and isTrialRefused that there was none.
+	// withheld says that the request is withheld from the service's servers. trial is the permit to
+	// send it to one of them, isClaiming says that a permit was requested, and isTrialRefused that
+	// it was refused.
 	withheld       bool
 	trial          *quarantine.Trial
 	isClaiming     bool
 	isTrialRefused bool
-	// isLoadRecorded says that the part counts among the load of its service.
+	// isLoadRecorded says that the part was counted in the load of its service.
 	isLoadRecorded bool
-	// granted counts the further servers that may be asked in a run for another
-	// node; wanted says that one was asked for.
+	// grantCount counts the further servers that were granted in a run for another node, and wanted
+	// says that a grant was requested.
 	grantCount int
 	wanted     bool
 }
@@ -76,14 +77,14 @@
 // triedServer is a server that a part was sent to.
 type triedServer struct {
 	lease *fleet.Lease
-	// notRun says that it has not run the request and never will.
+	// notRun says that the server has not executed the part and never will.
 	notRun bool
 }
 
-// mayHaveRun reports whether a server has run the part, or may have.
+// mayHaveRun reports whether a server has executed the part, or may have.
 func (p *part) mayHaveRun() bool { return p.hasRun || p.executions > 0 }
 
-// outcome is what is known of a part without an answer.
+// outcome returns what is known of the execution of a part without an answer.
 func (p *part) outcome() outcome.Outcome {
 	switch {
 	case p.hasRun:
@@ -94,7 +95,7 @@
 	return outcome.NotRun
 }
 
-// markNotRun notes that a server has not run the request.
+// markNotRun records that a server has not executed the part.
 func (p *part) markNotRun(lease *fleet.Lease) {
 	for index := range p.tried {
 		if p.tried[index].lease == lease {
@@ -103,7 +104,7 @@
 	}
 }
 
-// forgetNotRun lets the servers be asked again that have not run the request.
+// forgetNotRun allows the servers that have not executed the part to be queried again.
 func (p *part) forgetNotRun() {
 	p.tried = slices.DeleteFunc(p.tried, func(each triedServer) bool { return each.notRun })
 }
--- a/pkg/fanout/quarantine.go
+++ b/pkg/fanout/quarantine.go
@@ -19,7 +19,7 @@
 }
 
 // standing returns what is known of the request; one that a server has answered is clear.
-func (r *run) state() quarantine.State {
+func (r *run) quarantineState() quarantine.State {
 	guard := r.runner.Quarantine
 	if guard == nil || guard.IsIdle() || r.answered > 0 {
 		return quarantine.Clear
@@ -30,7 +30,7 @@
 // isWithheld reports whether the request may be sent to no further server for now, since
 // servers have ended while they had it, or may have. A trial is leave for one.
 func (r *run) isWithheld() bool {
-	return r.trial == nil && (r.state() != quarantine.Clear || r.isUnproven())
+	return r.trial == nil && (r.quarantineState() != quarantine.Clear || r.isUnproven())
 }
 
 // unprovenHold is for how long a request is doubted after its first broken connection: most are
@@ -60,7 +60,7 @@
 // isStuck reports whether the request is kept back and nothing that could still clear it is
 // under way.
 func (r *run) isStuck() bool {
-	if r.state() <= quarantine.Doubtful || r.isClaiming || r.isInFlight() {
+	if r.quarantineState() <= quarantine.Doubtful || r.isClaiming || r.isInFlight() {
 		return false
 	}
 	return r.trial == nil || !r.hasTrialPart()
@@ -74,7 +74,7 @@
 
 // mayClaim reports whether leave for a trial is to be asked for.
 func (r *run) mayClaim() bool {
-	return r.state() == quarantine.Suspect && r.trial == nil && !r.isTrialRefused && r.plan.Collect == nil && r.hasTrialPart()
+	return r.quarantineState() == quarantine.Suspect && r.trial == nil && !r.isTrialRefused && r.plan.Collect == nil && r.hasTrialPart()
 }
 
 // hasTrialPart reports whether a trial may be made with an open part.
@@ -106,7 +106,7 @@
 
 // isTrialBarred reports whether there is leave for a trial that is not to be made with a part.
 func (r *run) isTrialBarred(part *part, now time.Time) bool {
-	return r.trial != nil && r.state() != quarantine.Clear &&
+	return r.trial != nil && r.quarantineState() != quarantine.Clear &&
 		!r.canLoseServer(part, r.runner.Quarantine.CrashedServers(r.fingerprint()), now)
 }
 
@@ -217,7 +217,7 @@
 
 // crashedServers returns the servers that are known to have ended under the request.
 func (r *run) crashedServers() []fleet.Incarnation {
-	if r.state() == quarantine.Clear {
+	if r.quarantineState() == quarantine.Clear {
 		return nil
 	}
 	return r.runner.Quarantine.CrashedServers(r.fingerprint())
--- a/pkg/fanout/result.go
+++ b/pkg/fanout/result.go
@@ -10,7 +10,7 @@
 	"github.com/bramblemast/bramblemast/pkg/quarantine"
 )
 
-// noteFailure updates what is known of the execution after an attempt without a sound answer.
+// noteFailure updates the state of a part after an attempt without a usable answer.
 func (r *run) noteFailure(part *part, result finished) {
 	if result.err != nil {
 		r.noteError(part, result.attempt, result.err)
@@ -28,7 +28,7 @@
 	part.hasRun = true
 }
 
-// noteError updates what is known of the execution after an attempt without an answer.
+// noteError updates the state of a part after an attempt without an answer.
 func (r *run) noteError(part *part, ended *attempt, err error) {
 	isNotRun := outcome.Of(err) == outcome.NotRun
 	part.failure = err
@@ -53,12 +53,12 @@
 	}
 }
 
-// refused reports whether a server answered without running the request.
+// isRefusal reports whether a server answered without executing the request.
 func (r *run) isRefusal(answer *exchange.Response) bool {
 	return answer.Header.Get(r.runner.Dialect.NotRun) != "" || answer.Status == statusMisdirected
 }
 
-// describe tells the end of an attempt in a few words.
+// describe returns the result of an attempt for its log record.
 func (f finished) describe() string {
 	switch {
 	case f.err != nil:
@@ -69,7 +69,7 @@
 	return "answered"
 }
 
-// records lists the attempts of the parts that the first server did not answer.
+// attemptRecords describes the attempts of the parts that were not answered by the first server.
 func (r *run) attemptRecords(now time.Time) []AttemptRecord {
 	var records []AttemptRecord
 	for index := range r.parts {
@@ -87,7 +87,7 @@
 	return records
 }
 
-// attemptRecord is the story of one attempt, as far as it has come.
+// attemptRecord describes one attempt, finished or pending.
 func (r *run) attemptRecord(part *part, sent *attempt, now time.Time) AttemptRecord {
 	ended, result := sent.endedAt, sent.result
 	if ended.IsZero() {
@@ -100,7 +100,7 @@
 	}
 }
 
-// result sums up the run.
+// result returns the Result of the run.
 func (r *run) result(reason StopReason) Result {
 	result := Result{
 		Parts: make([]*exchange.Response, len(r.parts)), Failures: make([]error, len(r.parts)),
@@ -130,10 +130,10 @@
 	return result
 }
 
-// refusalReason returns why a request is not begun at all; empty if it is. A question of
-// another node was let in there, which also makes the trials of a suspect request.
+// refusalReason returns why a request is refused before it is sent; empty if it is not. A question
+// of another node was admitted there, and that node also makes the trials of a suspect request.
 func (r *run) refusalReason() StopReason {
-	state, isForOther := r.state(), r.plan.Collect != nil
+	state, isForOther := r.quarantineState(), r.plan.Collect != nil
 	switch {
 	case state == quarantine.Quarantined || isForOther && state == quarantine.Suspect:
 		return StopQuarantined
@@ -149,13 +149,13 @@
 	return ""
 }
 
-// isServable reports whether servers of enough services may be asked.
+// isServable reports whether enough services have servers that may be used for the request.
 func (r *run) isServable() bool {
 	return r.runner.Fleet.CountServable(r.plan.Services, r.regions(), r.began) >= r.plan.Required
 }
 
-// refusal is the result of a request that is not begun: its services have more to do than
-// they can, or no server that may be asked.
+// refusedResult returns the result of a request that is refused before it is sent: its services are
+// overloaded, have no server that may be used, or the request is quarantined.
 func (r *run) refusedResult(reason StopReason) Result {
 	cause := outcome.ReasonOverloaded
 	switch reason {
