--- a/pkg/catalog/batcher_test.go
+++ b/pkg/catalog/batcher_test.go
@@ -10,7 +10,7 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// sentBatches collects what batchers send.
+// sentBatches collects the batches that batchers send.
 type sentBatches struct {
 	// mutex guards the fields below.
 	mutex    sync.Mutex
@@ -31,9 +31,9 @@
 	return err
 }
 
-// TestNewVersionOverAZone counts what one new index version costs on the wire
-// over a zone of 318 nodes with 5,300 servers. The servers take it over in a
-// second, or so slowly that no two of them share a message.
+// TestNewVersionOverAZone guards against excessive traffic when a new index version reaches a zone
+// of 318 nodes and 5,300 servers, since every server produces an update. The servers adopt the
+// version within a second, or so slowly that no two of them share a message.
 func TestNewVersionOverAZone(t *testing.T) {
 	for _, period := range []time.Duration{time.Second, time.Hour} {
 		t.Run(period.String(), func(t *testing.T) {
@@ -59,13 +59,13 @@
 	time.Sleep(DefaultBatchWindow)
 	synctest.Wait()
 	if len(sent.updates) != servers {
-		t.Fatalf("%d news of %d servers", len(sent.updates), servers)
+		t.Fatalf("%d updates were sent for %d servers", len(sent.updates), servers)
 	}
-	t.Logf("%d B in %d messages, %.1f B for each server, largest message %d B",
+	t.Logf("%d B in %d messages, %.1f B per server, largest message %d B",
 		sent.bytes, sent.messages, float64(sent.bytes)/servers, sent.largest)
 	const bound = 30 * servers
 	if sent.bytes > bound {
-		t.Errorf("%d bytes, want at most %d", sent.bytes, bound)
+		t.Errorf("%d bytes were sent, want at most %d", sent.bytes, bound)
 	}
 	receiver.Apply(sent.updates...)
 	for _, server := range receiver.View(testService).Servers {
@@ -75,9 +75,8 @@
 	}
 }
 
-// newVersionCatalogs returns a function that has a catalog find the second
-// version of a server and tells the news, and another catalog that knows the
-// first versions.
+// newVersionCatalogs returns a function that makes a catalog observe the second version of a server
+// and passes the update to onUpdate, and another catalog that knows only the first versions.
 func newVersionCatalogs(servers int, onUpdate func(number int, update Update)) (func(number int), *Catalog) {
 	receiver := New(Options{Node: "listener", Zone: "zone"})
 	receiver.ReplaceMachines(listOf(servers))
@@ -95,8 +94,9 @@
 	}, receiver
 }
 
-// TestBatcherSendsOnce has a peer tell the same change first, and other news
-// that must not wait.
+// TestBatcherSendsOnce guards against duplicate broadcasts: a peer sends the same version change
+// while it is held. It also checks that other updates are not held and that large batches are
+// split.
 func TestBatcherSendsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sent := &sentBatches{}
@@ -108,7 +108,7 @@
 		batcher.Submit(change(2, 2))
 		batcher.Submit(Update{Server: serverID(0), Operator: OperatorMark{Sequence: 1}})
 		if len(sent.updates) != 1 {
-			t.Fatalf("%d news were sent at once", len(sent.updates))
+			t.Fatalf("%d updates were sent immediately, want 1", len(sent.updates))
 		}
 		batcher.DropReceived([]Update{change(1, 2), change(2, 3)})
 		time.Sleep(2 * DefaultBatchWindow)
@@ -123,7 +123,7 @@
 		time.Sleep(2 * DefaultBatchWindow)
 		synctest.Wait()
 		if len(sent.updates) != 2+many || sent.largest > 200 {
-			t.Fatalf("%d news, largest message %d B", len(sent.updates), sent.largest)
+			t.Fatalf("%d updates were sent, largest message %d B", len(sent.updates), sent.largest)
 		}
 	})
 }
--- a/pkg/catalog/capacity_test.go
+++ b/pkg/catalog/capacity_test.go
@@ -12,8 +12,8 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// The size to design for: servers of the whole installation, and those of one
-// zone, whose contents a node knows.
+// The design size: the servers of the whole installation, and those of one zone, whose contents a
+// node knows.
 const (
 	designServers     = 90_000
 	designZoneServers = 5_300
@@ -38,9 +38,9 @@
 	return target.ServerID(fmt.Sprintf("10.%d.%d.%d:9000", number>>16, number>>8&255, number&255))
 }
 
-// BenchmarkDesignSize reports the heap that a catalog takes at the size to
-// design for, for each server that is only listed and for each whose contents
-// are known, and the time to take a machine list that did not change.
+// BenchmarkDesignSize reports the heap use of a catalog of the design size, for each server that is
+// only listed and for each whose contents are known, and the time to apply an unchanged machine
+// list.
 func BenchmarkDesignSize(b *testing.B) {
 	list := designList()
 	parts := keyspace.Split(designParts)
--- a/pkg/catalog/catalog_test.go
+++ b/pkg/catalog/catalog_test.go
@@ -57,7 +57,7 @@
 	}
 
 	Describe("a server that fails", func() {
-		It("is ejected after failures in a row, longer each time", func() {
+		It("is ejected after consecutive failures, longer each time", func() {
 			for _, length := range []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second} {
 				fail(0)
 				Expect(stateOf(0)).To(Equal(Ejected))
@@ -90,7 +90,7 @@
 			Expect(ejected).To(Equal(servers / 2))
 		})
 
-		DescribeTable("is judged only by what speaks against it",
+		DescribeTable("is ejected only for errors that count against it",
 			func(err error, want State) {
 				for range DefaultConsecutiveFailures {
 					c.ReportResult(serverID(0), err)
@@ -116,7 +116,7 @@
 			Expect(sent[0].Kind).To(Equal(KindDead))
 		})
 
-		It("is not, as long as it answers sub-requests", func() {
+		It("is not ejected while it answers sub-requests", func() {
 			c.ReportResult(serverID(0), nil)
 			advanceAndRefresh(time.Millisecond)
 			failProbes(0)
@@ -126,7 +126,7 @@
 			Expect(stateOf(0)).To(Equal(Ejected))
 		})
 
-		It("is announced less and less often while another node reaches it", func() {
+		It("is announced less often each time another node refutes it", func() {
 			announced := 0
 			for range 60 {
 				advanceAndRefresh(time.Second)
@@ -143,7 +143,7 @@
 	})
 
 	Describe("a server that is missing from the machine list", func() {
-		It("is kept while it answers probes, until a bound", func() {
+		It("is kept while it answers probes, up to a time limit", func() {
 			c.ReplaceMachines(list[1:])
 			for passed := time.Duration(0); passed < DefaultUnlistedTimeout-time.Second; passed += time.Minute {
 				advanceAndRefresh(time.Minute - time.Second)
@@ -154,7 +154,7 @@
 			Expect(server(0)).To(BeNil())
 		})
 
-		It("is removed soon if it is silent, and returns with the list", func() {
+		It("is removed early if it is silent, and returns when it is listed again", func() {
 			c.ReplaceMachines(list[1:])
 			failProbes(0)
 			Expect(server(0)).NotTo(BeNil())
@@ -164,7 +164,7 @@
 			Expect(server(0)).NotTo(BeNil())
 		})
 
-		It("may be told of one by one", func() {
+		It("can be reported by changes to the list", func() {
 			c.ApplyMachines(nil, []target.ServerID{serverID(0), "10.9.9.9:1"})
 			failProbes(0)
 			advanceAndRefresh(DefaultUnlistedSilentTimeout)
@@ -180,7 +180,7 @@
 			Expect(server(1).State).To(Equal(Active))
 		})
 
-		It("is forgotten in the end", func() {
+		It("is forgotten after the retention time", func() {
 			c.ReplaceMachines(list[1:])
 			advanceAndRefresh(DefaultUnlistedTimeout + DefaultRetention)
 			Expect(errors.Is(c.Drain(serverID(0), true, "author"), ErrUnknownServer)).To(BeTrue())
@@ -200,7 +200,7 @@
 			Expect(server(0).Weight).To(Equal(1.0))
 		})
 
-		It("is new when its instance is, whatever uptime it claims", func() {
+		It("warms up when its instance is new, whatever uptime it reports", func() {
 			advanceAndRefresh(time.Second)
 			probe(0, statusOf(0, "second", false, 1))
 			Expect(server(0).Weight).To(BeNumerically("<", 0.1))
@@ -216,14 +216,14 @@
 		})
 	})
 
-	It("does not let a late answer of an old instance drain the new one", func() {
+	It("does not let a late answer from an old instance drain the new one", func() {
 		c.ReportHints(serverID(0), backend.Hints{Draining: true, Instance: "first"})
 		probe(0, statusOf(0, "second", false, 1))
 		c.ReportResult(serverID(0), &outcome.Error{Outcome: outcome.NotRun, Reason: outcome.ReasonDraining})
 		Expect(stateOf(0)).To(Equal(Active))
 	})
 
-	It("does not let a late hint of an old instance drain the new one", func() {
+	It("does not let a late hint from an old instance drain the new one", func() {
 		probe(0, statusOf(0, "second", false, 1))
 		c.ReportHints(serverID(0), backend.Hints{Draining: true, Instance: "first"})
 		Expect(stateOf(0)).To(Equal(Active))
@@ -237,7 +237,7 @@
 		Expect(stateOf(0)).To(Equal(Active))
 	})
 
-	It("wants one probe when an answer tells of a newer version", func() {
+	It("requests one probe when an answer mentions a newer version", func() {
 		c.takeRequestedProbes()
 		c.ReportHints(serverID(0), backend.Hints{Load: -1, NewestVersion: 2})
 		advanceAndRefresh(2 * time.Second)
@@ -245,7 +245,7 @@
 		Expect(c.takeRequestedProbes()).To(BeEmpty())
 	})
 
-	It("refuses a status that it could not tell to others", func() {
+	It("rejects a status that other nodes would not accept", func() {
 		status := statusOf(0, "second", false, 1)
 		status.Indexes = append(status.Indexes, status.Indexes[0])
 		probe(0, status)
@@ -268,7 +268,7 @@
 		Expect(c.View("nothing")).To(BeNil())
 	})
 
-	It("knows zones and regions, and gives all parts with their replicas", func() {
+	It("computes zone distances, and returns all parts with their replicas", func() {
 		list[0].Zone, list[0].Region = "other", "east"
 		list[1].Zone, list[1].Region = "far", "west"
 		c.ReplaceMachines(list)
--- a/pkg/catalog/converge_test.go
+++ b/pkg/catalog/converge_test.go
@@ -10,8 +10,8 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// drawUpdate makes arbitrary news about few servers and instances, so that
-// many of them contradict each other.
+// drawUpdate draws arbitrary updates about few servers and instances, so that many of them
+// conflict.
 func drawUpdate(t *rapid.T) Update {
 	number := rapid.IntRange(0, 1).Draw(t, "server")
 	update := Update{Server: serverID(number), Observer: "peer"}
@@ -38,8 +38,7 @@
 	return update
 }
 
-// drawUpdateOrChange also makes changes of versions, for instances that other
-// news may be about.
+// drawUpdateOrChange also draws version changes, for instances that other updates may concern.
 func drawUpdateOrChange(t *rapid.T) Update {
 	if rapid.Bool().Draw(t, "whole") {
 		return drawUpdate(t)
@@ -61,8 +60,8 @@
 	return created
 }
 
-// stateOf describes all that nodes share about the servers, and the view.
-func stateOf(c *Catalog) string {
+// describeState describes the view and all facts that nodes share about the servers.
+func describeState(c *Catalog) string {
 	text := contentsOf(c.View(testService))
 	for _, number := range []int{0, 1} {
 		f := &c.find(serverID(number)).facts
@@ -76,8 +75,8 @@
 	return text
 }
 
-// TestNewsConverge gives the same news to two catalogs in different orders and
-// with repeats.
+// TestNewsConverge guards against catalogs that diverge: two of them get the same updates in
+// different orders and with repeats. A third gets the snapshot of the second.
 func TestNewsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := newClock().Now
@@ -92,25 +91,25 @@
 			second.Apply(update)
 		}
 		if again := second.Apply(batch...); len(again) > 0 {
-			t.Fatalf("known news is passed on again: %+v", again)
+			t.Fatalf("known updates would be forwarded again: %+v", again)
 		}
-		if a, b := stateOf(first), stateOf(second); a != b {
+		if a, b := describeState(first), describeState(second); a != b {
 			t.Fatalf("states differ:\n%s\n%s", a, b)
 		}
 		third := newTestCatalog("third", now)
 		third.Apply(second.Snapshot()...)
-		if a, b := stateOf(first), stateOf(third); a != b {
+		if a, b := describeState(first), describeState(third); a != b {
 			t.Fatalf("state from the snapshot differs:\n%s\n%s", a, b)
 		}
 	})
 }
 
-// peers are two nodes that observe the same servers and exchange news, which
-// may be late, repeated and out of order.
+// peers are nodes that observe the same servers and exchange updates, which may be late, repeated
+// and out of order.
 type peers struct {
 	clock    *clock
 	catalogs []*Catalog
-	// mail holds the news that were sent to each node.
+	// inbox holds the undelivered updates of each node.
 	inbox [][]Update
 	sent  int
 }
@@ -128,7 +127,8 @@
 	return p
 }
 
-// send brings news to the other nodes in its wire form.
+// send puts an update into the inboxes of the other nodes, after a round trip through its wire
+// form.
 func (p *peers) send(from int, update Update) {
 	p.sent++
 	encoded, err := EncodeUpdates([]Update{update})
@@ -147,8 +147,8 @@
 	}
 }
 
-// deliver applies the news with the given index, passes on what was learnt,
-// and keeps a copy in the mail if repeat is set.
+// deliver applies the update at index, forwards the resulting updates, and keeps a copy in the
+// inbox if repeat is set.
 func (p *peers) deliver(node, index int, repeat bool) {
 	update := p.inbox[node][index]
 	if !repeat {
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestPeersConverge lets two nodes observe and exchange news in any order. In
-// the end both are in the same state, and the number of messages is bounded.
+// TestPeersConverge guards against nodes that disagree, or that forward updates forever, when they
+// observe servers and exchange updates in any order.
 func TestPeersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPeers(2)
@@ -194,7 +194,7 @@
 		for number := range drained {
 			p.checkAgreement(t, number)
 		}
-		// One more round of probes: what the servers say now is what holds.
+		// One more round of probes: the current status of the servers must prevail.
 		for number := range drained {
 			status := statusOf(number, fmt.Sprint(instances[number]), drained[number], versions[number])
 			p.catalogs[0].ReportProbe(serverID(number), p.clock.now, status, nil)
@@ -206,18 +206,18 @@
 				t.Fatalf("%s is %s, drained %v", server.ID, server.State, drained[number])
 			}
 			if server.Indexes[0].Version != versions[number] {
-				t.Fatalf("%s has version %d, known is %d", server.ID, versions[number], server.Indexes[0].Version)
+				t.Fatalf("%s has version %d, but the view has %d", server.ID, versions[number], server.Indexes[0].Version)
 			}
 		}
 	})
 }
 
-// settle delivers all mail; passing on must come to an end.
+// deliverAll delivers all updates; forwarding must end.
 func (p *peers) deliverAll(t *rapid.T) {
 	const bound = 10_000
 	for count := 0; len(p.inbox[0])+len(p.inbox[1]) > 0; count++ {
 		if count > bound {
-			t.Fatal("news goes round in circles")
+			t.Fatal("updates are forwarded endlessly")
 		}
 		for node := range p.inbox {
 			if len(p.inbox[node]) > 0 {
@@ -227,7 +227,8 @@
 	}
 }
 
-// checkAgreement fails unless both nodes know the same of a server.
+// checkAgreement fails unless both nodes have the same facts about a server. It returns the
+// server's entry in the second node's view.
 func (p *peers) checkAgreement(t *rapid.T, number int) *Server {
 	var states []string
 	for _, c := range p.catalogs {
@@ -239,7 +240,7 @@
 		states = append(states, fmt.Sprint(current.ID, current.Generation, current.Draining, current.Liveness))
 	}
 	if states[0] != states[1] {
-		t.Fatalf("%s: %s and %s", serverID(number), states[0], states[1])
+		t.Fatalf("facts about %s differ: %s and %s", serverID(number), states[0], states[1])
 	}
 	return serverOf(p.catalogs[1].View(testService), serverID(number))
 }
--- a/pkg/catalog/encoding_test.go
+++ b/pkg/catalog/encoding_test.go
@@ -13,14 +13,15 @@
 	"github.com/bramblemast/bramblemast/pkg/keyspace"
 )
 
-// TestUpdatesRoundTrip encodes and decodes arbitrary news.
+// TestUpdatesRoundTrip guards against loss of data on the wire: it encodes and decodes arbitrary
+// updates.
 func TestUpdatesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var batch []Update
 		for range rapid.IntRange(1, 4).Draw(t, "count") {
 			batch = append(batch, drawUpdateOrChange(t))
 		}
-		// Changes of versions come last.
+		// Version changes come last on the wire.
 		slices.SortStableFunc(batch, func(a, b Update) int { return cmp.Compare(a.Change.Base, b.Change.Base) })
 		encoded, err := EncodeUpdates(batch)
 		if err != nil {
@@ -33,7 +34,8 @@
 	})
 }
 
-// TestEqualShardsAreSentOnce checks the short form of a new index version.
+// TestEqualShardsAreSentOnce checks that a new index version with unchanged shards is encoded
+// without repeating them.
 func TestEqualShardsAreSentOnce(t *testing.T) {
 	var shards []backend.Shard
 	for _, part := range keyspace.Split(16) {
@@ -44,7 +46,7 @@
 	contents.Indexes = append(contents.Indexes, backend.Index{Version: 2, Shards: shards})
 	const shortForm = 8
 	if two := len(contentsKey(contents)); two > one+shortForm {
-		t.Fatalf("a version with the same shards takes %d bytes", two-one)
+		t.Fatalf("a version with unchanged shards takes %d bytes", two-one)
 	}
 	converted, err := contentsFromProto(contentsToProto(contents))
 	if err != nil || !converted.equal(contents) {
@@ -52,8 +54,8 @@
 	}
 }
 
-// TestUpdateSizes measures what a change of one server costs on the wire. A
-// server that holds one part, and a drain that needs no contents, are small.
+// TestUpdateSizes bounds the wire size of an update about one server that holds one part. A drain
+// must not carry contents.
 func TestUpdateSizes(t *testing.T) {
 	var sent []Update
 	c := New(Options{Node: "4f9c2b7e@10.1.2.3:7000", Zone: "zone", OnUpdate: func(update Update) { sent = append(sent, update) }})
@@ -73,12 +75,12 @@
 		}
 	}
 	if sent[2].Instance.Contents != nil {
-		t.Error("a drain carries contents")
+		t.Error("an update about a drain carries contents")
 	}
 }
 
-// FuzzDecodeNews feeds malformed news: what is accepted is within bounds, has
-// one wire form, and never breaks a catalog.
+// FuzzDecodeNews decodes malformed updates: what is accepted is within bounds, has one wire form,
+// and never corrupts a catalog.
 func FuzzDecodeNews(f *testing.F) {
 	seed := Update{Server: serverID(0), Observer: "peer", Operator: OperatorMark{Sequence: 1, Drained: true}}
 	seed.Instance = Instance{ID: "x", Generation: 1, Revision: 1, Contents: newContents(statusOf(0, "x", false, 1))}
@@ -111,7 +113,7 @@
 		c.Apply(batch...)
 		c.View(testService)
 		if learnt := c.Apply(c.Snapshot()...); len(learnt) > 0 {
-			t.Fatalf("own snapshot taught %+v", learnt)
+			t.Fatalf("own snapshot changed the catalog: %+v", learnt)
 		}
 	})
 }
--- a/pkg/catalog/exchange_test.go
+++ b/pkg/catalog/exchange_test.go
@@ -16,11 +16,11 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// exchangeNode is a catalog with its exchange on an in-memory network.
+// exchangeNode is a catalog with its Exchange on an in-memory network.
 type exchangeNode struct {
 	catalog  *Catalog
 	exchange *Exchange
-	// mutex guards told, the news for the own zone that came from another.
+	// mutex guards forwarded, the updates from another zone for this zone.
 	mutex     sync.Mutex
 	forwarded []Update
 }
@@ -43,8 +43,8 @@
 	return node
 }
 
-// TestPullTakesWhatDiffers gives two nodes arbitrary news; after each has
-// pulled from the other, their digests agree.
+// TestPullTakesWhatDiffers guards against pulls that miss differences: two nodes get arbitrary
+// updates, and after each has pulled from the other, their digests agree.
 func TestPullTakesWhatDiffers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		network := peer.NewNetwork(1)
@@ -73,8 +73,8 @@
 	})
 }
 
-// TestNewNodeLearnsAZone has a node without any knowledge take that of 5,300
-// servers in replies of bounded size, and compares again at no cost.
+// TestNewNodeLearnsAZone has an empty node pull the facts about 5,300 servers in replies of bounded
+// size. A further comparison must transfer no updates.
 func TestNewNodeLearnsAZone(t *testing.T) {
 	const servers = 5300
 	network := peer.NewNetwork(1)
@@ -96,7 +96,7 @@
 		t.Fatal(err)
 	}
 	if known.catalog.digests(false) != starter.catalog.digests(false) {
-		t.Fatal("digests differ")
+		t.Fatal("digests differ after the pull")
 	}
 	for _, server := range starter.catalog.View(testService).Servers {
 		want := serverOf(known.catalog.View(testService), server.ID)
@@ -109,18 +109,18 @@
 	t.Logf("request %d B, reply without differences %d B, one bucket of %d servers %d B",
 		(&catalogpb.SyncRequest{Digests: ownDigests[:]}).SizeVT(), reply.SizeVT(), servers/digestBuckets, bucketBytes(known.catalog, ownDigests))
 	if len(reply.News) > 0 || reply.More {
-		t.Fatalf("%d news without a difference", len(reply.News))
+		t.Fatalf("%d updates in a reply without differences", len(reply.News))
 	}
 }
 
-// bucketBytes is the size of a reply when one bucket differs.
+// bucketBytes returns the size of a reply when one bucket differs.
 func bucketBytes(c *Catalog, peerDigests digests) int {
 	peerDigests[0]++
 	return c.answerSync(peerDigests[:], 0, false).SizeVT()
 }
 
-// TestOperatorsMarkReachesOtherZones drains a server: another zone hears of it
-// at once, and by comparison if that message is lost. Nothing else crosses.
+// TestOperatorsMarkReachesOtherZones drains a server: another zone learns of it immediately, or by
+// the next digest comparison if that message is lost. No other updates cross zones.
 func TestOperatorsMarkReachesOtherZones(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		t.Run(fmt.Sprintf("lost=%v", lost), func(t *testing.T) {
@@ -150,24 +150,24 @@
 	}
 	time.Sleep(time.Millisecond)
 	if isLeaving := serverOf(far.catalog.View(testService), serverID(0)).State == Leaving; isLeaving == lost {
-		t.Errorf("lost=%v, but leaving=%v at once", lost, isLeaving)
+		t.Errorf("lost=%v, but leaving=%v immediately", lost, isLeaving)
 	}
 	time.Sleep(2 * DefaultRemoteSyncInterval)
 	if serverOf(far.catalog.View(testService), serverID(0)).State != Leaving {
-		t.Error("the mark did not arrive")
+		t.Error("the operator's mark did not arrive")
 	}
 	if serverOf(far.catalog.View(testService), serverID(1)).State != Active {
-		t.Error("what a server said of itself crossed zones")
+		t.Error("a status reported by a server crossed zones")
 	}
 	cancel()
 	running.Wait()
 	network.Close()
 	if len(far.forwarded) != 1 {
-		t.Errorf("the zone was told %d times", len(far.forwarded))
+		t.Errorf("the mark was forwarded to the zone %d times, want 1", len(far.forwarded))
 	}
 }
 
-// FuzzHandleSync feeds malformed requests to the handlers.
+// FuzzHandleSync passes malformed requests to the handlers.
 func FuzzHandleSync(f *testing.F) {
 	sums := make([]uint64, digestBuckets)
 	request, err := (&catalogpb.SyncRequest{Digests: sums}).MarshalVT()
--- a/pkg/catalog/machine_test.go
+++ b/pkg/catalog/machine_test.go
@@ -14,11 +14,11 @@
 
 const machineServers = 6
 
-// oracle says in a few lines when a server is leaving: a source said so, and no
-// fresh evidence came after.
+// oracle is a simple model of when a server is leaving: a source reported it, and no newer evidence
+// followed.
 type oracle struct {
 	instance string
-	// drained holds the instances that said that they drain.
+	// drained holds the instances that reported that they drain.
 	drained           map[string]bool
 	drainUnattributed bool
 	operator          bool
@@ -69,16 +69,16 @@
 	o.listed = state
 }
 
-// machine drives one catalog with random sources in random order.
+// machine drives one catalog with random events in random order.
 type machine struct {
 	clock   *clock
 	catalog *Catalog
 	list    machinelist.List
 	oracles []*oracle
-	// instances is the number of starts of each server.
+	// instances counts the restarts of each server.
 	instances []int
 	updates   []Update
-	// old is an earlier view with its contents at that time.
+	// old is an earlier view, and oldContents its contents at that time.
 	old         *View
 	oldContents string
 }
@@ -153,14 +153,14 @@
 	m.catalog.Refresh()
 }
 
-// ApplyOwnUpdate plays news back that this node sent itself, as a relay may.
+// ApplyOwnUpdate returns an update to the node that sent it, as a relay may.
 func (m *machine) ApplyOwnUpdate(t *rapid.T) {
 	if len(m.updates) == 0 {
 		return
 	}
 	sent := len(m.updates)
 	if learnt := m.catalog.Apply(rapid.SampledFrom(m.updates).Draw(t, "news")); len(learnt) > 0 || len(m.updates) > sent {
-		t.Fatalf("own news taught %v", learnt)
+		t.Fatalf("own update changed the catalog: %v", learnt)
 	}
 }
 
@@ -192,7 +192,7 @@
 	m.checkImmutable(t, view)
 }
 
-// checkImmutable compares an earlier view with what it was then.
+// checkImmutable checks that an earlier view still has its original contents.
 func (m *machine) checkImmutable(t *rapid.T, view *View) {
 	if m.old != nil && contentsOf(m.old) != m.oldContents {
 		t.Fatalf("an earlier view changed: %s, was %s", contentsOf(m.old), m.oldContents)
@@ -208,7 +208,9 @@
 	return text
 }
 
-// TestLeavingFloorAndViews drives one catalog against the oracle.
+// TestLeavingFloorAndViews compares one catalog with the oracle under random events. It guards
+// against servers that are wrongly leaving or not, ejections beyond half of the replicas, and views
+// that change after they were returned.
 func TestLeavingFloorAndViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine()
--- a/pkg/catalog/probeloop_test.go
+++ b/pkg/catalog/probeloop_test.go
@@ -13,7 +13,7 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// world is the servers of a test, as probes see them.
+// fakeServers are the servers of a test, as seen by probes.
 type fakeServers struct {
 	// mutex guards the fields below.
 	mutex    sync.Mutex
@@ -21,7 +21,7 @@
 	draining map[target.ServerID]bool
 	silent   map[target.ServerID]bool
 	numbers  map[target.ServerID]int
-	// versions are the index versions of servers that have another than 1.
+	// versions holds the index versions of servers whose version is not 1.
 	versions map[target.ServerID]target.Version
 }
 
@@ -39,41 +39,41 @@
 }
 
 // Probe implements backend.Prober. A silent server lets the probe time out.
-func (w *fakeServers) Probe(ctx context.Context, server target.ServerID) (*backend.Status, error) {
-	w.mutex.Lock()
-	w.probes++
-	silent, draining, version := w.silent[server], w.draining[server], max(w.versions[server], 1)
-	w.mutex.Unlock()
+func (f *fakeServers) Probe(ctx context.Context, server target.ServerID) (*backend.Status, error) {
+	f.mutex.Lock()
+	f.probes++
+	silent, draining, version := f.silent[server], f.draining[server], max(f.versions[server], 1)
+	f.mutex.Unlock()
 	if silent {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return statusOf(w.numbers[server], "i", draining, version), nil
+	return statusOf(f.numbers[server], "i", draining, version), nil
 }
 
-func (w *fakeServers) locked(run func()) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (f *fakeServers) withLock(run func()) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	run()
 }
 
-func (w *fakeServers) probeCount() int {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.probes
+func (f *fakeServers) probeCount() int {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.probes
 }
 
-// zone is some nodes that probe one world and tell each other the news.
+// zone is a set of nodes that probe the same servers and send each other updates.
 type zone struct {
 	backends *fakeServers
 	catalogs []*Catalog
-	// mutex guards members, random and told.
+	// mutex guards members, random and updatesSent.
 	mutex   sync.Mutex
 	members []target.NodeID
 	random  *rand.Rand
-	// told counts the news that nodes sent.
+	// updatesSent counts the updates sent by all nodes.
 	updatesSent int
-	// relayDelay is the longest time that news takes to a node.
+	// relayDelay is the maximum delay of an update to a node; zero disables the relay.
 	relayDelay time.Duration
 	stop       context.CancelFunc
 	running    sync.WaitGroup
@@ -101,7 +101,7 @@
 	return z
 }
 
-// end stops all nodes and waits for the news that is on its way.
+// shutdown stops all nodes and waits for updates in transit.
 func (z *zone) shutdown() {
 	z.stop()
 	z.running.Wait()
@@ -115,7 +115,7 @@
 	return z.members
 }
 
-// relay sends news to all other nodes, each after a time of its own.
+// relay sends an update to all other nodes, each after its own random delay.
 func (z *zone) relay(from target.NodeID, update Update) {
 	z.mutex.Lock()
 	z.updatesSent++
@@ -134,7 +134,8 @@
 	}
 }
 
-// timeUntilAll returns how long it takes until a server has a state at all nodes.
+// timeUntilAll returns how long it takes until a server has a state at all nodes, and fails after
+// bound.
 func (z *zone) timeUntilAll(t *testing.T, server target.ServerID, state State, bound time.Duration) time.Duration {
 	const step = 50 * time.Millisecond
 	for passed := time.Duration(0); passed <= bound; passed += step {
@@ -157,15 +158,17 @@
 }
 
 const (
-	// leavingBound is the time after which a leaving server gets no new work at
-	// any node.
+	// leavingBound is the time within which a leaving server stops getting new work from every
+	// node.
 	leavingBound = 3 * time.Second
-	// deadBound is three probe intervals with their time-outs, and the relay.
+	// deadBound covers three probe intervals with their time-outs, and the relay.
 	deadBound = 6 * time.Second
-	// relayBound is the longest time that news takes over the relay.
+	// relayBound is the maximum delay of an update over the relay.
 	relayBound = time.Second
 )
 
+// TestLeavingAndDeadServersAreKnownEverywhere guards against nodes that keep using a server that
+// drains or is silent, although only a few nodes probe it. It also checks the rate of probes.
 func TestLeavingAndDeadServersAreKnownEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, servers = 30, 100
@@ -175,30 +178,32 @@
 		before := z.backends.probeCount()
 		time.Sleep(20 * time.Second)
 		perSecond := float64(z.backends.probeCount()-before) / 20 / servers
-		t.Logf("probes of a server each second: %.2f", perSecond)
+		t.Logf("probes of a server per second: %.2f", perSecond)
 		if perSecond < 1.7 || perSecond > 2.3 {
-			t.Errorf("%.2f probes of a server each second, want about 2", perSecond)
+			t.Errorf("%.2f probes of a server per second, want about 2", perSecond)
 		}
 		var slowest time.Duration
 		for number := range 20 {
 			server := serverID(number)
-			z.backends.locked(func() { z.backends.draining[server] = true })
+			z.backends.withLock(func() { z.backends.draining[server] = true })
 			slowest = max(slowest, z.timeUntilAll(t, server, Leaving, leavingBound))
 			time.Sleep(137 * time.Millisecond)
 		}
 		t.Logf("leaving servers known to all %d nodes within %s", nodes, slowest)
-		z.backends.locked(func() { z.backends.silent[serverID(30)] = true })
+		z.backends.withLock(func() { z.backends.silent[serverID(30)] = true })
 		t.Logf("silent server ejected at all nodes after %s", z.timeUntilAll(t, serverID(30), Ejected, deadBound))
-		z.backends.locked(func() { z.backends.silent[serverID(30)] = false })
+		z.backends.withLock(func() { z.backends.silent[serverID(30)] = false })
 		t.Logf("returned after %s", z.timeUntilAll(t, serverID(30), Active, leavingBound))
 	})
 }
 
+// TestProbersThatFailAreReplaced guards against servers that nobody probes after the nodes that were
+// assigned to them have failed.
 func TestProbersThatFailAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := startZone(t, 1, 10, relayBound)
 		defer z.shutdown()
-		// Two more members that never probe, and then are found to be dead.
+		// Two more members never probe and are then found dead.
 		z.mutex.Lock()
 		z.members = []target.NodeID{"node0", "mute1", "mute2"}
 		z.mutex.Unlock()
@@ -207,7 +212,7 @@
 		z.members = []target.NodeID{"node0"}
 		z.mutex.Unlock()
 		for number := range 10 {
-			z.backends.locked(func() { z.backends.draining[serverID(number)] = true })
+			z.backends.withLock(func() { z.backends.draining[serverID(number)] = true })
 		}
 		for number := range 10 {
 			z.timeUntilAll(t, serverID(number), Leaving, leavingBound)
@@ -215,8 +220,8 @@
 	})
 }
 
-// TestContentsAreKnownWithoutUpdates starts nodes that hear nothing from each
-// other: each one probes every server itself, once.
+// TestContentsAreKnownWithoutUpdates starts nodes that receive no updates from each other: each one
+// must probe every server once by itself.
 func TestContentsAreKnownWithoutUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := startZone(t, 10, 40, 0)
@@ -232,8 +237,8 @@
 	})
 }
 
-// TestProbesAreBoundedForEachNode gives nodes more servers than they may probe
-// each second: fewer nodes probe a server, then each less often.
+// TestProbesAreBoundedForEachNode guards against nodes that exceed their probe rate when there are
+// many servers: first fewer nodes probe a server, then each probes less often.
 func TestProbesAreBoundedForEachNode(t *testing.T) {
 	cases := []struct {
 		servers, members, bound, probers int
--- a/pkg/catalog/staleness_test.go
+++ b/pkg/catalog/staleness_test.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// correctionBound is the time from a refusal to a correct view at the node that
-	// was refused, for probes that take no time.
+	// correctionBound is the maximum time from a refusal to a correct view at the refused node,
+	// with probes that take no time.
 	correctionBound = 10 * time.Millisecond
-	// refusalInterval is the time between two refusals of a server.
+	// refusalInterval is the time between two refusals by a server.
 	refusalInterval = 10 * time.Millisecond
 )
 
@@ -25,8 +25,8 @@
 	return serverOf(c.View(testService), server).Indexes[0].Version
 }
 
-// timeUntilVersion returns how long it takes until a catalog knows the version of a
-// server while refusals go on.
+// timeUntilVersion returns how long it takes until a catalog knows the version of a server while it
+// is refused at intervals.
 func timeUntilVersion(c *Catalog, server target.ServerID, version target.Version, reason outcome.Reason) time.Duration {
 	started := time.Now()
 	for versionOf(c, server) != version {
@@ -39,9 +39,9 @@
 	return time.Since(started)
 }
 
-// TestRefusalsCorrectTheView has servers change at any moment between two
-// probes: the first refusal leads to a correct view, at probers of the server
-// and at other nodes alike.
+// TestRefusalsCorrectTheView guards against views that stay wrong until the next regular probe:
+// servers change at any moment between two probes, and the first refusal must lead to a correct
+// view, at regular probers of the server and at other nodes.
 func TestRefusalsCorrectTheView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, servers = 30, 100
@@ -54,7 +54,7 @@
 			if number%2 == 0 {
 				reason = outcome.ReasonRangeNotHeld
 			}
-			z.backends.locked(func() { z.backends.versions[server] = 2 })
+			z.backends.withLock(func() { z.backends.versions[server] = 2 })
 			took := timeUntilVersion(z.catalogs[number%nodes], server, 2, reason)
 			slowest, sum = max(slowest, took), sum+took
 			time.Sleep(37 * time.Millisecond)
@@ -66,14 +66,14 @@
 		time.Sleep(2 * relayBound)
 		for _, c := range z.catalogs {
 			if version := versionOf(c, serverID(0)); version != 2 {
-				t.Errorf("%s was not told: version %d", c.options.Node, version)
+				t.Errorf("%s did not receive the update: version %d", c.options.Node, version)
 			}
 		}
 	})
 }
 
-// TestRefusalsWithoutChangeCostFewProbes has a server refuse for 20 s although
-// its contents are the same.
+// TestRefusalsWithoutChangeCostFewProbes guards against a flood of probes: a server refuses for 20
+// s although its contents are unchanged.
 func TestRefusalsWithoutChangeCostFewProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := startZone(t, 1, 1, relayBound)
@@ -86,16 +86,16 @@
 			time.Sleep(refusalInterval)
 		}
 		perSecond := float64(z.backends.probeCount()-before) / period.Seconds()
-		t.Logf("%.2f probes each second under refusals without a change", perSecond)
+		t.Logf("%.2f probes per second under refusals without a change", perSecond)
 		const bound = 2.5
 		if perSecond > bound {
-			t.Errorf("%.2f probes each second", perSecond)
+			t.Errorf("%.2f probes per second", perSecond)
 		}
 	})
 }
 
-// TestFewNodesAnnounceStaleContents has every node of a zone be refused by a server
-// that changed, at the same time.
+// TestFewNodesAnnounceStaleContents guards against duplicate announcements: a changed server
+// refuses every node of a zone at the same time.
 func TestFewNodesAnnounceStaleContents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, servers = 30, 20
@@ -107,14 +107,14 @@
 		z.mutex.Unlock()
 		for number := range servers {
 			server := serverID(number)
-			z.backends.locked(func() { z.backends.versions[server] = 2 })
+			z.backends.withLock(func() { z.backends.versions[server] = 2 })
 			for _, c := range z.catalogs {
 				c.ReportResult(server, refusal(server, outcome.ReasonRangeNotHeld))
 			}
 			synctest.Wait()
 			for _, c := range z.catalogs {
 				if versionOf(c, server) != 2 {
-					t.Fatalf("%s has an old view of %s", c.options.Node, server)
+					t.Fatalf("%s has a stale view of %s", c.options.Node, server)
 				}
 			}
 			time.Sleep(2 * relayBound)
@@ -122,9 +122,9 @@
 		z.mutex.Lock()
 		defer z.mutex.Unlock()
 		each := float64(z.updatesSent-before) / servers
-		t.Logf("%.1f of %d nodes told a change that all found", each, nodes)
+		t.Logf("%.1f of %d nodes announced a change that all found", each, nodes)
 		if each > staleAnnouncers {
-			t.Errorf("%.1f nodes told each change", each)
+			t.Errorf("%.1f nodes announced each change", each)
 		}
 	})
 }
--- a/pkg/catalog/support_test.go
+++ b/pkg/catalog/support_test.go
@@ -18,7 +18,7 @@
 
 var errTest = errors.New("test")
 
-// clock is a clock that tests move by hand.
+// clock is a clock that tests advance manually.
 type clock struct{ now time.Time }
 
 func newClock() *clock { return &clock{now: time.Unix(1_000_000, 0)} }
@@ -31,7 +31,7 @@
 	return target.ServerID(fmt.Sprintf("10.0.0.%d:80", number))
 }
 
-// listOf makes a machine list of count live servers in two groups.
+// listOf returns a machine list of count live servers in two groups.
 func listOf(count int) machinelist.List {
 	list := make(machinelist.List, 0, count)
 	for number := range count {
@@ -45,7 +45,7 @@
 
 func groupOf(number int) string { return fmt.Sprintf("g%d", number%2) }
 
-// statusOf is the status of a long running server.
+// statusOf returns the status of a server that started an hour ago.
 func statusOf(number int, instance string, draining bool, version target.Version) *backend.Status {
 	shards := []backend.Shard{{Group: groupOf(number), Range: keyspace.Full}}
 	return &backend.Status{
