--- a/internal/edge/owners.go
+++ b/internal/edge/owners.go
@@ -26,7 +26,7 @@
 
 // regionsNow returns where another node's request may be served: by the newer one of its
 // configuration and this node's.
-func (s *state) regionsNow(asked owner.Asked) route.Regions {
+func (s *state) regionsNow(asked owner.RequestScope) route.Regions {
 	table := s.table.Load()
 	if table == nil || table.Version <= asked.Version {
 		return asked.Regions
--- a/internal/edge/room.go
+++ b/internal/edge/room.go
@@ -13,7 +13,7 @@
 // openAnnouncer lets this node tell others of the room at services that it asks on their behalf.
 func (n *Node) openAnnouncer() {
 	n.announcer = owner.NewAnnouncer(owner.AnnouncerOptions{
-		Known: n.known, Roster: n.state.roster, Transport: n.transport, Told: newRoomLog(n.logger).write,
+		Admission: n.known, Roster: n.state.roster, Transport: n.transport, OnPublish: newRoomLog(n.logger).write,
 	})
 	n.figures.gauge("services_short_of_room", "Services of which this node lets in only a part of the requests.", func() float64 {
 		return float64(n.known.Admitter.LimitedServices())
--- a/pkg/owner/announcer.go
+++ b/pkg/owner/announcer.go
@@ -48,22 +48,22 @@
 
 // AnnouncerOptions are the parts of an Announcer.
 type AnnouncerOptions struct {
-	// Known is what this node measures, and takes what others tell.
-	Known *fanout.AdmissionControl
-	// Roster has the nodes that are told.
+	// Admission holds the meters of this node and the measurements received from other owners.
+	Admission *fanout.AdmissionControl
+	// Roster lists the nodes of the region that receive the messages.
 	Roster    *Roster
 	Transport peer.Transport
-	// Told takes what the nodes are told; it does not block.
-	Told func([]loadshed.Measurement)
+	// OnPublish is called with each message that this node publishes; it must not block.
+	OnPublish func([]loadshed.Measurement)
 }
 
 // NewAnnouncer registers the handler of what other owners tell.
 func NewAnnouncer(options AnnouncerOptions) *Announcer {
 	created := &Announcer{
-		known: options.Known, roster: options.Roster, transport: options.Transport, told: options.Told,
+		known: options.Admission, roster: options.Roster, transport: options.Transport, told: options.OnPublish,
 		waiting: newOutbox(), onward: newOutbox(),
 	}
-	options.Known.Meters.SetPublisher(created.waiting.put)
+	options.Admission.Meters.SetPublisher(created.waiting.put)
 	options.Transport.Handle(kindRoom, created.takeAndTell)
 	options.Transport.Handle(kindRoomOnward, created.take)
 	return created
--- a/pkg/owner/announcer_test.go
+++ b/pkg/owner/announcer_test.go
@@ -52,8 +52,8 @@
 			roster := owner.NewRoster(each, map[string]string{"z": "r", "y": "r", "x": "q"}, noServers{})
 			roster.SetNodes(known)
 			announcer := owner.NewAnnouncer(owner.AnnouncerOptions{
-				Known: created.known, Roster: roster,
-				Transport: network.Transport(peer.Address(each.Name)), Told: func([]loadshed.Measurement) { created.told.Add(1) },
+				Admission: created.known, Roster: roster,
+				Transport: network.Transport(peer.Address(each.Name)), OnPublish: func([]loadshed.Measurement) { created.told.Add(1) },
 			})
 			created.announcer = announcer
 			go func() { _ = announcer.Run(ctx); done <- struct{}{} }()
--- a/pkg/owner/cluster_test.go
+++ b/pkg/owner/cluster_test.go
@@ -230,7 +230,7 @@
 	owner.NewServer(owner.ServerOptions{
 		Transport: created.transport, Runner: &collector, Servers: created.fleet, Draining: func() bool { return created.draining },
 		Policies: func(string, string) (policy.HedgePolicy, float64) { return hedge, 1 }, Recorder: created.record,
-		Regions: func(asked owner.Asked) route.Regions {
+		Regions: func(asked owner.RequestScope) route.Regions {
 			if newer := created.regions.Load(); newer != nil {
 				return *newer
 			}
--- a/pkg/owner/fuzz_test.go
+++ b/pkg/owner/fuzz_test.go
@@ -42,7 +42,7 @@
 	f.Add(bytes.Repeat([]byte{0x4b}, 1<<20))
 	server := &Server{options: ServerOptions{
 		Policies: func(string, string) (policy.HedgePolicy, float64) { return nil, 1 },
-		Regions:  func(asked Asked) route.Regions { return asked.Regions },
+		Regions:  func(asked RequestScope) route.Regions { return asked.Regions },
 	}}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		before := allocated()
--- a/pkg/owner/parts_test.go
+++ b/pkg/owner/parts_test.go
@@ -75,7 +75,7 @@
 			roster.SetNodes(known)
 			room := fanout.NewAdmissionControl(&crowdedQueues{})
 			announcer := owner.NewAnnouncer(owner.AnnouncerOptions{
-				Known: room, Roster: roster, Told: func([]loadshed.Measurement) {},
+				Admission: room, Roster: roster, OnPublish: func([]loadshed.Measurement) {},
 				Transport: counted{region.network.Transport(peer.Address(each.Name)), region, each.Name},
 			})
 			region.boards, region.announcers = append(region.boards, room.Admitter), append(region.announcers, announcer)
--- a/pkg/owner/server.go
+++ b/pkg/owner/server.go
@@ -32,7 +32,7 @@
 	Policies func(kind, requestID string) (policy.HedgePolicy, float64)
 	// Regions returns where a request may be served now, by this node's configuration or by
 	// what the asking node told, whichever is newer.
-	Regions func(asked Asked) route.Regions
+	Regions func(asked RequestScope) route.Regions
 	// Announcer adds to reports what this node measures of the room at services; nil for
 	// nothing.
 	Announcer *Announcer
@@ -50,8 +50,8 @@
 	Result    fanout.Result
 }
 
-// Asked is what an asking node tells of where its request may be served.
-type Asked struct {
+// RequestScope is what an asking node tells of where its request may be served.
+type RequestScope struct {
 	Host, Target string
 	// Version is that of the asking node's configuration.
 	Version uint64
@@ -178,7 +178,7 @@
 		MaxServerWait: left, Hedge: hedge, ExtraShare: share,
 		Collect: &fanout.Collect{ReportInterval: span(question.ReportUs), SamplingValue: question.Lot},
 	}
-	asked := Asked{
+	asked := RequestScope{
 		Host: question.Host, Target: question.Target, Version: question.Version, Tenant: question.Tenant,
 		Regions: route.OnlyRegions(question.Regions),
 	}
