--- a/pkg/fleet/absence.go
+++ b/pkg/fleet/absence.go
@@ -7,20 +7,19 @@
 	"github.com/bramblemast/bramblemast/pkg/loadshed"
 )
 
-// absenceExpiry is the time without a request that found no server after which nothing is
-// known of it any more.
+// absenceExpiry is how long an absence is remembered after the last request that found no server.
 const absenceExpiry = time.Second
 
-// absence is since when requests of a load have found no server, and when one did last. The
-// mutex of the Fleet guards it.
+// absence records a period in which requests of one load found no server: since is when the first
+// of them failed to find one, lastAt when the last did. The mutex of the Fleet guards it.
 type absence struct{ since, lastAt time.Time }
 
-// load names the load that a choice is counted in.
+// loadKey returns the key of the load that this choice is counted in.
 func (c Choice) loadKey() loadshed.Key {
 	return loadshed.Key{Service: c.Service, Regions: c.Regions.Key()}
 }
 
-// recordAbsence notes that a request has found no server. The mutex is held.
+// recordAbsence records that a request has found no server. The mutex is held.
 func (f *Fleet) recordAbsence(key loadshed.Key, now time.Time) {
 	known := f.absences[key]
 	if now.Sub(known.lastAt) > absenceExpiry {
@@ -30,13 +29,14 @@
 	f.absences[key] = known
 }
 
-// forgetAbsences drops what is known of a service without servers. The mutex is held.
+// forgetAbsences drops the absences of a service that has no servers any more. The mutex is held.
 func (f *Fleet) forgetAbsences(service string) {
 	maps.DeleteFunc(f.absences, func(key loadshed.Key, _ absence) bool { return key.Service == service })
 }
 
-// NoServerDuration returns for how long requests for a service have found no server; zero if
-// they find one or nothing is known lately. It is expected to last about as long again.
+// NoServerDuration returns for how long requests of a load have found no server; zero if they find
+// one or if none was sent within absenceExpiry. The absence is expected to last about as long
+// again.
 func (f *Fleet) NoServerDuration(key loadshed.Key, now time.Time) time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/pkg/fleet/adaptive_limit.go
+++ b/pkg/fleet/adaptive_limit.go
@@ -2,32 +2,30 @@
 
 import "time"
 
-// Constants of the room at a server: how many requests this node has there at a
-// time.
+// Constants of the adaptive limit, which bounds this node's concurrent requests at a server.
 const (
-	// decreaseShare of a request's target is when an answer shows that the server
-	// has too many requests: the node keeps the rest of the time for waiting
-	// where their order can still be changed.
+	// decreaseShare is the part of a request's target beyond which an answer time shows that the
+	// server has too many requests. The rest of the time is kept for waiting in this node, where
+	// the order of requests can still be changed.
 	decreaseShare = 0.5
-	// increaseShare of a request's target is within which an answer shows that the
-	// server may get more.
+	// increaseShare is the part of a request's target within which an answer time shows that the
+	// server can take more requests.
 	increaseShare = 0.35
-	// decreaseFactor lowers the room. A calm answer raises it by increaseStep, but no more
-	// than increaseStepsPerRound for as many answers as there is room for: growth by a
-	// fixed step for each answer is exponential, and where there is much room it
-	// overshoots by the answers that are still under way (0.84 to 0.93 instead of 0.95
-	// of the capacity and more in TestOverloadServesTheSameRequestsEverywhere).
+	// decreaseFactor multiplies the limit on a decrease. A fast answer raises the limit by
+	// increaseStep, but no more than increaseStepsPerRound for as many answers as the limit allows
+	// at once. Growth by a fixed step for each answer would be exponential, and where the limit is
+	// large it overshoots by the answers that are still in flight (0.84 to 0.93 of the capacity
+	// instead of 0.95 and more in TestOverloadServesTheSameRequestsEverywhere).
 	decreaseFactor        = 0.7
 	increaseStep          = 0.5
 	increaseStepsPerRound = 2.0
-	// minLimitPerSlot is the least room for each slot of this node's share of a
-	// server.
+	// minLimitPerSlot is the minimum of the limit for each slot of this node's share of a server.
 	minLimitPerSlot = 1.0
 )
 
-// adapt takes what the time of one request shows of the room at its server. The
-// requests that were sent before the last reduction tell nothing new, and neither
-// does a calm answer while the room was never full.
+// adaptLimit adapts the limit of a server to the time of one request. Requests that were sent
+// before the last decrease cause no further decrease, and a fast answer causes no increase unless
+// the limit was reached since its request was sent. The mutex is held.
 func (f *Fleet) adaptLimit(lease *Lease, elapsed time.Duration, now time.Time) {
 	server := lease.member
 	if lease.target <= 0 {
@@ -43,8 +41,8 @@
 	}
 }
 
-// lowerAdaptiveLimit lowers the room at the server of a lease, once for all requests that
-// were sent before. The mutex is held.
+// lowerAdaptiveLimit decreases the limit of a lease's server, once for all requests that were sent
+// before the decrease. The mutex is held.
 func (f *Fleet) lowerAdaptiveLimit(lease *Lease, now time.Time) {
 	server := lease.member
 	if !lease.acquiredAt.After(server.decreasedAt) {
@@ -55,8 +53,8 @@
 	server.decreasedAt = now
 }
 
-// minAdaptiveLimit is the room that a server keeps, so that all nodes together can use
-// all of its slots. The mutex is held.
+// minAdaptiveLimit returns the minimum of a server's limit, which lets all nodes together use all
+// of its slots. The mutex is held.
 func (f *Fleet) minAdaptiveLimit(server *member, now time.Time) float64 {
 	sharers := f.callers.Total
 	if f.isOwner(server, now) {
--- a/pkg/fleet/choose.go
+++ b/pkg/fleet/choose.go
@@ -7,69 +7,69 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// Constants of the choice of a server.
+// Constants of server selection.
 const (
-	// avoidedServerCost is added for a server that failed a short while ago.
+	// avoidedServerCost is added to the cost of a server that is avoided since it failed recently,
+	// and to that of one whose retry time has not come.
 	avoidedServerCost = 2 * time.Second
-	// sameZoneShare and otherZoneShare are the parts of a server's connections that the
-	// nodes of its zone and all other nodes use.
+	// sameZoneShare and otherZoneShare are the parts of a server's connections that the nodes of
+	// its own zone and all other nodes use.
 	sameZoneShare  = 0.3
 	otherZoneShare = 0.5
-	// minLimit is the least number of requests that a node may have at one
-	// server.
+	// minLimit is the minimum of the limit on a node's concurrent requests at one server.
 	minLimit = 1
-	// jitterShare spreads requests over servers that are about alike.
+	// jitterShare is the random part of the cost, relative to the typical time. It spreads requests
+	// over servers of about equal cost.
 	jitterShare = 0.1
-	// stallFactor times the expected time is when a silent server is taken for
-	// stalled.
+	// stallFactor times the typical time is how long a server may be silent, beyond the round trip,
+	// before it counts as stalled.
 	stallFactor = 2
-	// minStall is the least time after which a server is taken for stalled.
+	// minStall is the minimum of the silence after which a server counts as stalled.
 	minStall = 12 * time.Millisecond
 )
 
-// Choice is a request for a server.
+// Choice describes a request for which a server is to be chosen.
 type Choice struct {
 	Service string
-	// Kind is the kind of request, by which typical times are kept.
+	// Kind is the kind of request. Typical times are kept by kind.
 	Kind string
-	// Assumed is the typical time of the kind until one is measured.
+	// Assumed is the typical time of the kind until a time has been measured.
 	Assumed time.Duration
-	// Target is the time within which an answer is of full value; zero if it is
-	// not bounded.
+	// Target is the time within which an answer has its full value; zero for no limit.
 	Target time.Duration
-	// Span is the whole time that the request has, until its deadline.
+	// Span is the total time that the request has until its deadline.
 	Span time.Duration
-	// Rank orders sub-requests where not all find a free server.
+	// Rank orders sub-requests when there are not enough free servers for all.
 	Rank Rank
-	// Excluded are servers that were asked already.
+	// Excluded are leases of servers that have already been tried for this request.
 	Excluded []*Lease
-	// Regions are those in which the request may be served.
+	// Regions are the regions in which the request may be served.
 	Regions route.Regions
-	// AsOwner says that this node asks the service on behalf of the nodes around it,
-	// so that it may use their share of the connections of its servers.
+	// AsOwner says that this node sends requests to the service on behalf of the nodes around it,
+	// and may therefore use their share of the connections of its servers.
 	AsOwner bool
 }
 
-// Availability says why there is no server.
+// Availability says whether a server is available, and if not, why.
 type Availability int
 
-// The availabilities.
+// The values of Availability.
 const (
 	// Available means that there is a server.
 	Available Availability = iota
-	// Busy means that all servers have as many requests of this node as they
-	// may have.
+	// Busy means that each server that could be used has reached its limit of requests of this
+	// node, or is not to be tried again yet.
 	Busy
-	// Absent means that the service has no server that was not asked before and
-	// can be reached.
+	// Absent means that the service has no server that can be reached and has not been tried
+	// before.
 	Absent
 )
 
 // String returns the name used in logs.
 func (a Availability) String() string { return [...]string{"available", "busy", "absent"}[a] }
 
-// Acquire chooses the server that is expected to answer soonest and returns a
-// lease of it, or nil and why there is none.
+// Acquire chooses the server that is expected to answer first and returns a lease of it, or nil and
+// the reason why there is none. The caller ends the lease with Finish or Cancel.
 func (f *Fleet) Acquire(choice Choice, now time.Time) (*Lease, Availability) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -98,8 +98,8 @@
 	return lease, Available
 }
 
-// Estimate returns the expected time of the best server without taking it; the
-// second value is false if there is none.
+// Estimate returns the expected time until the best server answers, without acquiring a lease. The
+// second result is false if there is no server.
 func (f *Fleet) Estimate(choice Choice, now time.Time) (time.Duration, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -107,7 +107,8 @@
 	return cost, best != nil
 }
 
-// Profile returns what is known of the times of a kind of request.
+// Profile returns the current statistics of the times of a kind of request; assumed is the typical
+// time until one is measured.
 func (f *Fleet) Profile(kind string, assumed time.Duration) ProfileView {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -115,7 +116,8 @@
 	return ProfileView{Mean: profile.typical(), Deviation: profile.deviation}
 }
 
-// profile returns the profile of a kind. The mutex is held.
+// profile returns the profile of the kind of a choice, which it creates if there is none. The mutex
+// is held.
 func (f *Fleet) profile(choice Choice) *Profile {
 	found := f.profiles[choice.Kind]
 	if found == nil {
@@ -125,8 +127,9 @@
 	return found
 }
 
-// cheapest returns the member with the least cost. One that leaves is the last choice, and
-// one whose zone is being evacuated where the others have no room. The mutex is held.
+// cheapest returns the member with the lowest cost. A leaving server is used only if there is no
+// other, and a server in a zone under evacuation only if the others have no capacity. The mutex is
+// held.
 func (f *Fleet) cheapest(choice Choice, profile *Profile, now time.Time) (*member, time.Duration, Availability) {
 	var best, lastResort *member
 	var bestCost, lastResortCost time.Duration
@@ -168,10 +171,9 @@
 	return nil, 0, availability
 }
 
-// limit returns how many requests this node may have at a server, so that all
-// nodes together stay within the server's connections. Nodes of the server's
-// own zone have more of them, since servers nearby are asked first. The mutex
-// is held.
+// limit returns how many concurrent requests this node may have at a server, so that all nodes
+// together stay within the server's connections. Nodes in the server's own zone get a larger share,
+// since nearby servers are preferred. The mutex is held.
 func (f *Fleet) limit(server *member, now time.Time) int {
 	shared := min(f.sharedLimit(server, now), max(minLimit, int(server.adaptiveLimit)))
 	if now.Before(server.reducedUntil) {
@@ -180,7 +182,7 @@
 	return shared
 }
 
-// sharedLimit is the limit by the connections of the server alone. The mutex is
+// sharedLimit returns the limit that follows from the connections of the server alone. The mutex is
 // held.
 func (f *Fleet) sharedLimit(server *member, now time.Time) int {
 	connections := f.connections[server.Service]
@@ -194,10 +196,10 @@
 	return max(minLimit, int(share*float64(connections)/float64(max(1, f.sharers(server, now)))))
 }
 
-// sharers counts the nodes that divide a part of a server's connections among
-// them: for a server nearby those of its zone, for another one all others. Where
-// owners ask on behalf of the nodes around them, there is about one in each zone.
-// The mutex is held.
+// sharers counts the nodes that divide a part of a server's connections among them: the nodes of
+// its zone for a server in this node's zone, and all nodes outside the server's zone otherwise.
+// Where owners send requests on behalf of the nodes around them, there is about one sharer in each
+// zone. The mutex is held.
 func (f *Fleet) sharers(server *member, now time.Time) int {
 	isSameZone, asOwner := server.Zone == f.settings.Local.Zone, f.isOwner(server, now)
 	switch {
@@ -211,17 +213,17 @@
 	return f.callers.Total - f.callers.ByZone[server.Zone]
 }
 
-// ownerSpan is for how long a node counts as the owner of a service after it was
-// last asked as such: longer than the pauses between requests at a low rate.
+// ownerSpan is for how long a node counts as the owner of a service after its last request as the
+// owner. It is longer than the gaps between requests at a low rate.
 const ownerSpan = 5 * time.Second
 
-// isOwner reports whether this node asks a server's service on behalf of others.
-// The mutex is held.
+// isOwner reports whether this node sends requests to a server's service on behalf of others. The
+// mutex is held.
 func (f *Fleet) isOwner(server *member, now time.Time) bool {
 	return !server.askedAsOwnerAt.IsZero() && now.Sub(server.askedAsOwnerAt) < ownerSpan
 }
 
-// cost estimates when a server would answer. The mutex is held.
+// cost estimates the time until a server would answer. The mutex is held.
 func (f *Fleet) cost(server *member, profile *Profile, now time.Time) time.Duration {
 	typical := profile.typical()
 	slots := server.Slots
@@ -245,9 +247,9 @@
 	return cost + time.Duration(jitterShare*f.settings.Random.Float64()*float64(typical))
 }
 
-// stallCost is added for a server that is silent for longer than an answer takes.
-// Since one heavy request among others does not count, a server nearby is not left for
-// one far away while it goes on answering.
+// stallCost returns the extra cost of a server that has been silent for longer than an answer
+// takes. A single heavy request does not count as silence while the server answers others, so that
+// a nearby server is not abandoned for a distant one. The mutex is held.
 func stallCost(server *member, typical time.Duration, now time.Time) time.Duration {
 	since := server.silentSince()
 	if since.IsZero() {
@@ -260,8 +262,8 @@
 	return overdue + 2*typical
 }
 
-// isEligible reports whether a request may go to a server at all: it was not asked before and
-// stands in an allowed region. The mutex is held.
+// isEligible reports whether a request may be sent to a server at all: the server has not been
+// tried before and is in an allowed region. The mutex is held.
 func (f *Fleet) isEligible(choice Choice, candidate *member) bool {
 	for _, lease := range choice.Excluded {
 		if lease.member == candidate {
@@ -271,8 +273,8 @@
 	return f.isAllowed(choice.Regions, candidate)
 }
 
-// isAllowed reports whether a server stands in an allowed region. A zone without a known
-// region is in none.
+// isAllowed reports whether a server is in an allowed region. A zone without a known region belongs
+// to no region.
 func (f *Fleet) isAllowed(regions route.Regions, candidate *member) bool {
 	return regions.Allow(f.settings.Regions[candidate.Zone])
 }
--- a/pkg/fleet/cold.go
+++ b/pkg/fleet/cold.go
@@ -7,42 +7,43 @@
 	"github.com/bramblemast/bramblemast/pkg/rendezvous"
 )
 
-// WarmUp is what the servers of a service bear while they are cold: after a start, or
-// whenever they say so.
+// WarmUp describes how many requests the servers of a service can take while they are cold: after a
+// start, or whenever their entries say so.
 type WarmUp struct {
-	// Span is how long a server usually needs to warm up.
+	// Span is how long a server usually takes to warm up.
 	Span time.Duration
-	// PerSecond is how many requests a second a cold server bears, from all nodes together;
-	// zero for no bound.
+	// PerSecond is how many requests per second a cold server can take from all nodes together;
+	// zero for no limit.
 	PerSecond float64
 }
 
-// WarmUpBounds are how far the requests to a cold server may go beyond WarmUp.PerSecond in
-// any second: Factor times it, and Extra more.
+// WarmUpBounds bound how far the requests to a cold server may exceed WarmUp.PerSecond in any
+// second: up to Factor times it, plus Extra.
 type WarmUpBounds struct {
 	Factor float64
 	Extra  float64
 }
 
-// Constants of the requests to cold servers.
+// Constants of requests to cold servers.
 const (
-	// coldWindow is the span over which they are counted.
+	// coldWindow is the sliding window over which these requests are counted.
 	coldWindow = time.Second
-	// coldShare of the bound is used: requests are counted when a server is chosen and
-	// leave once a connection is open, and nodes that have just started are not known to
-	// all others.
+	// coldShare is the part of the bound that is used. The rest is a margin: requests are counted
+	// when a server is chosen but sent only once a connection is open, and nodes that have just
+	// started are not yet known to all others.
 	coldShare = 0.8
-	// ownerShare of that is for the owners of services that have owners; the rest is for
-	// all nodes, which turn to the servers themselves where an owner is silent.
+	// ownerShare is the part of that for the owners, where a service has owners. The rest is for
+	// all nodes, which send requests to the servers directly when an owner does not answer.
 	ownerShare = 0.75
-	// OwnersPerRegion is how many nodes of a region may take themselves for the owner of a
-	// service at the same time: as many as have a rank for it (package owner).
+	// OwnersPerRegion is how many nodes of a region may consider themselves the owner of a service
+	// at the same time: all that are ranked as candidates for it (package owner).
 	OwnersPerRegion = 3
-	// assumedCallerCount share the bound until the nodes are known.
+	// assumedCallerCount is the number of nodes that is assumed to share the bound until the nodes
+	// are known.
 	assumedCallerCount = 64
 )
 
-// SetWarmUps takes what cold servers bear, by service; the caller does not change the map
+// SetWarmUps sets what cold servers can take, by service. The caller must not change the map
 // afterwards.
 func (f *Fleet) SetWarmUps(warmUps map[string]WarmUp) {
 	f.mutex.Lock()
@@ -51,7 +52,7 @@
 	f.callersGeneration++
 }
 
-// SetWarmUpBounds takes how far requests to cold servers may go beyond what they bear.
+// SetWarmUpBounds sets how far requests to cold servers may exceed what they can take.
 func (f *Fleet) SetWarmUpBounds(bounds WarmUpBounds) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -59,7 +60,7 @@
 	f.callersGeneration++
 }
 
-// cool notes that the server is cold until a moment.
+// markCold marks the server as cold until the given time, unless it is already cold for longer.
 func (m *member) markCold(until time.Time) {
 	if until.After(m.warmUntil) {
 		m.warmUntil = until
@@ -69,17 +70,17 @@
 // isCold reports whether the server is still warming up.
 func (m *member) isCold(now time.Time) bool { return now.Before(m.warmUntil) }
 
-// coldQuota is how many requests this node may send to a server in a coldWindow while it is
-// cold.
+// coldQuota is how many requests this node may send to a cold server in a coldWindow.
 type coldQuota struct {
-	// general is for any request, owned for those that this node asks as an owner beyond it.
+	// general applies to all requests; owner is added to it while this node is an owner of the
+	// service.
 	general, owner int
-	// generation is that of the nodes for which it was computed.
+	// generation is the value of Fleet.callersGeneration for which the quota was computed.
 	generation uint64
 }
 
-// isWithinColdQuota reports whether this node may send one more request to a server that is cold,
-// so that all nodes together stay within what it bears. The mutex is held.
+// isWithinColdQuota reports whether this node may send one more request to a cold server, so that
+// all nodes together stay within what it can take. The mutex is held.
 func (f *Fleet) isWithinColdQuota(server *member, now time.Time) bool {
 	if f.warmUps[server.Service].PerSecond <= 0 {
 		return true
@@ -95,9 +96,9 @@
 	return len(server.coldSends) < allowed
 }
 
-// newColdQuota divides what a cold server bears among the nodes, without messages: in even
-// parts, and where that is less than one request for each, one for each of the first nodes
-// by rank. The mutex is held.
+// newColdQuota returns this node's part of what a cold server can take. The nodes compute their
+// parts without messages: equal parts, or where that is less than one request each, one request for
+// each of the top-ranked nodes. The mutex is held.
 func (f *Fleet) newColdQuota(server *member) coldQuota {
 	bounds := f.warmUpBounds
 	bound := coldShare * (max(1, bounds.Factor)*f.warmUps[server.Service].PerSecond + bounds.Extra)
@@ -117,12 +118,13 @@
 	return quota
 }
 
-// isAmongTop reports whether this node is one of the first for a server. The mutex is held.
+// isAmongTop reports whether this node is one of the count top-ranked nodes for a server. The mutex
+// is held.
 func (f *Fleet) isAmongTop(server string, count int) bool {
 	return slices.Contains(rendezvous.Top(server, f.callers.Names, count), f.settings.Node)
 }
 
-// regionCount counts the regions of the zones that have nodes. The mutex is held.
+// regionCount counts the regions whose zones have nodes. The mutex is held.
 func (f *Fleet) regionCount() int {
 	regions := make(map[string]bool)
 	for zone := range f.callers.ByZone {
@@ -131,7 +133,7 @@
 	return max(1, len(regions))
 }
 
-// recordColdSend counts a request to a server if it is cold. The mutex is held.
+// recordColdSend counts a request to a server if the server is cold. The mutex is held.
 func (f *Fleet) recordColdSend(server *member, now time.Time) {
 	if server.isCold(now) && f.warmUps[server.Service].PerSecond > 0 {
 		server.coldSends = append(server.coldSends, now)
--- a/pkg/fleet/evacuation.go
+++ b/pkg/fleet/evacuation.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// evacuation is an operator's request to send nothing more to the servers of a zone.
+// evacuation is an operator's request to stop sending requests to the servers of a zone.
 type evacuation struct {
-	// from is when the load begins to leave, until when nothing goes there any more.
+	// from is when the load begins to move away, until when no more requests are sent to the zone.
 	from, until time.Time
 }
 
-// progress returns how much of the load is to have left by now, 0 to 1. It grows evenly,
-// so that the servers elsewhere do not get all of it in one moment.
+// progress returns the share of the load, 0 to 1, that should have moved away by now. It grows
+// linearly, so that the servers in other zones do not receive the whole load at once.
 func (e evacuation) progress(now time.Time) float64 {
 	if !now.Before(e.until) {
 		return 1
@@ -17,9 +17,9 @@
 	return max(0, float64(now.Sub(e.from))/float64(e.until.Sub(e.from)))
 }
 
-// Evacuate takes that nothing more is to be sent to the servers of a zone, and reports
-// whether that is new. Within a span the load leaves it evenly; afterwards none of its
-// servers is asked, also if its service has no other.
+// Evacuate starts the evacuation of a zone and reports whether it is new. The load moves away
+// linearly within the given time. After that no request is sent to a server of the zone, even if
+// its service has no other.
 func (f *Fleet) Evacuate(zone string, within time.Duration, now time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -31,9 +31,9 @@
 	return true
 }
 
-// EndEvacuation takes that the servers of a zone may be asked again, and reports whether
-// they were not. They have served nothing meanwhile, so they are taken for cold until
-// the span is over in which their service warms up.
+// EndEvacuation ends the evacuation of a zone and reports whether there was one. The servers of the
+// zone have served nothing in the meantime, so they count as cold for the warm-up time of their
+// service.
 func (f *Fleet) EndEvacuation(zone string, now time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -51,8 +51,8 @@
 	return true
 }
 
-// evacuatedShare returns how much of the load of a server is to have left it, since its
-// zone is being evacuated. The mutex is held.
+// evacuatedShare returns the share of a server's load that should have moved away because its zone
+// is under evacuation. The mutex is held.
 func (f *Fleet) evacuatedShare(server *member, now time.Time) float64 {
 	found, known := f.evacuations[server.Zone]
 	if !known {
@@ -61,15 +61,15 @@
 	return found.progress(now)
 }
 
-// isWithdrawn reports whether a server is not asked at all: it has ended, or its zone is
-// evacuated. The mutex is held.
+// isWithdrawn reports whether no requests may be sent to a server: it has ended, or its zone has
+// been evacuated. The mutex is held.
 func (f *Fleet) isWithdrawn(server *member, now time.Time) bool {
 	return server.hasEnded(now) || f.evacuatedShare(server, now) >= 1
 }
 
-// isLastResort reports whether a server is asked only if its service has no other: it
-// leaves, or this request is one of those that go elsewhere while its zone is being
-// evacuated. The mutex is held.
+// isLastResort reports whether a server is used only if its service has no other: the server is
+// leaving, or its zone is under evacuation and this request belongs to the share that has moved
+// away. The share is drawn at random for each call. The mutex is held.
 func (f *Fleet) isLastResort(server *member, now time.Time) bool {
 	if server.isLeaving(now) {
 		return true
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -11,7 +11,7 @@
 	"github.com/bramblemast/bramblemast/pkg/rhythm"
 )
 
-// Place is where a node runs.
+// Place is the location of a node.
 type Place struct {
 	Zone   string
 	Region string
@@ -19,58 +19,60 @@
 
 // Settings of a Fleet.
 type Settings struct {
-	// Node is the name of this node, as in Callers.Names.
+	// Node is the name of this node as it appears in Callers.Names.
 	Node  string
 	Local Place
 	// Regions maps each zone to its region.
 	Regions map[string]string
-	// LeaveGrace is how long after a server was known to leave it may still be
-	// asked if its service has no other.
+	// LeaveGrace is for how long a server that is known to leave may still be used if its service
+	// has no other.
 	LeaveGrace time.Duration
-	// WarmUpBounds bound the requests to cold servers; see SetWarmUpBounds.
+	// WarmUpBounds bounds the requests to cold servers; see SetWarmUpBounds.
 	WarmUpBounds WarmUpBounds
 	Dialer       exchange.Dialer
-	// Random is not shared with other users.
+	// Random must not be shared with other users.
 	Random *rand.Rand
 }
 
-// Fleet is the set of servers that a node knows.
+// Fleet is the set of servers that a node knows. It is safe for concurrent use.
 type Fleet struct {
 	settings Settings
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
-	// leaveGrace and warmUpBounds are those of the settings until others are set.
+	//
+	// leaveGrace and warmUpBounds have the values of the settings until others are set.
 	leaveGrace   time.Duration
 	warmUpBounds WarmUpBounds
 	members      map[string]*member
 	services     map[string][]*member
 	zones        map[string]*zoneTimes
 	profiles     map[string]*Profile
-	// periods are those in which servers pause.
+	// sharedPeriod is the period of the pauses that servers have in common.
 	sharedPeriod rhythm.SharedPeriod
 	// callers are the nodes that share the servers' connections.
 	callers Callers
-	// connections is the greatest number of connections of a server, by service.
+	// connections is the maximum number of connections of each server, by service.
 	connections map[string]int
-	// warmUps are what cold servers bear, by service, and callersGeneration changes with
-	// them and with callers.
+	// warmUps is what cold servers can take, by service. callersGeneration changes with warmUps,
+	// warmUpBounds and callers.
 	warmUps           map[string]WarmUp
 	callersGeneration uint64
-	// startRequired has the ids whose server had told its start when an entry of theirs was refused:
-	// an entry without a start is not taken for the server's, also once the server is forgotten.
+	// startRequired holds the ids whose server had given a start time when one of its entries was
+	// rejected. An entry without a start is then not accepted as the server's own, even after the
+	// server has been forgotten.
 	startRequired map[string]bool
-	// evacuations are the zones to whose servers nothing is to be sent.
+	// evacuations are the zones under evacuation, to whose servers no requests are to be sent.
 	evacuations map[string]evacuation
-	// waiters are the sub-requests for which no server was free, by service.
+	// waiters are the sub-requests that wait for a free server, by service.
 	waiters map[string][]*Waiter
-	// absences are the loads that have found no server lately.
+	// absences are the loads that have recently found no server.
 	absences map[loadshed.Key]absence
-	// generation changes with the servers that are listed and their zones.
+	// generation changes whenever the result of ServingZones may have changed.
 	generation uint64
 }
 
-// New returns an empty fleet.
+// New returns a fleet without servers.
 func New(settings Settings) *Fleet {
 	return &Fleet{
 		settings:   settings,
@@ -87,9 +89,9 @@
 	}
 }
 
-// Apply takes the state of one server from the platform's list and returns what changed. The
-// order of the calls is that of the list: a server whose start differs from the known one has
-// started again, whichever of the two is the later moment.
+// Apply takes the state of one server from the platform's list and returns what changed. The calls
+// must be in the order of the list: a server whose start differs from the known one has restarted,
+// whichever of the two times is later.
 func (f *Fleet) Apply(server Server, now time.Time) Change {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -108,7 +110,7 @@
 	return Change{Kind: f.update(known, server, now)}
 }
 
-// add takes a server that was not known. The mutex is held.
+// add adds a server that was not known. The mutex is held.
 func (f *Fleet) add(server Server, now time.Time) {
 	added := &member{
 		Server: server, pool: exchange.NewPool(server.Address, f.settings.Dialer), ratio: 1, ratioAt: now, listed: true,
@@ -125,7 +127,7 @@
 	f.services[server.Service] = append(f.services[server.Service], added)
 }
 
-// update takes the new state of a known server. The mutex is held.
+// update applies the new state of a known server. The mutex is held.
 func (f *Fleet) update(known *member, server Server, now time.Time) ChangeKind {
 	wasListed, wasDraining := known.listed, known.Draining
 	known.Server, known.listed = server, true
@@ -143,9 +145,9 @@
 	return Unchanged
 }
 
-// Remove takes a server that left the platform's list and reports whether it was listed. Until
-// the moment unconfirmedUntil the list itself is not confirmed, and the server is asked as before as
-// long as it answers.
+// Remove handles a server that has disappeared from the platform's list and reports whether it was
+// listed. Until unconfirmedUntil the list itself is not confirmed, and the server is used as before
+// for as long as it answers.
 func (f *Fleet) Remove(id string, unconfirmedUntil, now time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -154,8 +156,8 @@
 	return known != nil && f.unlist(known, unconfirmedUntil, now)
 }
 
-// unlist notes that the platform's list names a server no longer, and reports whether it did.
-// The mutex is held.
+// unlist marks a server as no longer listed by the platform and reports whether it was listed
+// before. The mutex is held.
 func (f *Fleet) unlist(known *member, unconfirmedUntil, now time.Time) bool {
 	if !known.listed {
 		return false
@@ -170,8 +172,8 @@
 	return true
 }
 
-// Sweep closes connections that were idle for too long and forgets servers that
-// left a while ago. It is called every second or so.
+// Sweep closes connections that have been idle for too long and forgets servers that have ended and
+// have no requests in flight. It is meant to be called about once a second.
 func (f *Fleet) Sweep(now time.Time) {
 	f.mutex.Lock()
 	var pools, closing []*exchange.Pool
@@ -201,7 +203,8 @@
 	}
 }
 
-// forgets reports whether a server is gone for good. The mutex is held.
+// forgetIfGone removes a server from the members if it is no longer listed, has ended and has no
+// requests in flight. It reports whether it was removed. The mutex is held.
 func (f *Fleet) forgetIfGone(server *member, now time.Time) bool {
 	if server.listed || len(server.active) > 0 || !server.hasEnded(now) {
 		return false
@@ -212,7 +215,8 @@
 	return true
 }
 
-// SetConnections takes how many connections each server of a service accepts.
+// SetConnections sets how many connections each server of a service accepts. The caller must not
+// change the map afterwards.
 func (f *Fleet) SetConnections(connections map[string]int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -220,23 +224,23 @@
 	f.updateIdleBounds()
 }
 
-// SetLeaveGrace takes for how long a leaving server may be asked if its service has no other.
+// SetLeaveGrace sets for how long a leaving server may be used if its service has no other.
 func (f *Fleet) SetLeaveGrace(span time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.leaveGrace = span
 }
 
-// Callers counts the nodes that share the servers, this node among them.
+// Callers are the nodes that share the servers, including this node.
 type Callers struct {
 	Total  int
 	ByZone map[string]int
-	// Names are those of all nodes, in any order.
+	// Names are the names of all nodes, in any order.
 	Names []string
 }
 
-// SetCallers takes the nodes that share the servers; the caller does not change
-// the map afterwards.
+// SetCallers sets the nodes that share the servers. The caller must not change the map or the names
+// afterwards.
 func (f *Fleet) SetCallers(callers Callers) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -258,7 +262,7 @@
 	return count
 }
 
-// CountPredictedPauses returns the number of listed servers whose next pause is foreseen.
+// CountPredictedPauses returns the number of listed servers whose next pause is predicted.
 func (f *Fleet) CountPredictedPauses(now time.Time) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -271,7 +275,7 @@
 	return count
 }
 
-// zone returns the times of a zone. The mutex is held.
+// zone returns the network times of a zone; assumed ones if the zone is new. The mutex is held.
 func (f *Fleet) zone(name string) *zoneTimes {
 	times := f.zones[name]
 	if times == nil {
--- a/pkg/fleet/incarnation.go
+++ b/pkg/fleet/incarnation.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Start is when a server's process began by its own clock, in milliseconds of Unix time; zero
-// if it does not tell. It only tells one process from another: clocks are set back, so which
-// of two starts is the newer one is decided by the order of the platform's store.
+// Start is the time at which a server's process started by its own clock, in milliseconds of Unix
+// time; zero if the server does not give it. It only distinguishes processes: since clocks can be
+// set back, the order of the platform's store decides which of two starts is newer.
 type Start int64
 
-// Incarnation is one process of a server. A server may start again under its id; it then
-// holds nothing of before, and what was learned of the earlier process does not hold for it.
+// Incarnation identifies one process of a server. A server may restart under the same id; the new
+// process has no state of the earlier one, and what was learned about the earlier one does not
+// apply to it.
 type Incarnation struct {
 	ID    string
 	Start Start
 }
 
-// String returns the form used in logs: the id, and the start if it is known.
+// String returns the form used in logs: the id, followed by the start if it is known.
 func (i Incarnation) String() string {
 	if i.Start == 0 {
 		return i.ID
@@ -25,13 +26,13 @@
 	return i.ID + "@" + strconv.FormatInt(int64(i.Start), 10)
 }
 
-// Incarnation returns which process of the server the entry tells of.
+// Incarnation returns the process that the entry describes.
 func (s Server) Incarnation() Incarnation { return Incarnation{ID: s.ID, Start: s.Start} }
 
-// ChangeKind is what an entry changed.
+// ChangeKind is what an entry of the platform's list changed.
 type ChangeKind string
 
-// The changes, as logs name them.
+// The kinds of change; the values appear in logs.
 const (
 	Unchanged ChangeKind = ""
 	Added     ChangeKind = "added"
@@ -39,25 +40,25 @@
 	Returned  ChangeKind = "returned"
 	// Moved means that the id is listed with another address or service.
 	Moved ChangeKind = "moved"
-	// Restarted means that another process of the server has taken the place of the known one.
+	// Restarted means that another process of the server has replaced the known one.
 	Restarted ChangeKind = "started again"
-	// Invalid means that the entry lacks the start that the server has told before, so that
-	// another writer made it. The server is left as if it had gone from the list.
+	// Invalid means that the entry lacks the start that the server has given before, so that it was
+	// written by someone else. The server is treated as if it had been removed from the list.
 	Invalid ChangeKind = "mistaken"
-	// StillInvalid is the same of an entry whose server was left already.
+	// StillInvalid means the same for an entry whose server has already been treated as removed.
 	StillInvalid ChangeKind = "still mistaken"
 )
 
-// Change tells of one entry of the platform's list what it changed.
+// Change is the effect of one entry of the platform's list.
 type Change struct {
 	Kind ChangeKind
-	// Replaced is the process that has ended, if the server has started again.
+	// Replaced is the process that has ended, if the server has restarted.
 	Replaced Incarnation
 }
 
-// replace takes another process, or another place, of a known server. What is known of the
-// earlier one stays with its requests that are still under way: they may have run, and their
-// answers are sound, but nothing new is sent to it. The mutex is held.
+// replace replaces a known server by another process, or by the same process at another address or
+// service. The earlier member stays referenced by its requests in flight: they may have run, and
+// their answers are valid, but no new requests are sent to it. The mutex is held.
 func (f *Fleet) replace(known *member, server Server, now time.Time) Change {
 	known.listed = false
 	known.scheduleLeave(now, now)
@@ -69,9 +70,9 @@
 	return Change{Kind: Restarted, Replaced: known.Incarnation()}
 }
 
-// RejectEntry notes that the entry of an id is there but names no server: it cannot be read, or is not
-// the server's own. The server that was listed under the id is left as if it had gone from the
-// list, until it is listed again. RejectEntry reports whether there was one.
+// RejectEntry handles an entry that exists but describes no server: it cannot be read, or it is not
+// the server's own. The server that was listed under the id is treated as if it had been removed
+// from the list, until it is listed again. RejectEntry reports whether there was one.
 func (f *Fleet) RejectEntry(id string, now time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -79,7 +80,7 @@
 	return known != nil && f.unlistInvalid(known, now).Kind == Invalid
 }
 
-// unlistInvalid is RejectEntry for a known server. The mutex is held.
+// unlistInvalid unlists a known server whose entry is invalid. The mutex is held.
 func (f *Fleet) unlistInvalid(known *member, now time.Time) Change {
 	if known.Start != 0 {
 		f.startRequired[known.ID] = true
--- a/pkg/fleet/lease.go
+++ b/pkg/fleet/lease.go
@@ -10,52 +10,49 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// Lease is the right to send one request to a server. It is ended by exactly
-// one call of Fleet.Finish.
+// Lease is the permission to send one request to a server. Exactly one call of Fleet.Finish or
+// Fleet.Cancel ends it.
 type Lease struct {
 	Server Server
 	Pool   *exchange.Pool
-	// Expected is the time after which an answer is due at this server,
-	// network included.
+	// Expected is the time within which an answer of this server is expected, network included.
 	Expected time.Duration
-	// Network is the part of Expected that the network takes.
+	// Network is the network's part of Expected.
 	Network time.Duration
 
 	member  *member
 	profile *Profile
-	// load is that which the request is counted in.
+	// loadKey is the load that the request is counted in.
 	loadKey    loadshed.Key
 	acquiredAt time.Time
-	// target is that of the Choice.
+	// target is Choice.Target.
 	target time.Duration
 }
 
-// AcquiredAt returns when the lease was taken.
+// AcquiredAt returns when the lease was acquired.
 func (l *Lease) AcquiredAt() time.Time { return l.acquiredAt }
 
-// Result is what a finished request showed of its server.
+// Result is the outcome of a request as far as it tells something about its server.
 type Result int
 
-// The results.
+// The values of Result.
 const (
-	// Answered means that a sound answer came.
+	// Answered means that a valid answer was received.
 	Answered Result = iota
-	// Failed means that no sound answer came.
+	// Failed means that no valid answer was received.
 	Failed
-	// Unreachable means that no connection could be opened, so that the request
-	// never arrived.
+	// Unreachable means that no connection could be opened, so that the request was never sent.
 	Unreachable
-	// Refused means that the server turned the request away.
+	// Refused means that the server refused the request.
 	Refused
-	// TurnedAway means that the server reset a new connection, most likely
-	// because it has as many as it accepts.
+	// TurnedAway means that the server reset a new connection, most likely because it already has
+	// as many as it accepts.
 	TurnedAway
-	// Abandoned means that nobody waited for the answer any longer.
+	// Abandoned means that nobody was waiting for the answer any longer.
 	Abandoned
 	// WrongInstance means that another server has the address.
 	WrongInstance
-	// Withdrawn means that the request was not sent, since the server may not be asked
-	// any more.
+	// Withdrawn means that the request was not sent, since the server may no longer be used.
 	Withdrawn
 )
 
@@ -66,16 +63,17 @@
 	}[r]
 }
 
-// MaySend reports whether a leased server may still be asked. It is called right before
-// the request is sent: what the platform told meanwhile binds it too.
+// MaySend reports whether a request may still be sent to a leased server. It must be called right
+// before sending, so that changes of the platform's list or the regions since the lease was
+// acquired are respected.
 func (f *Fleet) MaySend(lease *Lease, regions route.Regions, now time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return !f.isWithdrawn(lease.member, now) && f.isAllowed(regions, lease.member)
 }
 
-// Finish ends a lease. connect is the time that a new connection took, zero if
-// none was opened.
+// Finish ends a lease. connect is the time that opening a new connection took, zero if none was
+// opened.
 func (f *Fleet) Finish(lease *Lease, result Result, connect time.Duration, now time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -121,12 +119,12 @@
 	f.wakeWaiters(server, now)
 }
 
-// minServiceTime is the least time that a server is taken to need for a request: the round trip is an
-// average, of which single answers take less.
+// minServiceTime is the minimum that a service time is taken for. The round trip that is subtracted
+// is an estimate for the zone, and single answers may take less than it.
 const minServiceTime = 100 * time.Microsecond
 
-// observeTime takes the time of one request into the profile of its kind and
-// the ratio of its server. The mutex is held.
+// observeTime adds the time of one request to the profile of its kind and to the ratio of its
+// server. The mutex is held.
 func (f *Fleet) observeTime(lease *Lease, elapsed time.Duration, now time.Time) {
 	service := max(elapsed-lease.member.zone.roundTrip, minServiceTime)
 	typical := lease.profile.typical()
@@ -134,7 +132,7 @@
 	lease.profile.observe(service)
 }
 
-// removeLease takes a lease from those under way.
+// removeLease removes a lease from the active ones.
 func (m *member) removeLease(lease *Lease) {
 	for index, each := range m.active {
 		if each == lease {
@@ -144,8 +142,8 @@
 	}
 }
 
-// leave notes that the server leaves: from one moment it is asked only if its
-// service has no other, from the second not at all. The earliest notice counts.
+// scheduleLeave records that the server leaves: from leavesAt it is used only if its service has no
+// other, from endsAt not at all. Of several calls the earliest times apply.
 func (m *member) scheduleLeave(leavesAt, endsAt time.Time) {
 	if m.leavesAt.IsZero() || leavesAt.Before(m.leavesAt) {
 		m.leavesAt = leavesAt
@@ -155,28 +153,28 @@
 	}
 }
 
-// stay takes back that the server leaves.
+// cancelLeave undoes scheduleLeave.
 func (m *member) cancelLeave() { m.leavesAt, m.endsAt = time.Time{}, time.Time{} }
 
-// isLeaving reports whether the server is asked only as the last one.
+// isLeaving reports whether the server is used only if its service has no other.
 func (m *member) isLeaving(now time.Time) bool {
 	return !m.leavesAt.IsZero() && !now.Before(m.leavesAt)
 }
 
-// hasEnded reports whether the server is not asked any more.
+// hasEnded reports whether the server may no longer be used.
 func (m *member) hasEnded(now time.Time) bool { return !m.endsAt.IsZero() && !now.Before(m.endsAt) }
 
-// narrow lowers for a while how many requests this node has at the server.
+// reduceLimit halves this node's limit of concurrent requests at the server for reducedSpan.
 func (m *member) reduceLimit(now time.Time) {
 	m.reducedLimit = max(1, len(m.active)/2)
 	m.reducedUntil = now.Add(reducedSpan)
 	m.avoidUntil = now.Add(reducedPenalty)
 }
 
-// backOffTurnedAway sets from when a server that turned a connection away is tried
-// again. Connections that are turned away during a pause belong to those before
-// it. Nodes that were turned away together come back at different times. The mutex
-// is held.
+// backOffTurnedAway sets the time before which no request is sent to a server that rejected a
+// connection. Rejections during that time belong to connections that were opened before it and are
+// ignored. The delay is random, so that nodes that were rejected together return at different
+// times. The mutex is held.
 func (f *Fleet) backOffTurnedAway(server *member, now time.Time) {
 	if now.Before(server.retryAt) {
 		return
--- a/pkg/fleet/places.go
+++ b/pkg/fleet/places.go
@@ -14,8 +14,8 @@
 	return f.generation
 }
 
-// ServingZones returns the zones in which a service has servers that are listed and stay, but for those
-// that are being evacuated.
+// ServingZones returns the zones in which a service has listed servers that are not draining,
+// without zones under evacuation.
 func (f *Fleet) ServingZones(service string) []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -43,8 +43,8 @@
 	return true
 }
 
-// CountServable returns how many of the services have a server that may be asked in the
-// regions. A service of which no server is known counts: those that start are listed soon.
+// CountServable returns how many of the services have a server that may be used in the regions. A
+// service without any known server counts as servable, since starting servers are listed soon.
 func (f *Fleet) CountServable(services []string, regions route.Regions, now time.Time) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -57,7 +57,7 @@
 	return count
 }
 
-// isServable reports whether a service counts for CountServable. The mutex is held.
+// isServable reports whether CountServable counts a service. The mutex is held.
 func (f *Fleet) isServable(service string, regions route.Regions, now time.Time) bool {
 	isKnown := false
 	for _, each := range f.services[service] {
@@ -72,9 +72,9 @@
 	return !isKnown
 }
 
-// CountReachable returns how many servers of a service may be asked in the regions as all, and how
-// many of them seem to be in reach: without some that have ended, and those whose last connection
-// could not be opened.
+// CountReachable returns how many servers of a service may be used in the regions (all), and how
+// many of them seem to be reachable (inReach): those that are not among the ended processes and
+// whose last connection attempt did not fail.
 func (f *Fleet) CountReachable(
 	service string, regions route.Regions, ended []Incarnation, now time.Time,
 ) (inReach, all int) {
@@ -92,9 +92,9 @@
 	return inReach, all
 }
 
-// HasScarceConnections reports whether there are more nodes than a server of a service can
-// keep a connection for: each node alone then opens connections again and again,
-// and sees too little of a server to know how it fares.
+// HasScarceConnections reports whether there are more nodes than a server of a service can keep a
+// connection for. A node that sends requests to it directly then has to open new connections again
+// and again, and sees too few requests of a server to judge its state.
 func (f *Fleet) HasScarceConnections(service string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/pkg/fleet/profile.go
+++ b/pkg/fleet/profile.go
@@ -5,23 +5,22 @@
 	"time"
 )
 
-// Profile is the typical time that servers need for one kind of request,
-// without the network. The mutex of the Fleet guards it.
+// Profile is the typical service time of one kind of request, without the network. The mutex of the
+// Fleet guards it.
 type Profile struct {
 	mean      time.Duration
 	deviation time.Duration
 	samples   int
 }
 
-// ProfileView is a Profile at one moment.
+// ProfileView is a snapshot of a Profile.
 type ProfileView struct {
 	Mean time.Duration
-	// Deviation is the mean deviation from the mean.
+	// Deviation is the mean absolute deviation from the mean.
 	Deviation time.Duration
 }
 
-// Quantile estimates a quantile (0 to 1) of the times, as if they were
-// distributed normally.
+// Quantile estimates a quantile (0 to 1) of the service times, assuming a normal distribution.
 func (v ProfileView) Quantile(quantile float64) time.Duration {
 	sigma := float64(v.Deviation) * math.Sqrt(math.Pi/2)
 	return max(0, v.Mean+time.Duration(sigma*math.Sqrt2*math.Erfinv(2*quantile-1)))
@@ -29,16 +28,16 @@
 
 // Constants of profiles.
 const (
-	// profileWindow is the share of a new sample in the averages.
+	// profileWindow is the reciprocal of a new sample's weight in the averages.
 	profileWindow = 32
-	// warmUpSamples are averaged plainly.
+	// warmUpSamples is the number of first samples that are averaged with equal weights.
 	warmUpSamples = 16
-	// maxSampleRatio bounds a sample in relation to the mean, so that a pause
-	// does not count as typical.
+	// maxSampleRatio bounds a sample relative to the mean, so that a pause does not count as a
+	// typical time.
 	maxSampleRatio = 3
 )
 
-// newProfile begins with an assumed mean.
+// newProfile returns a profile that starts with an assumed mean.
 func newProfile(assumedMean time.Duration) *Profile {
 	return &Profile{mean: max(assumedMean, time.Millisecond), deviation: max(assumedMean, time.Millisecond) / 3}
 }
--- a/pkg/fleet/server.go
+++ b/pkg/fleet/server.go
@@ -1,8 +1,9 @@
-// Package fleet keeps what a node knows of the servers of each service: their
-// entries in the platform's list and what its own requests have shown of them.
+// Package fleet keeps what a node knows about the servers of each service: their entries in the
+// platform's list, and what the node has observed with its own requests. It chooses the server for
+// each request.
 //
-// A Fleet is safe for concurrent use; one mutex guards all of it and no call to
-// another process is made under it.
+// A Fleet is safe for concurrent use. One mutex guards all of it, and no call to another process is
+// made while it is held.
 package fleet
 
 import (
@@ -20,135 +21,134 @@
 	Service string
 	Address string
 	Zone    string
-	// Slots is the number of requests that it runs at once; zero if unknown.
+	// Slots is the number of requests that the server runs at once; zero if unknown.
 	Slots int
-	// Draining says that it takes no new requests.
+	// Draining says that the server accepts no new requests.
 	Draining bool
-	// WarmUp is how much longer it stays slow after its start.
+	// WarmUp is how much longer the server stays slow after its start.
 	WarmUp time.Duration
 }
 
-// Constants of the view that is kept of a server.
+// Constants of the state that is kept for a server.
 const (
-	// slowRatio is how many times the expected time counts as slow.
+	// slowRatio is the ratio of measured to expected time from which an answer counts as slow.
 	slowRatio = 2.5
-	// maxRatio bounds how slow a server is taken for.
+	// maxRatio is the upper bound of a server's ratio.
 	maxRatio = 12.0
-	// suspectRatio is kept after one slow episode.
+	// suspectRatio is the minimum ratio of a server after a single slow episode.
 	suspectRatio = 1.4
-	// minSlowEpisodes in a row, with no normal answer between them, show that a
-	// server is slow; one alone is a pause or a heavy request.
+	// minSlowEpisodes is the number of slow episodes without a normal answer in between from which
+	// a server counts as slow. A single episode is a pause or a heavy request.
 	minSlowEpisodes = 2
-	// ratioHalfLife is the time in which the doubt in a slow server halves, so
-	// that it is tried again.
+	// ratioHalfLife is the time in which the excess of a slow server's ratio over 1 halves, so that
+	// the server is tried again.
 	ratioHalfLife = 3 * time.Second
-	// failureGain is the weight of one outcome in the rate of failures: two failures in a
-	// row show a server that fails every second request or more.
+	// failureGain is the weight of one outcome in the failure rate. Two failures in a row indicate
+	// a server that fails every second request or more.
 	failureGain = 0.25
-	// failureHalfLife is the time in which a rate of failures halves without requests, so
-	// that a server is tried again: one that fails 0.6 of its requests gets about one a
-	// second of each owner.
+	// failureHalfLife is the time in which a failure rate halves without requests, so that the
+	// server is tried again: one that fails 0.6 of its requests gets about one request a second
+	// from each owner.
 	failureHalfLife = 3 * time.Second
-	// failedRequestCost is what a request is delayed by that fails: the way to another server,
-	// mostly in another region, its work, and the extra load that is then missing for others.
+	// failedRequestCost is the delay of a request that fails: the round trip to another server,
+	// mostly in another region, its work, and the extra load that is then not available to other
+	// requests.
 	failedRequestCost = 60 * time.Millisecond
-	// answeringSpan is for how long after an answer a server counts as one that serves.
+	// answeringSpan is for how long after an answer a server counts as answering.
 	answeringSpan = time.Second
-	// partialFailureRate is the rate of failures below which a server is known to serve a
-	// part of its requests: five refusals in a row are above it.
+	// partialFailureRate is the failure rate below which a server counts as serving some of its
+	// requests. Five refusals in a row exceed it.
 	partialFailureRate = 0.75
-	// ratioGain is the weight of one ordinary sample.
+	// ratioGain is the weight of one sample that is not slow.
 	ratioGain = 0.25
-	// initialPenalty and maxPenalty bound for how long a server that failed
-	// or refused a request is avoided; each one in a row doubles the time.
+	// initialPenalty and maxPenalty bound for how long a server that failed or refused a request is
+	// avoided. Each further failure in a row doubles the time.
 	initialPenalty = 300 * time.Millisecond
 	maxPenalty     = 3 * time.Second
-	// unreachableRetry is how often a server that could not be reached is tried
-	// again by this node: a refused connection costs little, but takes the place
-	// of another server in the choice of every request.
+	// unreachableRetry is the interval at which this node retries a server that could not be
+	// reached. A refused connection costs little, but takes the place of another server in the
+	// selection for each request.
 	unreachableRetry = 100 * time.Millisecond
-	// initialRefusedRetry and maxRefusedRetry bound for how long a server that
-	// refused a request for want of room is not asked by this node; each refusal
-	// in a row doubles the time. Refused requests are extra load, and where nodes
-	// outnumber the places at a server, one request of each is too many.
+	// initialRefusedRetry and maxRefusedRetry bound for how long this node sends no requests to a
+	// server that refused one because it was full. Each further refusal in a row doubles the time.
+	// Refused requests are extra load, and where there are more nodes than places at a server, one
+	// request of each node is already too many.
 	initialRefusedRetry = 50 * time.Millisecond
 	maxRefusedRetry     = 800 * time.Millisecond
-	// initialTurnedAwayRetry and maxTurnedAwayRetry bound the mean time after
-	// which this node opens a connection again to a server that turned one away;
-	// each one in a row doubles it. A server spends its time on connections that
-	// it turns away: where all nodes open them at once, as after a loss of power, it
-	// serves none for seconds.
+	// initialTurnedAwayRetry and maxTurnedAwayRetry bound the mean time after which this node opens
+	// a connection again to a server that rejected one. Each further rejection in a row doubles it.
+	// Rejecting connections costs a server time: if all nodes open them at once, as after a power
+	// failure, it serves no requests for seconds.
 	initialTurnedAwayRetry = 50 * time.Millisecond
 	maxTurnedAwayRetry     = 1600 * time.Millisecond
-	// reducedSpan is for how long a server that turned a connection away gets
-	// fewer requests at a time.
+	// reducedSpan is for how long a server that rejected a connection gets fewer concurrent
+	// requests.
 	reducedSpan = time.Second
-	// reducedPenalty is for how long it is avoided, which is less than for a failure: it still
-	// serves what it has.
+	// reducedPenalty is for how long such a server is avoided. It is shorter than for a failure,
+	// since the server still serves the connections that it has.
 	reducedPenalty = initialPenalty / 3
-	// coldRatio is how much slower a server is taken for while it warms up.
+	// coldRatio is the minimum ratio of a server while it warms up.
 	coldRatio = 1.6
 )
 
-// member is one server with what this node has seen of it. The mutex of the
-// Fleet guards it.
+// member is one server with what this node has observed of it. The mutex of the Fleet guards it.
 type member struct {
 	Server
 	pool *exchange.Pool
 	zone *zoneTimes
-	// active are the requests under way, oldest first; answeredAt is when one was
-	// answered last.
+	// active are the requests in flight, oldest first; answeredAt is the time of the last answer.
 	active     []*Lease
 	answeredAt time.Time
-	// ratio is the server's time over the expected time; 1 is normal.
+	// ratio is the server's service time relative to the expected time; 1 is normal. ratioAt is the
+	// time of its last sample.
 	ratio   float64
 	ratioAt time.Time
-	// slowEpisodeEnd is when the last slow episode ended; requests that began
-	// before it tell nothing new.
+	// slowEpisodeEnd is when the last slow episode ended. Slow answers to requests that started
+	// before it belong to that episode and are ignored.
 	slowEpisodeEnd time.Time
-	// slowEpisodes counts slow episodes since the last normal answer.
+	// slowEpisodes counts slow episodes since the last normal answer. failures counts failed and
+	// refused requests, and failures to connect, since the last answer.
 	slowEpisodes int
 	failures     int
-	// failureRate is the share of the requests that failed or were refused lately, as of
-	// failureRateAt.
+	// failureRate is the share of recent requests that failed or were refused, as of failureRateAt.
 	failureRate   float64
 	failureRateAt time.Time
-	// turnedAway counts connections turned away since the last answer.
+	// turnedAway counts rejected connections since the last answer.
 	turnedAway int
-	// rhythm foresees its pauses.
+	// rhythm predicts the server's pauses.
 	rhythm rhythm.Server
 	// unreachable says that the last request could not open a connection.
 	unreachable bool
 	avoidUntil  time.Time
-	// retryAt is from when a server that could not be reached is tried again.
+	// retryAt is the time before which the server is not tried again after it could not be reached,
+	// refused a request or rejected a connection.
 	retryAt   time.Time
 	warmUntil time.Time
-	// quota is this node's part of what the server bears while it is cold, and coldSends are
-	// when requests went to it in the last coldWindow.
+	// coldBudget is this node's part of what the server can take while it is cold. coldSends are
+	// the times of the requests that were sent to it within the last coldWindow.
 	coldBudget coldQuota
 	coldSends  []time.Time
-	// reducedLimit bounds the requests at the server until reducedUntil, since it
-	// has turned connections away.
+	// reducedLimit bounds the concurrent requests at the server until reducedUntil, because it has
+	// rejected connections.
 	reducedLimit int
 	reducedUntil time.Time
-	// room bounds the requests at the server by the times of its answers;
-	// decreasedAt is when it was lowered last, filledAt when a request last took all
-	// that was left of it.
+	// adaptiveLimit bounds the concurrent requests at the server according to its answer times.
+	// decreasedAt is when it was last decreased, filledAt when a request last used up the limit.
 	adaptiveLimit float64
 	decreasedAt   time.Time
 	filledAt      time.Time
-	// askedAsOwnerAt is when this node last asked for its service as the owner; zero for
-	// never.
+	// askedAsOwnerAt is when this node last requested a lease for the server's service as its
+	// owner; zero for never.
 	askedAsOwnerAt time.Time
 	// listed says that the platform lists the server.
 	listed bool
-	// leavesAt is from when it is asked only if its service has no other, and
-	// endsAt from when it is not asked at all; zero while it is to stay.
+	// leavesAt is the time from which the server is used only if its service has no other, endsAt
+	// the time from which it is not used at all; zero while the server is not leaving.
 	leavesAt time.Time
 	endsAt   time.Time
 }
 
-// currentRatio returns the ratio with the decay of doubt since its last sample.
+// currentRatio returns the ratio, with its decay since the last sample.
 func (m *member) currentRatio(now time.Time) float64 {
 	ratio := m.ratio
 	if ratio > 1 {
@@ -161,7 +161,7 @@
 	return ratio
 }
 
-// observe takes the time that the server needed for one request.
+// observe records the ratio of the measured to the expected time of one request.
 func (m *member) observe(startedAt, now time.Time, ratio float64) {
 	ratio = min(ratio, maxRatio)
 	current := m.currentRatio(now)
@@ -182,7 +182,7 @@
 	m.setRatio(max(current, suspectRatio), now)
 }
 
-// currentFailureRate returns the rate of failures with its decay since the last outcome.
+// currentFailureRate returns the failure rate, with its decay since the last outcome.
 func (m *member) currentFailureRate(now time.Time) float64 {
 	if m.failureRate == 0 {
 		return 0
@@ -190,14 +190,15 @@
 	return m.failureRate * exp2(-float64(now.Sub(m.failureRateAt))/float64(failureHalfLife))
 }
 
-// refusesPartially reports whether a server that refused its last request serves others: it is
-// not full, and asked where no better one is.
+// refusesPartially reports whether a server that refused its last request still serves others. Such
+// a server is not full, and is used where there is no better one.
 func (m *member) refusesPartially(now time.Time) bool {
 	isAnswering := !m.answeredAt.IsZero() && now.Sub(m.answeredAt) < answeringSpan
 	return isAnswering && !m.unreachable && m.turnedAway == 0 && m.currentFailureRate(now) < partialFailureRate
 }
 
-// recordOutcome takes whether a request failed at the server or was refused by it.
+// recordOutcome adds one outcome to the failure rate; failed says that the request failed at the
+// server or was refused by it.
 func (m *member) recordOutcome(failed bool, now time.Time) {
 	rate := m.currentFailureRate(now)
 	outcome := 0.0
@@ -207,19 +208,20 @@
 	m.failureRate, m.failureRateAt = rate+failureGain*(outcome-rate), now
 }
 
-// setRatio takes the ratio of a moment.
+// setRatio sets the ratio as of now.
 func (m *member) setRatio(ratio float64, now time.Time) {
 	m.ratio, m.ratioAt = ratio, now
 }
 
-// fail notes a request that failed or was refused.
+// recordFailure counts a request that failed or was refused, or that could not open a connection,
+// and avoids the server for a while.
 func (m *member) recordFailure(now time.Time) {
 	m.avoidUntil = now.Add(pause.Doubled(initialPenalty, maxPenalty, m.failures))
 	m.failures++
 }
 
-// silentSince returns since when the server owes an answer and has given none; zero
-// if it owes none. One that answers other requests is not silent, however long its
+// silentSince returns the time since which the server has given no answer while requests are in
+// flight; zero if none are. A server that answers other requests is not silent, however long its
 // oldest request takes.
 func (m *member) silentSince() time.Time {
 	if len(m.active) == 0 {
--- a/pkg/fleet/waiting.go
+++ b/pkg/fleet/waiting.go
@@ -6,25 +6,25 @@
 	"github.com/bramblemast/bramblemast/pkg/loadshed"
 )
 
-// Rank orders sub-requests for which no server is free.
+// Rank orders sub-requests that wait for a free server.
 type Rank struct {
-	// Needed says that the request cannot be answered without this sub-request,
-	// and that no other server has been asked for it.
+	// Needed says that the request cannot be answered without this sub-request, and that it has not
+	// been sent to any other server.
 	Needed bool
-	// Target is until when an answer is of full value; zero if always.
+	// Target is the time until which an answer has its full value; zero for no limit.
 	Target time.Time
-	// QueueOrder orders requests that are alike; it is the same for all sub-requests of
-	// a request.
+	// QueueOrder orders requests that are otherwise equal: the greatest value goes first. It is the
+	// same for all sub-requests of a request.
 	QueueOrder uint64
 	// Deadline is when the request ends.
 	Deadline time.Time
 }
 
-// precedes orders by what an answer can still earn. Those without which no
-// answer can be given go first; among them those that are in time, by lot, so
-// that under overload the same requests go first at every service: in the order
-// of arrival all would be late together. Late ones follow, the one that ends
-// soonest first.
+// precedes orders sub-requests by the remaining value of their answers. Those without which no
+// answer can be given come first. Among them, those that can still meet their target come first,
+// ordered by QueueOrder, so that under overload all services serve the same requests first; in the
+// order of arrival all would miss their targets together. Those that have missed their target
+// follow, earliest deadline first.
 func (r Rank) precedes(other Rank, now time.Time) bool {
 	if r.Needed != other.Needed {
 		return r.Needed
@@ -39,32 +39,33 @@
 	return r.Deadline.Before(other.Deadline)
 }
 
+// isInTime reports whether the target can still be met.
 func (r Rank) isInTime(now time.Time) bool { return r.Target.IsZero() || now.Before(r.Target) }
 
-// Waiter is a sub-request for which all servers of its service are busy. The
-// fields do not change while it waits.
+// Waiter is a sub-request that waits because all servers of its service are busy. Its fields must
+// not change while it waits.
 type Waiter struct {
 	Choice Choice
-	// Wake is called once when a server has become free; the waiter is then no
-	// longer waiting. It does not block.
+	// Wake is called once when a server has become free; the waiter is no longer waiting then. Wake
+	// is called with the mutex of the Fleet held, so it must neither block nor call the Fleet.
 	Wake func()
 }
 
-// Await lets a sub-request wait until a server of its service is free.
+// Await adds a sub-request to those that wait for a free server of their service.
 func (f *Fleet) Await(waiter *Waiter) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.waiters[waiter.Choice.Service] = append(f.waiters[waiter.Choice.Service], waiter)
 }
 
-// Withdraw ends the wait of a sub-request; it does nothing if it waits no more.
+// Withdraw ends the wait of a sub-request. It does nothing if the sub-request is no longer waiting.
 func (f *Fleet) Withdraw(waiter *Waiter) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.removeWaiter(waiter)
 }
 
-// Waiting returns how many sub-requests wait for a free server of the services.
+// Waiting returns how many sub-requests wait for a free server of any of the services.
 func (f *Fleet) Waiting(services ...string) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -75,9 +76,9 @@
 	return count
 }
 
-// Backlog implements loadshed.Queues: it counts the sub-requests that are needed and in time. Those
-// without a target are to be answered by their deadline; beside others with one, that of the others
-// counts, since all stand in the same queue.
+// Backlog implements loadshed.Queues. It counts the sub-requests that are needed and in time. Those
+// without a target are to be answered by their deadline. If some have a target, the mean target of
+// those applies to all, since all wait in the same queue.
 func (f *Fleet) Backlog(key loadshed.Key, now time.Time) loadshed.Backlog {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -99,7 +100,7 @@
 	return backlog
 }
 
-// spans are times of which the mean is asked.
+// spanMean computes the mean of durations.
 type spanMean struct {
 	count int
 	sum   time.Duration
@@ -107,16 +108,16 @@
 
 func (s *spanMean) add(span time.Duration) { s.count, s.sum = s.count+1, s.sum+span }
 
-// mean returns zero for none.
+// mean returns the mean of the durations; zero if there are none.
 func (s *spanMean) mean() time.Duration { return s.sum / time.Duration(max(1, s.count)) }
 
-// countsFor reports whether a waiter counts in the load of the requests that are bound to
-// regions with a key.
+// countsFor reports whether a waiter counts for the load of requests that are bound to the regions
+// with the given key.
 func (w *Waiter) countsFor(regions string) bool {
 	return w.Choice.Rank.Needed && w.Choice.Regions.Key() == regions
 }
 
-// removeWaiter takes a waiter from its list. The mutex is held.
+// removeWaiter removes a waiter from the list of its service. The mutex is held.
 func (f *Fleet) removeWaiter(waiter *Waiter) {
 	service := waiter.Choice.Service
 	waiting := f.waiters[service]
@@ -135,8 +136,8 @@
 	}
 }
 
-// hasPrecedingWaiter reports whether a waiter that goes before a rank may use a server.
-// The mutex is held.
+// hasPrecedingWaiter reports whether a waiter that may use the server precedes the given rank. The
+// mutex is held.
 func (f *Fleet) hasPrecedingWaiter(server *member, rank Rank, now time.Time) bool {
 	for _, each := range f.waiters[server.Service] {
 		if each.Choice.Rank.precedes(rank, now) && f.isEligible(each.Choice, server) {
@@ -146,8 +147,8 @@
 	return false
 }
 
-// wakeWaiters wakes as many waiters as a server has room for, in their order.
-// The mutex is held.
+// wakeWaiters wakes as many waiters as a server has capacity for, in the order of their ranks. The
+// mutex is held.
 func (f *Fleet) wakeWaiters(server *member, now time.Time) {
 	if len(f.waiters[server.Service]) == 0 || f.isWithdrawn(server, now) || server.isLeaving(now) {
 		return
@@ -162,8 +163,8 @@
 	}
 }
 
-// nextWaiter returns the waiter that goes first among those that may use a
-// server, or nil. The mutex is held.
+// nextWaiter returns the first waiter by rank among those that may use a server, or nil. The mutex
+// is held.
 func (f *Fleet) nextWaiter(server *member, now time.Time) *Waiter {
 	var first *Waiter
 	for _, each := range f.waiters[server.Service] {
--- a/pkg/fleet/zone.go
+++ b/pkg/fleet/zone.go
@@ -5,21 +5,20 @@
 	"time"
 )
 
-// Network times that are assumed until they are measured.
+// Network round trips that are assumed until one is measured.
 const (
 	assumedSameZone    = 500 * time.Microsecond
 	assumedSameRegion  = 2 * time.Millisecond
 	assumedOtherRegion = 25 * time.Millisecond
 )
 
-// zoneTimes is what is known of the network to the servers of one zone.
+// zoneTimes holds the network times between this node and the servers of one zone.
 type zoneTimes struct {
-	// roundTrip is the least time that a new connection took, or what is
-	// assumed.
+	// roundTrip is the minimum time that opening a connection took, or the assumed round trip.
 	roundTrip time.Duration
 	measured  bool
-	// handshake is the average time that a new connection took beyond the
-	// round trip.
+	// connect is the moving average of the time that opening a connection took; zero until one is
+	// measured.
 	connect time.Duration
 }
 
@@ -33,7 +32,7 @@
 	z.connect += (elapsed - z.connect) / 8
 }
 
-// assumedTimes returns the times that are assumed for servers of a zone.
+// assumedTimes returns the network times that are assumed for the servers of a zone.
 func assumedTimes(local Place, zone, region string) *zoneTimes {
 	switch {
 	case zone == local.Zone:
