--- a/pkg/fanout/admission_test.go
+++ b/pkg/fanout/admission_test.go
@@ -29,7 +29,8 @@
 	panic("this node owns everything")
 }
 
-// withAdmissionControl gives the world's node the board of what it was told.
+// withAdmissionControl gives the node an admission control without shares, and makes it the owner
+// of all services.
 func (w *world) withAdmissionControl() *fanout.AdmissionControl {
 	w.runner.Owners = selfOwner{}
 	w.runner.Admission = fanout.NewAdmissionControl(w.fleet)
@@ -40,7 +41,8 @@
 	return loadshed.Shares{Ranks: []loadshed.RankShare{{Share: admitted}}}
 }
 
-// TestWhatIsNotLetInIsRefusedAtOnce, truly not run, with what decided it.
+// TestWhatIsNotLetInIsRefusedAtOnce checks that a request that is not admitted is refused without
+// delay, with outcome NotRun and the limiting service, and reaches no server.
 func TestWhatIsNotLetInIsRefusedAtOnce(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
@@ -58,8 +60,9 @@
 	})
 }
 
-// TestAScarceShardIsLeftToOthers by a request that has enough without it: it neither waits for
-// its servers nor for its answer, while one that needs the shard waits.
+// TestAScarceShardIsLeftToOthers guards against requests that use a limited shard without needing
+// it. A request that has enough parts without the shard neither waits for its servers nor for its
+// answer, and the requests that need it get it.
 func TestAScarceShardIsLeftToOthers(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		slow := quick("a")
@@ -87,6 +90,8 @@
 	})
 }
 
+// TestASparedShardIsAskedOnceAnotherFails checks that a skipped shard is queried after all when the
+// request can no longer be answered without it.
 func TestASparedShardIsAskedOnceAnotherFails(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
@@ -102,7 +107,8 @@
 	})
 }
 
-// TestNobodyIsRefusedWithoutOverload, and nothing is told.
+// TestNobodyIsRefusedWithoutOverload checks that without overload all requests are admitted and the
+// measured share stays 1.
 func TestNobodyIsRefusedWithoutOverload(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
@@ -117,8 +123,9 @@
 	})
 }
 
-// TestAScarceServiceIsNotHedgedSoon: where only a part of the requests is let in, a second server
-// is asked only after half of the time to the target, since it takes the place of another request.
+// TestAScarceServiceIsNotHedgedSoon guards against hedges that take the capacity of other requests:
+// where only a share of the requests is admitted, a second server is queried only after half of the
+// time to the target.
 func TestAScarceServiceIsNotHedgedSoon(t *testing.T) {
 	hedgesAfter := func(g *WithT, w *world, service string, answeredAfter time.Duration) int {
 		answer := quick(service)
--- a/pkg/fanout/fanout_test.go
+++ b/pkg/fanout/fanout_test.go
@@ -19,15 +19,15 @@
 	"github.com/bramblemast/bramblemast/pkg/policy"
 )
 
-// counter is a budget that allows a number of extra sub-requests.
+// countingBudget is a budget that allows a fixed number of extra sub-requests.
 type countingBudget struct {
-	// mutex guards the fields below where a test changes them during a run.
+	// mutex guards the fields below, since some tests change them during a run.
 	mutex                  sync.Mutex
 	earned, spent, allowed int
 	reserves               []float64
 }
 
-// allow changes the number of extra sub-requests during a run.
+// allow changes the number of extra sub-requests; it may be called during a run.
 func (c *countingBudget) allow(count int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -51,14 +51,14 @@
 	return true
 }
 
-// world is a fleet over an in-memory network.
+// world is a runner and a fleet over an in-memory network.
 type world struct {
 	network *exchangetest.Network
 	fleet   *fleet.Fleet
 	budget  *countingBudget
 	runner  *fanout.Runner
 	servers map[string]*exchangetest.Server
-	// known are the services that have a server already.
+	// hasServer holds the services that have a server already.
 	hasServer map[string]bool
 }
 
@@ -77,7 +77,8 @@
 	return w
 }
 
-// add puts a server into a service; only the first one of a service is near.
+// add adds a server to a service. The first one of a service is in the local zone, the others in
+// zone "far".
 func (w *world) add(service, name string, answer exchangetest.Answer) {
 	zone := "far"
 	if !w.hasServer[service] {
@@ -109,7 +110,7 @@
 	return set.Hedge
 }()
 
-// plan asks the services and gives an answer after 200 ms if half are in.
+// plan sends a request to the services and accepts half of them after 200 ms.
 func plan(services ...string) fanout.Plan {
 	now := time.Now()
 	return fanout.Plan{
@@ -125,7 +126,7 @@
 	return answer
 }
 
-// in runs a test in a bubble with virtual time.
+// inBubble runs a test in a bubble with virtual time.
 func inBubble(t *testing.T, test func(g *WithT, w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -149,7 +150,8 @@
 	})
 }
 
-// TestASilentServerIsHedged within the budget, and the first answer counts.
+// TestASilentServerIsHedged checks that a second server is queried within the budget, and that the
+// first answer counts.
 func TestASilentServerIsHedged(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", exchangetest.Answer{Hang: true})
@@ -162,8 +164,8 @@
 	})
 }
 
-// TestNoHedgeWithoutBudget: the answer is given without the silent part when
-// the target is reached.
+// TestNoHedgeWithoutBudget checks that without budget the answer is returned at the target without
+// the silent part.
 func TestNoHedgeWithoutBudget(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.budget.allowed = 0
@@ -179,9 +181,9 @@
 	})
 }
 
-// TestALateRequestHasTheWholeBudget: it is answered once the budget pays for its
-// last part, rather than never. (skipulag-leit-grown scale-1: half of the budget
-// kept from late requests left 130 of them without an answer)
+// TestALateRequestHasTheWholeBudget guards against reserving a part of the budget from late
+// requests: with half of it reserved, 130 requests got no answer. A late request gets its last part
+// as soon as the budget allows it.
 func TestALateRequestHasTheWholeBudget(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.budget.allowed = 0
@@ -196,7 +198,7 @@
 	})
 }
 
-// TestNoMoreServersRunARequestThanItsRouteAllows.
+// TestNoMoreServersRunARequestThanItsRouteAllows checks that failed attempts stop at MaxAttempts.
 func TestNoMoreServersRunARequestThanItsRouteAllows(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		for _, name := range []string{"a1", "a2", "a3", "a4"} {
@@ -210,7 +212,8 @@
 	})
 }
 
-// TestANotRepeatableRequestIsSentAgainOnlyOnEvidence that it did not run.
+// TestANotRepeatableRequestIsSentAgainOnlyOnEvidence checks that a request that is not repeatable
+// is sent to a second server only if the first one is known not to have executed it.
 func TestANotRepeatableRequestIsSentAgainOnlyOnEvidence(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.add("cut", "cut1", exchangetest.Answer{Cut: 0})
@@ -237,7 +240,7 @@
 	})
 }
 
-// TestARefusalByAllServersIsNotRun.
+// TestARefusalByAllServersIsNotRun checks the outcome of a request that all servers refused.
 func TestARefusalByAllServersIsNotRun(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		for _, name := range []string{"a1", "a2"} {
@@ -250,8 +253,8 @@
 	})
 }
 
-// TestARetryWaitsForTheBudget for a while, since other requests earn it, and
-// the part is given up when the patience ends. (valgsok-grown fresh-bfe4)
+// TestARetryWaitsForTheBudget guards against giving a part up at once when the budget is exhausted:
+// it waits up to MaxServerWait, since other requests add to the budget.
 func TestARetryWaitsForTheBudget(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.budget.allowed = 0
@@ -278,7 +281,8 @@
 	})
 }
 
-// TestAServerThatCannotBeReachedCostsNoBudget: its request never arrived.
+// TestAServerThatCannotBeReachedCostsNoBudget checks that the retry after a failed connection is
+// free, since the request never arrived.
 func TestAServerThatCannotBeReachedCostsNoBudget(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.budget.allowed = 0
@@ -289,8 +293,8 @@
 	})
 }
 
-// TestAnAbsentShardHoldsNothingBack when the answer is good enough without it,
-// and is waited for when it is not.
+// TestAnAbsentShardHoldsNothingBack checks that a shard without servers does not delay an answer
+// that is sufficient without it, and is waited for when it is needed.
 func TestAnAbsentShardHoldsNothingBack(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
@@ -314,8 +318,7 @@
 	})
 }
 
-// TestBusyServersAreWaitedFor instead of giving the part up. (variant of
-// valgsok scale-2 --seed 289934219918)
+// TestBusyServersAreWaitedFor guards against giving a part up while all its servers are busy.
 func TestBusyServersAreWaitedFor(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
@@ -336,8 +339,8 @@
 	})
 }
 
-// TestAClientThatLeavesEndsTheWorkAtOnce, while an answered request lets the
-// other server end, so that its connection can be used again.
+// TestAClientThatLeavesEndsTheWorkAtOnce checks that a cancelled run ends at once and leaves the
+// server's slot free.
 func TestAClientThatLeavesEndsTheWorkAtOnce(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", exchangetest.Answer{Hang: true})
@@ -354,7 +357,8 @@
 	})
 }
 
-// TestAStopRuleEndsTheWaitEarly once the required parts are in.
+// TestAStopRuleEndsTheWaitEarly checks that a stop rule ends the wait once the required parts have
+// been answered.
 func TestAStopRuleEndsTheWaitEarly(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
@@ -371,10 +375,9 @@
 	})
 }
 
-// TestAPartThatServersRefuseAsksThemAgain: servers that are full have room later,
-// so the part waits and asks them anew, as far as the budget pays for it, while
-// the request has time. (skipulag-leit trouble-2 --seed 12: 40 requests given up
-// after 100 to 300 ms of their 3 s)
+// TestAPartThatServersRefuseAsksThemAgain guards against giving a part up when full servers refuse
+// it: requests were abandoned after 100 to 300 ms of their 3 s. The part waits and queries the same
+// servers again, as far as the budget allows, until the request's time is over.
 func TestAPartThatServersRefuseAsksThemAgain(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		const refusals = 5
--- a/pkg/fanout/launch.go
+++ b/pkg/fanout/launch.go
@@ -13,19 +13,19 @@
 	"github.com/bramblemast/bramblemast/pkg/policy"
 )
 
-// statusMisdirected is the status of a server that is not the one the request was meant for: another
-// process has taken its address.
+// statusMisdirected is the status of a server that is not the one the request was meant for, since
+// another process has taken over its address.
 const statusMisdirected = http.StatusMisdirectedRequest
 
-// launchFirst asks the first server of a part.
+// launchFirst sends a part to its first server.
 func (r *run) launchFirst(index int, now time.Time) {
 	r.runner.Budget.Earn(r.parts[index].service, now)
 	r.recordAdmittedLoad(index, now)
 	r.launchNext(index, now)
 }
 
-// launchNext asks a server of a part that is being asked nowhere. If all are
-// busy, it is tried again a little later.
+// launchNext sends a part without an attempt in progress to a server. If all are busy, the part
+// waits for one.
 func (r *run) launchNext(index int, now time.Time) {
 	part := &r.parts[index]
 	if r.withhold(part, now) {
@@ -45,9 +45,9 @@
 	part.hedgeAt = r.hedgeTime(part, lease, now)
 }
 
-// awaitServer keeps a part open for a while when no server can be asked: all
-// are busy, unreachable, or not listed yet. Such a part does not hold back an
-// answer that is good enough without it; see decide.
+// awaitServer keeps a part open for a while when no server can take it: all are busy, unreachable,
+// or not listed yet. A part without any server does not delay an answer that is sufficient without
+// it; see decide.
 func (r *run) awaitServer(index int, availability fleet.Availability, now time.Time) {
 	part := &r.parts[index]
 	if part.failure == nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// await lets a part wait for a free server in the order of the fleet.
+// await queues a part for a free server; the fleet decides the order.
 func (r *run) await(index int) {
 	part := &r.parts[index]
 	part.waiter = &fleet.Waiter{
@@ -91,7 +91,7 @@
 	}
 }
 
-// handleWake asks the server that has become free.
+// handleWake sends a part to the server that has become free.
 func (r *run) handleWake(index int, now time.Time) {
 	part := &r.parts[index]
 	if part.waiter == nil || part.answer != nil || part.closed {
@@ -100,7 +100,7 @@
 	r.launchNext(index, now)
 }
 
-// hedgeTime returns when a second server is to be asked; zero if never.
+// hedgeTime returns the time at which a further server is queried; zero for never.
 func (r *run) hedgeTime(part *part, lease *fleet.Lease, now time.Time) time.Time {
 	if !r.plan.Repeatable || part.executions >= r.plan.MaxAttempts {
 		return time.Time{}
@@ -124,7 +124,7 @@
 	return now.Add(wait)
 }
 
-// hedge asks a further server while an earlier one is still silent.
+// hedge sends a part to a further server while an earlier one has not answered.
 func (r *run) hedge(index int, now time.Time) {
 	part := &r.parts[index]
 	if part.executions >= r.plan.MaxAttempts || !r.plan.Repeatable || r.needsGrant(index) || r.withhold(part, now) {
@@ -145,13 +145,13 @@
 	part.hedgeAt = r.hedgeTime(part, lease, now)
 }
 
-// isTooLate reports whether a hedge would miss the deadline anyway.
+// isTooLate reports whether a hedge is expected to miss the deadline.
 func (r *run) isTooLate(lease *fleet.Lease, now time.Time) bool {
 	return now.Add(lease.Expected).After(r.plan.Deadline)
 }
 
-// spend pays for an extra sub-request, as far as the template lets it. Late
-// requests have the same right as others: what they lack is their last parts.
+// spend takes an extra sub-request from the budget, within the share that the plan allows. Late
+// requests may use the same share as others: they lack only their last parts.
 func (r *run) spend(part *part, now time.Time) bool {
 	keep := 1 - r.plan.ExtraShare
 	if r.runner.Budget.TrySpend(part.service, keep, now) {
@@ -161,7 +161,7 @@
 	return false
 }
 
-// choice tells the fleet what a server of a part is wanted for.
+// choice describes to the fleet the server that a part needs.
 func (r *run) choice(part *part) fleet.Choice {
 	var excluded []*fleet.Lease
 	for _, each := range part.tried {
@@ -174,7 +174,7 @@
 	}
 }
 
-// rank orders the sub-requests of a part among those of other requests.
+// rank returns the order of a part's sub-requests among those of other requests.
 func (r *run) rank(part *part) fleet.Rank {
 	return fleet.Rank{
 		Needed: r.isNeeded(part), Target: r.plan.Target, Deadline: r.plan.Deadline,
@@ -182,10 +182,9 @@
 	}
 }
 
-// isNeeded reports whether the request cannot be answered without a part that is
-// being asked nowhere: the parts that are answered or being asked for are fewer
-// than required. A request that has enough without a shard whose servers are
-// scarce leaves them to others.
+// isNeeded reports whether the request cannot be answered without a part that has no attempt in
+// progress: fewer parts than required are answered or in progress. A request that has enough parts
+// without a shard whose servers are scarce leaves them to others.
 func (r *run) isNeeded(part *part) bool {
 	if len(part.inFlight) > 0 || part.skipped {
 		return false
@@ -199,7 +198,7 @@
 	return covered < r.plan.Required
 }
 
-// targetDuration is the time within which the whole answer is of full value.
+// targetDuration is the time from the start of the request to its target; zero if it has none.
 func (r *run) targetDuration() time.Duration {
 	if r.plan.Target.IsZero() {
 		return 0
@@ -227,13 +226,13 @@
 	go r.perform(started)
 }
 
-// maySend returns what is asked right before a request is sent. It is called from the
+// maySend returns the check that is made right before a request is sent. It is called from the
 // attempt's goroutine.
 func (r *run) maySend(lease *fleet.Lease) func() bool {
 	return func() bool { return r.runner.Fleet.MaySend(lease, r.regions(), time.Now()) }
 }
 
-// perform runs an attempt and tells the fleet and the run what it showed.
+// perform runs an attempt and reports its result to the fleet and to the run.
 func (r *run) perform(started *attempt) {
 	answer, err := started.Run()
 	now := time.Now()
@@ -253,8 +252,8 @@
 	}
 }
 
-// dropResults empties the channel of results once the run has ended: whichever of abandon and an
-// attempt comes last finds what is left there.
+// dropResults empties the channel of results after the run has ended. Both abandon and the attempts
+// call it, so that whichever comes last handles the results that are left.
 func (r *run) dropResults() {
 	for {
 		select {
@@ -266,14 +265,15 @@
 	}
 }
 
-// releaseUnusedTrial gives leave back that an attempt has not used when it ended after its run.
+// releaseUnusedTrial releases the trial of an attempt that ended after its run without being
+// executed.
 func (r *run) releaseUnusedTrial(result finished) {
 	if result.err != nil && outcome.Of(result.err) == outcome.NotRun || result.err == nil && r.isRefusal(result.answer) {
 		result.attempt.trial.Release()
 	}
 }
 
-// classify returns what an attempt has shown of its server.
+// classify returns what the result of an attempt says about its server.
 func (r *Runner) classify(started *attempt, answer *exchange.Response, err error) fleet.Result {
 	switch {
 	case started.Withdrawn:
@@ -296,9 +296,9 @@
 	return fleet.Answered
 }
 
-// abandon lets the attempts that are still under way end: soon, so that their
-// connections can be used again, or at once if the client has gone. A run for
-// another node does not know which of the two it is.
+// abandon ends the attempts that are still in progress: after Linger, so that their connections can
+// be reused, or at once if the client has gone. A run for another node cannot tell whether the
+// client has gone, and lets them linger.
 func (r *run) abandon(reason StopReason) {
 	close(r.ended)
 	end := time.Now()
--- a/pkg/fanout/needed_test.go
+++ b/pkg/fanout/needed_test.go
@@ -14,11 +14,10 @@
 	"github.com/bramblemast/bramblemast/pkg/fanout"
 )
 
-// TestARequestLeavesAScarceShardToThoseThatNeedIt: one whose required parts are
-// already being asked for elsewhere waits behind one that cannot be answered
-// without the shard, though its lot is greater. (skipulag-leit scale-1 --seed 12: a
-// kind of request that could do without a shard with one server left was served
-// worst)
+// TestARequestLeavesAScarceShardToThoseThatNeedIt guards against requests that take the last server
+// of a shard from those that need it, which were then served worst. A request whose required parts
+// are already in progress elsewhere waits behind one that cannot be answered without the shard,
+// even if its sampling value is greater.
 func TestARequestLeavesAScarceShardToThoseThatNeedIt(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		slow := exchangetest.Whole("a")
--- a/pkg/fanout/owners_test.go
+++ b/pkg/fanout/owners_test.go
@@ -12,8 +12,8 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// countingOwners counts how often services are divided among owners: each time may use up the one
-// question that an owner gets right after its return.
+// countingOwners counts the calls of Divide: each may use up the one question that an owner gets
+// right after its return.
 type countingOwners struct {
 	scriptedOwners
 	divisions int
@@ -24,7 +24,8 @@
 	return c.scriptedOwners.Divide(services, regions)
 }
 
-// TestARefusedRequestTakesNoOwnersTurn: it asks no owner.
+// TestARefusedRequestTakesNoOwnersTurn checks that a request that is not admitted does not call
+// Divide, which could use up the one question of an owner that has just returned.
 func TestARefusedRequestTakesNoOwnersTurn(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
@@ -42,8 +43,9 @@
 	})
 }
 
-// TestAKeptBackRequestTakesNoOwnersTurn, since this node makes its trial itself; what it then asks
-// in the place of owners is no load by which this node could judge their services.
+// TestAKeptBackRequestTakesNoOwnersTurn checks that a suspect request does not call Divide, since
+// this node makes its trial itself. The parts that it then queries in place of owners are not
+// counted as load of their services.
 func TestAKeptBackRequestTakesNoOwnersTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/pkg/fanout/quarantine_shard.go
+++ b/pkg/fanout/quarantine_shard.go
@@ -8,17 +8,17 @@
 	"github.com/bramblemast/bramblemast/pkg/quarantine"
 )
 
-// shardTrial is leave for a trial with one part; nil if there is none.
+// shardTrial is the result of claiming a trial for one part; trial is nil if it was refused.
 type shardTrial struct {
 	index int
 	trial *quarantine.Trial
 }
 
-// isGathered reports whether the request has further services, here or at the node that asks.
+// isGathered reports whether the request goes to more than one service, here or at the asking node.
 func (r *run) isGathered() bool { return len(r.parts) > 1 || r.plan.Collect != nil }
 
-// stateAtService returns what is known of the request at the service of a part: the answers of others
-// say nothing of that.
+// stateAtService returns the quarantine state of the request at the service of a part. The answers
+// of other services do not clear it.
 func (r *run) stateAtService(part *part) quarantine.State {
 	guard := r.runner.Quarantine
 	if guard == nil || guard.IsIdle() || !r.isGathered() {
@@ -27,8 +27,8 @@
 	return guard.StateAtService(r.fingerprint(), part.service)
 }
 
-// isWithheldFromShard reports whether a part may be sent to no further server for now, and lets
-// settleWithheld decide what becomes of it.
+// isWithheldFromShard reports whether a part may not be sent to a further server for now, and marks
+// it for settleWithheld.
 func (r *run) isWithheldFromShard(part *part, now time.Time) bool {
 	if r.stateAtService(part) == quarantine.Clear || part.trial != nil && r.canLoseServerAt(part, now) {
 		return false
@@ -37,13 +37,13 @@
 	return true
 }
 
-// canLoseServerAt is canLoseServer for what has ended at the service of a part.
+// canLoseServerAt is canLoseServer for the servers that crashed at the service of a part.
 func (r *run) canLoseServerAt(part *part, now time.Time) bool {
 	return r.canLoseServer(part, r.runner.Quarantine.CrashedServers(r.fingerprint().At(part.service)), now)
 }
 
-// settleWithheld asks for trials with the parts that are kept back and asked nowhere, and closes those
-// with which none may be made: the answer does without them.
+// settleWithheld claims trials for the withheld parts without an attempt in progress, and closes
+// those for which no trial may be made: the answer does without them.
 func (r *run) settleWithheld(now time.Time) {
 	if !r.hasWithheld {
 		return
@@ -63,6 +63,7 @@
 	}
 }
 
+// settleWithheldPart does this for one part.
 func (r *run) settleWithheldPart(index int, now time.Time) {
 	part := &r.parts[index]
 	state := r.stateAtService(part)
@@ -81,7 +82,7 @@
 	}
 }
 
-// claimShardTrial asks for leave to send the request to one server of a part; see handleShardTrial.
+// claimShardTrial claims a trial for one part; handleShardTrial receives the result.
 func (r *run) claimShardTrial(index int) {
 	part := &r.parts[index]
 	part.isClaiming = true
@@ -98,35 +99,35 @@
 	}()
 }
 
-// handleShardTrial takes leave for a trial with a part, or that there is none. The part sees it at
-// its next look.
+// handleShardTrial stores a claimed trial for a part, or that it was refused. The part sees it at
+// its next check.
 func (r *run) handleShardTrial(claimed shardTrial) {
 	part := &r.parts[claimed.index]
 	part.isClaiming = false
 	part.trial, part.isTrialRefused = claimed.trial, claimed.trial == nil
 }
 
-// isBarred reports whether the request is kept from the service of a part, and no trial may be made
-// there for now.
+// isBarred reports whether the request is withheld from the service of a part and no trial may be
+// made there for now.
 func (r *run) isBarred(part *part, now time.Time) bool {
 	state := r.stateAtService(part)
 	return state == quarantine.Quarantined || state == quarantine.Suspect && !r.canLoseServerAt(part, now)
 }
 
-// needsBarredShards reports whether the request cannot be answered without the services at which it
-// is shut out.
+// needsBarredShards reports whether the request cannot be answered without the services from which
+// it is barred.
 func (r *run) needsBarredShards() bool {
 	barred := r.countParts(func(part *part) bool { return r.isBarred(part, r.began) })
 	return barred > 0 && len(r.parts)-barred < r.plan.Required
 }
 
-// isWithheldAnywhere reports whether the request is kept back at one of its services.
+// isWithheldAnywhere reports whether the request is withheld from one of its services.
 func (r *run) isWithheldAnywhere() bool {
 	return r.countParts(func(part *part) bool { return r.stateAtService(part) != quarantine.Clear }) > 0
 }
 
-// countParts counts the parts for which something holds that is known of the request there; none
-// while nothing is known of any request.
+// countParts counts the parts for which holds returns true. It returns 0 without calling holds
+// while the guard has no records.
 func (r *run) countParts(holds func(*part) bool) int {
 	count, guard := 0, r.runner.Quarantine
 	if guard == nil || guard.IsIdle() || !r.isGathered() {
@@ -140,8 +141,8 @@
 	return count
 }
 
-// recordBrokenOfPart takes that a server of a part broke its connection. What was noted of the request
-// before another service answered it holds for the part.
+// recordBrokenOfPart handles a broken connection to a server of a part. Broken connections from
+// before another service answered the request count for the part as well.
 func (r *run) recordBrokenOfPart(part *part, broken *attempt, now time.Time) {
 	part.brokenAttempts = append(part.brokenAttempts, broken)
 	if part.served.Load() {
@@ -151,7 +152,8 @@
 	}
 }
 
-// recordBrokenOfParts does so for all parts, once a server has answered the request.
+// recordBrokenOfParts records the broken connections of all unanswered parts at their services,
+// once a server has answered the request.
 func (r *run) recordBrokenOfParts(now time.Time) {
 	for index := range r.parts {
 		part := &r.parts[index]
@@ -170,8 +172,8 @@
 	}
 }
 
-// recordAnswerAt takes that the service of a part has answered the request, which is told once
-// unless it has lost connections since.
+// recordAnswerAt tells the guard that the service of a part has answered the request: once, and
+// again for each answer if the part has had broken connections.
 func (r *run) recordAnswerAt(part *part, now time.Time) {
 	if part.served.Swap(true) && len(part.brokenAttempts) == 0 {
 		return
@@ -181,7 +183,7 @@
 	}
 }
 
-// recordCompleteAnswer takes that all services have answered a request of this node.
+// recordCompleteAnswer tells the guard that all services have answered a request of this node.
 func (r *run) recordCompleteAnswer(now time.Time) {
 	if guard := r.runner.Quarantine; guard != nil && r.answered == len(r.parts) && len(r.parts) > 1 && r.plan.Collect == nil {
 		guard.RecordCompleteAnswer(r.fingerprint(), now)
--- a/pkg/fanout/quarantine_shard_test.go
+++ b/pkg/fanout/quarantine_shard_test.go
@@ -18,15 +18,17 @@
 )
 
 const (
-	// restart is how long a server that has ended is away.
+	// restartDelay is how long a crashed server is away.
 	restartDelay = 700 * time.Millisecond
-	// repeatInterval is when the client of a deadly request comes again, for repeatDuration.
+	// repeatInterval is the time between the repeats of a deadly request by its client, during
+	// repeatDuration.
 	repeatInterval = 250 * time.Millisecond
 	repeatDuration = 8 * time.Second
 )
 
-// newDeadlyShardWorld has four shards of three servers. Those of shard a end when they run the deadly
-// request, and come back after a while; the others answer it. It returns how often they ended.
+// newDeadlyShardWorld has four shards of three servers. Those of shard a crash when they execute
+// the deadly request and return after restartDelay; the others answer it. The returned counter
+// counts the crashes.
 func newDeadlyShardWorld() (*world, *atomic.Int64) {
 	w := newDeadlyWorld(nil, nil)
 	crashes := &atomic.Int64{}
@@ -51,12 +53,13 @@
 	}
 }
 
-// maxCrashesOfShard are the three servers after which a request is suspect, two that run it at that
-// moment, and two trials.
+// maxCrashesOfShard are the three servers after which a request is suspect, two that execute it at
+// that moment, and two trials.
 const maxCrashesOfShard = quarantine.SuspectAfter + 2 + quarantine.ImmediateTrials
 
-// TestARequestThatEndsTheServersOfOneShardIsKeptFromThatShard, though the others answer it: they go
-// on, and the answer is a partial one.
+// TestARequestThatEndsTheServersOfOneShardIsKeptFromThatShard guards against a request that crashes
+// the servers of one shard again and again, since the answers of the other shards clear it. It is
+// withheld from that shard only, and its answer is partial.
 func TestARequestThatEndsTheServersOfOneShardIsKeptFromThatShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -78,7 +81,8 @@
 	})
 }
 
-// TestARequestThatNeedsAShardWhoseServersItEndsIsRefused at once, and sent nowhere.
+// TestARequestThatNeedsAShardWhoseServersItEndsIsRefused checks that a request that needs the shard
+// whose servers it crashes is refused at once and sent nowhere.
 func TestARequestThatNeedsAShardWhoseServersItEndsIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -103,8 +107,8 @@
 	})
 }
 
-// TestWhatSharedTheServersOfOneShardIsAnswered: a request that lost three servers of one shard with
-// another one gets its answer by a trial, and is not kept back from then on.
+// TestWhatSharedTheServersOfOneShardIsAnswered checks that a request that lost three servers of one
+// shard together with another request is answered by a trial, and is not withheld from then on.
 func TestWhatSharedTheServersOfOneShardIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -124,9 +128,9 @@
 	})
 }
 
-// TestBrokenConnectionsOfAShardThatHasAnsweredCountForNothing, also if its answer was a failure that
-// a server made of the request: others of its servers that break their connection later are not
-// what the request ends.
+// TestBrokenConnectionsOfAShardThatHasAnsweredCountForNothing checks that servers of a shard that
+// break their connections after another server of it has answered the request do not count as
+// crashed by it. An error answer made by a server counts as an answer.
 func TestBrokenConnectionsOfAShardThatHasAnsweredCountForNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -153,7 +157,8 @@
 	})
 }
 
-// TestAPartThatIsKeptBackClaimsNotRunOnlyIfItWasSentNowhere.
+// TestAPartThatIsKeptBackClaimsNotRunOnlyIfItWasSentNowhere checks the outcome of the failures of a
+// withheld part.
 func TestAPartThatIsKeptBackClaimsNotRunOnlyIfItWasSentNowhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -179,8 +184,9 @@
 	})
 }
 
-// TestATrialThatIsRefusedAfterTheRunIsGivenBack: the run has ended with the answers of the other
-// shards, and the server then says that it has not run the request.
+// TestATrialThatIsRefusedAfterTheRunIsGivenBack checks that a trial is released if the run has
+// ended with the answers of the other shards and the server then says that it has not executed the
+// request.
 func TestATrialThatIsRefusedAfterTheRunIsGivenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/pkg/fanout/quarantine_test.go
+++ b/pkg/fanout/quarantine_test.go
@@ -17,7 +17,7 @@
 	"github.com/bramblemast/bramblemast/pkg/quarantine"
 )
 
-// emptyLedger keeps nothing and grants every trial.
+// emptyLedger stores nothing and grants every trial.
 type emptyLedger struct{}
 
 func (emptyLedger) AddNotes(context.Context, []quarantine.Note) error                        { return nil }
@@ -28,7 +28,8 @@
 
 const deadlyTarget = "/deadly"
 
-// newDeadlyWorld has shards with some servers each, which end when they run a deadly request.
+// newDeadlyWorld has the services with the given replicas, which crash when they execute a deadly
+// request.
 func newDeadlyWorld(services []string, replicas []string) *world {
 	w := newWorld()
 	guard := quarantine.New(quarantine.Options{
@@ -43,7 +44,7 @@
 	return w
 }
 
-// addDeadly adds a server that ends when it runs a deadly request.
+// addDeadly adds a server that crashes when it executes a deadly request.
 func (w *world) addDeadly(service, name string) {
 	w.add(service, name, exchangetest.Answer{})
 	w.servers[name].Respond = func(request exchangetest.Request) exchangetest.Answer {
@@ -75,7 +76,7 @@
 	return count
 }
 
-// crashOnNextRequest lets servers end with the next request that they run, whatever it is.
+// crashOnNextRequest makes servers crash at the next request that they execute, whatever it is.
 func (w *world) crashOnNextRequest(names ...string) {
 	for _, name := range names {
 		w.servers[name].Respond = func(exchangetest.Request) exchangetest.Answer {
@@ -85,7 +86,7 @@
 	}
 }
 
-// suspect lets a request for a target be suspect.
+// markSuspect makes requests for a target suspect.
 func (w *world) markSuspect(target string) {
 	request := exchange.Request{Method: "GET", Target: target}
 	w.runner.Quarantine.RecordCrashes(request.Fingerprint(&exchangetest.Dialect), []fleet.Incarnation{{ID: "x"}, {ID: "y"}, {ID: "z"}}, time.Now())
@@ -103,8 +104,7 @@
 
 var fourShards, threeReplicas = []string{"a", "b", "c", "d"}, []string{"1", "2", "3"}
 
-// crashFirstAsked lets the first of some servers that is asked end under what it is asked; the others
-// answer.
+// crashFirstAsked makes the first of some servers that gets a request crash; the others answer.
 func (w *world) crashFirstAsked(names ...string) {
 	var hasCrashed atomic.Bool
 	for _, name := range names {
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestAPartThatLostItsServerWaitsForAnAnswerOfAnother: it is retried as soon as one shows that the
-// request ends no servers.
+// TestAPartThatLostItsServerWaitsForAnAnswerOfAnother checks that a part whose server crashed is
+// retried as soon as another server has answered, which shows that the request crashes no servers.
 func TestAPartThatLostItsServerWaitsForAnAnswerOfAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -134,8 +134,8 @@
 	})
 }
 
-// TestAPartThatLostItsServerWaitsNoLongerThanAMoment: where the other servers are all silent, the
-// request is sent on.
+// TestAPartThatLostItsServerWaitsNoLongerThanAMoment checks that a part whose server crashed is
+// retried after a short wait where the other servers are all silent.
 func TestAPartThatLostItsServerWaitsNoLongerThanAMoment(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -156,8 +156,9 @@
 	})
 }
 
-// TestADeadlyRequestEndsOneServerOfEachShard and those of two trials, not all: the run ends
-// once nothing can clear the request any more, and the next one is refused with a promise.
+// TestADeadlyRequestEndsOneServerOfEachShard guards against a deadly request that crashes all
+// servers: it crashes one of each shard and one in each of two trials. The run ends once nothing
+// can clear the request, and the next run is refused with outcome NotRun.
 func TestADeadlyRequestEndsOneServerOfEachShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -179,8 +180,8 @@
 	})
 }
 
-// TestWhatSharedAServerIsRetriedAtOnce: a request that lost parts with the servers of another
-// one is answered, and is not suspect.
+// TestWhatSharedAServerIsRetriedAtOnce checks that a request that lost parts with the servers that
+// another request crashed is answered and does not become suspect.
 func TestWhatSharedAServerIsRetriedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -197,8 +198,9 @@
 	})
 }
 
-// TestATrialAsksOneServerFirst, and the others once that has answered; a deadly request ends
-// one server with each of its two trials.
+// TestATrialAsksOneServerFirst checks that a trial sends a suspect request to one server, and to
+// the others once that one has answered. A deadly request crashes one server in each of its two
+// trials.
 func TestATrialAsksOneServerFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -218,9 +220,10 @@
 	})
 }
 
-// TestATrialSparesTheLastServerOfAShard: with two servers of each shard the first sub-requests of
-// a deadly request leave one, and two trials would leave two shards without any. The trials are
-// made once servers are back, with shards that have two.
+// TestATrialSparesTheLastServerOfAShard guards against trials that crash the last server of a
+// shard. With two servers a shard, the first sub-requests of a deadly request leave one, and two
+// trials would leave two shards without any. The trials are made once servers are back, at shards
+// that have two.
 func TestATrialSparesTheLastServerOfAShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -248,8 +251,8 @@
 	})
 }
 
-// TestARequestThatLostAllItsServersIsTriedAgainWithinItsTime: one that was at the same servers
-// as a deadly one, with all its parts, is answered by others in the same run.
+// TestARequestThatLostAllItsServersIsTriedAgainWithinItsTime checks that a request that lost all
+// its parts with the servers that a deadly one crashed is answered by others in the same run.
 func TestARequestThatLostAllItsServersIsTriedAgainWithinItsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -266,7 +269,8 @@
 	})
 }
 
-// TestARequestThatWaitsForAServerNeedsATrial if it becomes suspect meanwhile.
+// TestARequestThatWaitsForAServerNeedsATrial checks that a request that becomes suspect while it
+// waits for a server is sent only with a trial.
 func TestARequestThatWaitsForAServerNeedsATrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/pkg/fanout/regions_test.go
+++ b/pkg/fanout/regions_test.go
@@ -15,7 +15,7 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// inRegions gives the world's zones a region each.
+// inRegions puts zones "z" and "far" into a region each.
 func (w *world) inRegions() {
 	w.fleet = fleet.New(fleet.Settings{
 		Local: fleet.Place{Zone: "z", Region: "here"}, LeaveGrace: time.Second, Dialer: w.network,
@@ -24,7 +24,7 @@
 	w.runner.Fleet = w.fleet
 }
 
-// boundPlan is a plan whose regions may change while it runs.
+// boundPlan returns a plan whose allowed regions may change while it runs.
 func boundPlan(regions *atomic.Pointer[route.Regions], services ...string) fanout.Plan {
 	bound := plan(services...)
 	bound.Regions = func() route.Regions { return *regions.Load() }
@@ -38,8 +38,8 @@
 	return holder
 }
 
-// TestNoHedgeOrRetryLeavesTheRegions: the server in the allowed region is silent, another
-// one refuses; both stay the only ones that get the request.
+// TestNoHedgeOrRetryLeavesTheRegions checks that a request whose only allowed server is silent is
+// not hedged to a server in another region.
 func TestNoHedgeOrRetryLeavesTheRegions(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.inRegions()
@@ -52,8 +52,8 @@
 	})
 }
 
-// TestAChangeOfRegionsBindsARequestUnderWay: what is sent after the change goes where it
-// allows only.
+// TestAChangeOfRegionsBindsARequestUnderWay checks that sub-requests sent after a change of the
+// allowed regions follow the new ones.
 func TestAChangeOfRegionsBindsARequestUnderWay(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.inRegions()
@@ -67,7 +67,8 @@
 	})
 }
 
-// TestWhatNoAllowedServerCanServeIsRefusedAtOnce, as not run.
+// TestWhatNoAllowedServerCanServeIsRefusedAtOnce checks that a request without enough servers in
+// its regions is refused at once, with outcome NotRun.
 func TestWhatNoAllowedServerCanServeIsRefusedAtOnce(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.inRegions()
--- a/pkg/fanout/run.go
+++ b/pkg/fanout/run.go
@@ -16,23 +16,23 @@
 
 // Times of the event loop.
 const (
-	// recheck is after which time a part for which no server could be asked is tried again: a
-	// tenth of the shortest target that is set for gathered requests (120 ms), so that a part
-	// whose rank has changed meanwhile loses little. Waiters are woken without it.
+	// recheckInterval is the time after which a part that got no server is tried again: a tenth of
+	// the shortest target of gathered requests (120 ms), so that a part whose rank has changed
+	// meanwhile loses little. Waiters are woken without it.
 	recheckInterval = 12 * time.Millisecond
-	// deniedRecheckInterval is after which time a hedge or a retry that the budget denied is tried
-	// again: a third of that target. At 3 requests a second and node the budget of a service
+	// deniedRecheckInterval is the time after which a hedge or a retry that the budget denied is
+	// tried again: a third of that target. At 3 requests a second and node the budget of a service
 	// changes less often than that.
 	deniedRecheckInterval = 40 * time.Millisecond
-	// immediateRefusals is how many refusals of servers a part may meet at once: with
-	// three servers a shard, each of them is then asked once.
+	// immediateRefusals is the number of refusals after which a part is still retried at once: with
+	// three servers a shard, each of them is then tried once.
 	immediateRefusals = 2
-	// refusedRecheckInterval is after which time it is tried again after that: about what a full
-	// server (3 to 5 slots, 20 to 28 ms a request) needs to empty its slots twice.
+	// refusedRecheckInterval is the wait of a part with more refusals: about the time in which a
+	// full server (3 to 5 slots, 20 to 28 ms a request) empties its slots twice.
 	refusedRecheckInterval = 60 * time.Millisecond
 )
 
-// attempt is one sub-request under way.
+// attempt is one sub-request.
 type attempt struct {
 	*exchange.Attempt
 	lease *fleet.Lease
@@ -40,70 +40,71 @@
 	// endedAt and result are set by the event loop when the attempt has ended.
 	endedAt time.Time
 	result  string
-	// trial is leave that the attempt was made with; nil if the request needed none. isForShard says
-	// that it is for the part alone.
+	// trial is the trial that the attempt uses; nil if the request needs none. isForShard says that it
+	// is for the part alone.
 	trial      *quarantine.Trial
 	isForShard bool
 }
 
-// finished is what an attempt reports.
+// finished is the result of an attempt.
 type finished struct {
 	attempt *attempt
 	answer  *exchange.Response
 	err     error
 }
 
-// run is the state of one Run.
+// run is the state of one call of Run.
 type run struct {
 	runner  *Runner
 	plan    Plan
 	request *exchange.Request
 	parts   []part
 	results chan finished
-	// wakes takes the parts for which a server has become free.
+	// wakes delivers the parts for which a server has become free.
 	wakes chan int
-	// ended is closed when nobody waits for results any longer.
+	// ended is closed when the run no longer receives results.
 	ended chan struct{}
 	began time.Time
-	// coveredAt is when the share of the stop rule was reached, recheckAt when
-	// the rule is to be asked again; zero for never.
+	// coveredAt is when the target share of the stop rule was reached, and recheckAt when the rule
+	// is evaluated again; zero for never.
 	coveredAt time.Time
 	recheckAt time.Time
-	// groups are the services with an owner. isWithheldFromOwners says that no owner was looked for,
-	// since the request is kept back.
+	// groups are the services with an owner. isWithheldFromOwners says that owners were not looked
+	// for, since the request is withheld.
 	groups               []Group
 	isWithheldFromOwners bool
-	// admission is the decision by which the request was let in or not.
+	// admission is the admission decision about the request.
 	admission loadshed.Decision
-	// spared counts the parts that are spared; see part.spared.
+	// skipped counts the skipped parts; see part.skipped.
 	skipped int
-	// work is the typical time that a server needs for a part; zero until it is asked for.
+	// work is the typical service time of a part; zero until it is first needed.
 	work time.Duration
-	// questions are those to owners, and inbox what they have reported.
+	// questions are the questions to owners, and inbox holds their reports.
 	questions []*question
 	inbox     *inbox
-	// fresh are the answers that the other node of Plan.Collect has not been told, and wants the
-	// parts that need a further server; reportAt is when it is told next, and told says that
-	// it was once.
+	// unreported holds the answers that the node of Plan.Collect has not received yet, and
+	// wantedParts the parts that need a further server. reportAt is when the next report is due,
+	// and hasReported says that one was sent.
 	unreported  map[int]*exchange.Response
 	wantedParts []int
 	reportAt    time.Time
 	hasReported bool
-	// served says that a server has answered the request; attempts read it too.
+	// served says that a server has answered the request; attempts read it from their goroutines.
 	served atomic.Bool
-	// trial is leave to send the request to one server although it is suspect; nil for none.
-	// claims brings it, isClaiming says that it was asked for, and isTrialRefused that there
-	// was none.
+	// trial is the permit to send the request to one server although it is suspect; nil for none.
+	// claims delivers it, isClaiming says that it was requested, and isTrialRefused that it was
+	// refused.
 	trial          *quarantine.Trial
 	claims         chan *quarantine.Trial
 	isClaiming     bool
 	isTrialRefused bool
-	// shardClaims brings leave for one part, and hasWithheld says that parts are kept back.
+	// shardClaims delivers trials for single parts, and hasWithheld says that some parts are
+	// withheld.
 	shardClaims chan shardTrial
 	hasWithheld bool
-	// fingerprinted is the request's fingerprint once it was made.
+	// cachedFingerprint is the request's fingerprint once it has been computed.
 	cachedFingerprint *exchange.Fingerprint
-	// lot orders the request among others, alike on all nodes.
+	// samplingValue orders the request among others, equally on all nodes.
 	samplingValue uint64
 	answered      int
 	open          int
@@ -111,13 +112,14 @@
 	retries       int
 	sent          int
 	denied        int
-	// broken counts the connections that broke, and firstBrokenAt is when the first one did.
+	// brokenConnections counts the connections that broke, and firstBrokenAt is when the first one
+	// did.
 	brokenConnections int
 	firstBrokenAt     time.Time
 }
 
-// newRun returns the state of a run of which nothing was asked yet. The request's lot is that of its id
-// until isAdmitted or a question sets another one.
+// newRun returns the state of a run that has sent nothing yet. The sampling value is the hash of
+// the request's id until isAdmitted or a question sets another one.
 func newRun(runner *Runner, plan Plan, request *exchange.Request) *run {
 	parts := make([]part, len(plan.Services))
 	for index, service := range plan.Services {
@@ -131,7 +133,7 @@
 	}
 }
 
-// regions returns where the request may be served now.
+// regions returns the regions in which the request may be served now.
 func (r *run) regions() route.Regions {
 	if r.plan.Regions == nil {
 		return route.Regions{}
@@ -139,7 +141,7 @@
 	return r.plan.Regions()
 }
 
-// load names the load on a service that the request is counted in.
+// loadKey returns the key of the load on a service that the request counts in.
 func (r *run) loadKey(service string) loadshed.Key {
 	return loadshed.Key{Service: service, Regions: r.regions().Key()}
 }
@@ -185,9 +187,9 @@
 	}
 }
 
-// handleDue handles what is due by now. A result that has come in goes first,
-// since it may make a hedge or a retry needless: after a stall of the process
-// both are found at once.
+// handleDue handles an event whose time has come. A result or report that has arrived is handled
+// first, since it may make a hedge or a retry unnecessary: after a stall of the process both are
+// found at once.
 func (r *run) handleDue(now time.Time) {
 	select {
 	case result := <-r.results:
@@ -199,7 +201,8 @@
 	}
 }
 
-// handleTimer asks further servers for the parts that are due.
+// handleTimer handles overdue reports and queries further servers for the parts whose time has
+// come.
 func (r *run) handleTimer(now time.Time) {
 	r.handleSilence(now)
 	for index := range r.parts {
@@ -221,7 +224,7 @@
 	}
 }
 
-// take handles the end of an attempt.
+// handleResult handles the end of an attempt.
 func (r *run) handleResult(result finished, now time.Time) {
 	index := result.attempt.part
 	part := &r.parts[index]
@@ -232,7 +235,7 @@
 		r.recordBrokenOfPart(part, result.attempt, now)
 	}
 	if result.err == nil && result.answer.Evidence != "" {
-		// Also a failure that a server has made shows that it lives.
+		// An error answer, too, shows that the server survived the request.
 		r.recordAnswerAt(part, now)
 		r.recordAnswer()
 	}
@@ -249,7 +252,7 @@
 	}
 }
 
-// accept takes the answer of a part.
+// accept stores the answer of a part.
 func (r *run) accept(index int, answer *exchange.Response, now time.Time) {
 	part := &r.parts[index]
 	r.recordAnswerAt(part, now)
@@ -272,8 +275,7 @@
 	}
 }
 
-// retry asks another server after all attempts of a part have failed, or
-// closes the part.
+// retry queries another server after all attempts of a part have failed, or closes the part.
 func (r *run) retry(index int, now time.Time) {
 	part := &r.parts[index]
 	if part.executions > 0 && !r.plan.Repeatable {
@@ -304,8 +306,8 @@
 	r.launchNext(index, now)
 }
 
-// awaitBudget keeps a part open for a while when the budget does not pay for a
-// further server: it pays again as soon as the service is asked for others.
+// awaitBudget keeps a part open for a while when the budget does not allow a further server: other
+// requests to the service add to the budget.
 func (r *run) awaitBudget(part *part, now time.Time) {
 	if !r.keepOpen(part, now) {
 		return
@@ -314,8 +316,8 @@
 	part.hedgeAt = now.Add(deniedRecheckInterval)
 }
 
-// awaitCapacity keeps a part open for a while when servers have turned it away again
-// and again: they have room later. Those that did not run it may be asked anew.
+// awaitCapacity keeps a part open for a while after repeated refusals: the servers have capacity
+// later. Those that did not execute the part may be queried again.
 func (r *run) awaitCapacity(part *part, now time.Time) {
 	if !r.keepOpen(part, now) {
 		return
@@ -326,8 +328,8 @@
 	part.hedgeAt = now.Add(refusedRecheckInterval)
 }
 
-// keepOpen reports whether a part that is being asked nowhere may still wait,
-// and closes it if not.
+// keepOpen reports whether a part without an attempt in progress may still wait, and closes it if
+// not.
 func (r *run) keepOpen(part *part, now time.Time) bool {
 	if part.idleSince.IsZero() {
 		part.idleSince = now
@@ -339,9 +341,9 @@
 	return false
 }
 
-// isHopeless reports whether a request of one service has no server, and none is
-// expected before it ends: an outage lasts about as long again as it has. A gathered
-// request keeps what it has got.
+// isHopeless reports whether a request to a single service has no server and none is expected
+// before its deadline: an outage is expected to last as long again as it has lasted. A gathered
+// request keeps the parts that it has.
 func (r *run) isHopeless(part *part, now time.Time) bool {
 	return len(r.parts) == 1 && part.absent && r.runner.Fleet.NoServerDuration(r.loadKey(part.service), now) >= r.plan.Deadline.Sub(now)
 }
@@ -354,7 +356,7 @@
 	r.restoreSkipped()
 }
 
-// without returns a list of attempts without one of them. It reuses the list.
+// without removes an attempt from a list, which it modifies.
 func without(list []*attempt, removed *attempt) []*attempt {
 	for index, each := range list {
 		if each == removed {
--- a/pkg/fanout/skipped_test.go
+++ b/pkg/fanout/skipped_test.go
@@ -13,14 +13,14 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// told is what an owner reports, and when.
+// scriptedReport is a report of an owner and the time at which it is sent.
 type scriptedReport struct {
 	after  time.Duration
 	report fanout.Report
 }
 
-// scriptedOwners give each service an owner of its own, which is named like it and reports what
-// the test says.
+// scriptedOwners gives each service its own owner, which has the name of the service and sends the
+// listed reports.
 type scriptedOwners map[string][]scriptedReport
 
 func (s scriptedOwners) Divide(services []string, _ route.Regions) []fanout.Group {
@@ -38,7 +38,7 @@
 	return ignoredQuestion{}
 }
 
-// ignored is a question whose owner does what it does.
+// ignoredQuestion is a question whose owner ignores grants and cancellation.
 type ignoredQuestion struct{}
 
 func (ignoredQuestion) Cancel()     {}
@@ -54,15 +54,15 @@
 	return fanout.Report{Ended: true, Failures: map[int]fanout.OwnerFailure{0: {Cause: errors.New("failed"), NotRun: isNotRun}}}
 }
 
-// limitService makes a service short of room, so that requests that have enough without it leave
-// it to others.
+// limitService sets the share of a service to zero, so that requests that can do without it skip
+// it.
 func (w *world) limitService(service string) {
 	w.runner.Admission = fanout.NewAdmissionControl(w.fleet)
 	w.runner.Admission.Admitter.Update(loadshed.Key{Service: service}, sharesOf(0), time.Now())
 }
 
-// TestASparedPartStaysWithItsOwner once another part has failed: the one server that may run the
-// request is at work for the owner.
+// TestASparedPartStaysWithItsOwner checks that a skipped part stays with its owner when it becomes
+// needed and only one server may execute the request: that server is already working for the owner.
 func TestASparedPartStaysWithItsOwner(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
@@ -81,8 +81,8 @@
 	})
 }
 
-// TestAnOwnerHasTimeForASparedPart before a second server is asked and paid for; one that does not
-// get it then is helped.
+// TestAnOwnerHasTimeForASparedPart checks that the owner of a skipped part that becomes needed has
+// the time of a report to get it before this node spends budget on a second server.
 func TestAnOwnerHasTimeForASparedPart(t *testing.T) {
 	for name, expected := range map[string]struct {
 		answer       []scriptedReport
--- a/pkg/fanout/stall_test.go
+++ b/pkg/fanout/stall_test.go
@@ -11,9 +11,9 @@
 	"github.com/bramblemast/bramblemast/pkg/exchange"
 )
 
-// TestAResultGoesBeforeWhatIsDue: after a stall of the process an answer and the
-// moment of its part's hedge are found at once; the answer makes the hedge
-// needless. The run has no fleet, so that a hedge would panic.
+// TestAResultGoesBeforeWhatIsDue guards against needless hedges after a stall of the process, when
+// an answer and the hedge time of its part are found at once: the answer must be handled first. The
+// run has no fleet, so that a hedge would panic.
 func TestAResultGoesBeforeWhatIsDue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/pkg/fanout/turned_away_test.go
+++ b/pkg/fanout/turned_away_test.go
@@ -28,9 +28,9 @@
 	return d.Network.DialContext(ctx, network, address)
 }
 
-// TestAConnectionTurnedAwayCostsNoBudget: nothing was sent, so the request to
-// the next server is no extra load. (valgsok-grown fresh-fa94: 2,819 retries
-// denied in a second)
+// TestAConnectionTurnedAwayCostsNoBudget guards against charging the budget for connections that a
+// server resets, which denied 2,819 retries in one second. Nothing was sent, so the request to the
+// next server is no extra load.
 func TestAConnectionTurnedAwayCostsNoBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
