--- a/cmd/bramblemast-edge/main.go
+++ b/cmd/bramblemast-edge/main.go
@@ -123,7 +123,7 @@
 	node, err := edge.New(edge.Options{
 		Settings: settings, Logger: logger, Platform: platform.NewStore(settings.Store.Address),
 		Dialect: platform.Dialect(), ReadyPath: platform.ReadyPath,
-		Reload: func() (*edge.Settings, error) { return edge.LoadSettings(path) }, Hangup: heard.hangups,
+		Reload: func() (*edge.Settings, error) { return edge.LoadSettings(path) }, ReloadSignals: heard.hangups,
 	})
 	if err != nil {
 		return fail(exitFailure, err)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -46,12 +46,12 @@
 	maxPeerHandlers = 512
 	maxInFlight     = 2000
 	sweepInterval   = time.Second
-	// settleReserve is kept of the time in which the platform holds nodes to no
+	// contactReserve is kept of the time in which the platform holds nodes to no
 	// bounds, since a request takes its time to arrive.
-	settleReserve = 700 * time.Millisecond
-	// leaveShare is the share of the time in which a leaving server may be asked
+	contactReserve = 700 * time.Millisecond
+	// leaveGraceDivisor is the share of the time in which a leaving server may be asked
 	// that a node uses: news of it may arrive late.
-	leaveShare = 4
+	leaveGraceDivisor = 4
 )
 
 // Platform is what the node asks of the platform's store.
@@ -78,7 +78,7 @@
 	// clocks.
 	Suspended func() time.Duration
 	// Hangup tells that the settings have changed; it may be nil.
-	Hangup Hangups
+	ReloadSignals ReloadSignals
 }
 
 // Node is one node of a routed deployment.
@@ -87,23 +87,23 @@
 	logger  hclog.Logger
 	// settings are those in force; see reload.go.
 	settings atomic.Pointer[Settings]
-	// reloadProblem is the last fault of the settings; only watchSettings uses it.
-	reloadProblem string
+	// lastReloadError is the last fault of the settings; only watchSettings uses it.
+	lastReloadError string
 	// keysLapsed says that requests with keys were refused when last looked at; only
 	// sweepServers uses it.
-	keysLapsed bool
-	state      *state
-	quarantine *quarantine.Guard
-	listener   *front.Listener
-	ready      *http.Server
+	keysLapsed  bool
+	state       *state
+	quarantine  *quarantine.Guard
+	listener    *front.Listener
+	readyServer *http.Server
 	// readyListener takes the platform's questions about readiness.
 	readyListener net.Listener
 	follower      *directory.Follower
-	figures       *figures
+	metrics       *metrics
 	// metrics and metricsListener are nil if no port is set.
-	metrics         *http.Server
+	metricsServer   *http.Server
 	metricsListener net.Listener
-	member          *registration
+	registration    *registration
 	writeBack       *writeBack
 	// transport, peers and owners are nil if the node has no address for its peers.
 	transport *peer.TCP
@@ -113,10 +113,10 @@
 	limits *limits
 	// known is what this node knows of the room at services; announcer tells others of it and
 	// is nil if the node has no address for its peers.
-	known     *fanout.AdmissionControl
+	admission *fanout.AdmissionControl
 	announcer *owner.Announcer
 	// teller tells other nodes of suspect requests; nil if the node has no address for its peers.
-	teller *quarantine.Gossiper
+	gossiper *quarantine.Gossiper
 }
 
 // New opens the node's listeners.
@@ -126,9 +126,9 @@
 	if options.Suspended == nil {
 		options.Suspended = suspension.Total
 	}
-	node := &Node{options: options, logger: options.Logger, figures: newFigures()}
+	node := &Node{options: options, logger: options.Logger, metrics: newMetricSet()}
 	node.settings.Store(settings)
-	options.Platform.SetObserver(node.figures.countCall)
+	options.Platform.SetObserver(node.metrics.countCall)
 	rules, err := newPolicies()
 	if err != nil {
 		return nil, err
@@ -136,26 +136,26 @@
 	node.state = newState(node, newFleet(settings), rules)
 	node.follower = directory.NewFollower(options.Platform, node.state)
 	node.follower.SetSuspensionClock(options.Suspended)
-	node.follower.SetStalenessBound(settings.newsAge())
+	node.follower.SetStalenessBound(settings.stalenessBound())
 	node.follower.SetWriteBackSpan(settings.writeBackSpan())
 	node.follower.SetConfirmWhenIdle(settings.Bounds.RefuseUnconfirmedKeys)
 	node.follower.SetFirstStart(settings.Node.FirstStart)
-	recorder := newEvents(node.logger, node.figures, node.storeAge)
+	recorder := newRequestRecorder(node.logger, node.metrics, node.storeAge)
 	node.quarantine = quarantine.New(quarantine.Options{
 		Ledger: options.Platform, LedgerUnavailable: node.follower.IsStoreLost, Dialer: newServerDialer(),
 		Events: suspectEvents{node: node, recorder: recorder},
 	})
 	node.state.quarantine = node.quarantine
 	local := directory.Node{Name: settings.Node.Name, Zone: settings.Node.Zone}
-	node.known = fanout.NewAdmissionControl(node.state.fleet)
+	node.admission = fanout.NewAdmissionControl(node.state.fleet)
 	if err := node.openPeers(settings, &local); err != nil {
 		return nil, err
 	}
 	if err := node.openClients(rules, recorder); err != nil {
 		return nil, err
 	}
-	node.member = newRegistration(options.Platform, local, options.Logger, node.follower, func() int { return len(node.state.knownNodes()) })
-	node.state.member = node.member
+	node.registration = newRegistration(options.Platform, local, options.Logger, node.follower, func() int { return len(node.state.knownNodes()) })
+	node.state.registration = node.registration
 	node.writeBack = newWriteBack(options.Platform, node)
 	if err := node.openReady(); err != nil {
 		return nil, err
@@ -168,7 +168,7 @@
 		Node:       settings.Node.Name,
 		Local:      fleet.Place{Zone: settings.Node.Zone, Region: settings.Node.Region},
 		Regions:    settings.Zones,
-		LeaveGrace: settings.leaveWithin(), WarmUpBounds: settings.warmUpBounds(),
+		LeaveGrace: settings.leaveGrace(), WarmUpBounds: settings.warmUpBounds(),
 		Dialer: newServerDialer(),
 		Random: newRandom(),
 	})
@@ -180,11 +180,11 @@
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
 // openClients opens the address for clients.
-func (n *Node) openClients(rules *policies, recorder *events) error {
+func (n *Node) openClients(rules *policies, recorder *requestRecorder) error {
 	options := front.Options{
 		Dialect: n.options.Dialect, State: n.state, Fleet: n.state.fleet, Budget: n.state.budgets, Policies: rules,
 		Events: recorder, Random: newRandom(), MaxInFlight: maxInFlight,
-		Quarantine: n.quarantine, KeyNews: n.keyNews, Room: n.known,
+		Quarantine: n.quarantine, KeyNews: n.keyFreshness, Room: n.admission,
 	}
 	if n.owners != nil {
 		options.Owners = n.owners
@@ -202,7 +202,7 @@
 	}
 	listener.SetMost(n.options.Settings.clientConnections())
 	n.listener = listener
-	n.state.idle = listener.SetIdle
+	n.state.setIdleTimeout = listener.SetIdle
 	return nil
 }
 
@@ -221,12 +221,12 @@
 	if settings.Listen.Peers == "" {
 		return nil
 	}
-	opened, err := net.Listen("tcp", settings.Listen.Peers)
+	peerListener, err := net.Listen("tcp", settings.Listen.Peers)
 	if err != nil {
 		return errors.Wrap(err, "listen for peers")
 	}
 	n.transport = peer.NewTCP(peer.TCPOptions{
-		Node: target.NodeID(settings.Node.Name), Listener: opened, DialTimeout: connectTimeout,
+		Node: target.NodeID(settings.Node.Name), Listener: peerListener, DialTimeout: connectTimeout,
 		Advertise:     peer.Address(settings.Listen.PeersAdvertised),
 		MaxFrameBytes: maxPeerFrame, MaxInbound: maxPeerInbound, MaxConnections: peerConnections(settings),
 		MaxHandlers: maxPeerHandlers,
@@ -241,10 +241,10 @@
 		},
 	})
 	n.state.roster = owner.NewRoster(*local, settings.Zones, n.state.fleet)
-	n.owners = owner.NewClient(n.state.roster, n.transport, n.known.Admitter, ownerEvents{node: n})
+	n.owners = owner.NewClient(n.state.roster, n.transport, n.admission.Admitter, ownerEvents{node: n})
 	n.openAnnouncer()
-	n.openTeller()
-	if settings.Bounds.LimitWindowSeconds > 0 {
+	n.openGossiper()
+	if settings.Bounds.QuotaWindowSeconds > 0 {
 		n.limits = newLimits(n, settings, n.transport)
 		n.state.limits = n.limits
 	}
@@ -253,7 +253,7 @@
 
 // peerConnections returns the bound on the connections to other nodes.
 func peerConnections(settings *Settings) int {
-	if settings.Bounds.LimitWindowSeconds > 0 {
+	if settings.Bounds.QuotaWindowSeconds > 0 {
 		return maxPeerConnections + quotaPeerConnections
 	}
 	return maxPeerConnections
@@ -271,12 +271,12 @@
 	}
 	group.Add(n.listener.Serve, func(error) { n.listener.Close() })
 	// Close fails only on listeners that are closed already, so that its errors are dropped here.
-	group.Add(func() error { return n.ready.Serve(n.readyListener) }, func(error) { _ = n.ready.Close() })
-	if n.metrics != nil {
-		group.Add(func() error { return n.metrics.Serve(n.metricsListener) }, func(error) { _ = n.metrics.Close() })
+	group.Add(func() error { return n.readyServer.Serve(n.readyListener) }, func(error) { _ = n.readyServer.Close() })
+	if n.metricsServer != nil {
+		group.Add(func() error { return n.metricsServer.Serve(n.metricsListener) }, func(error) { _ = n.metricsServer.Close() })
 	}
 	add(n.follower.Run)
-	add(n.member.run)
+	add(n.registration.run)
 	add(n.writeBack.run)
 	add(n.quarantine.Run)
 	if n.transport != nil {
@@ -284,7 +284,7 @@
 		add(n.peers.Run)
 		add(n.owners.Run)
 		add(n.announcer.Run)
-		add(n.teller.Run)
+		add(n.gossiper.Run)
 	}
 	if n.limits != nil {
 		add(n.limits.limiter.Run)
@@ -316,7 +316,7 @@
 			n.state.fleet.Sweep(now)
 			n.quarantine.Sweep(now)
 			n.watchKeys()
-			n.known.Sweep(now)
+			n.admission.Sweep(now)
 		}
 	}
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -42,18 +42,18 @@
 }
 
 // blocked is an output whose reader has stopped reading.
-type blocked struct{ release chan struct{} }
+type blockedWriter struct{ release chan struct{} }
 
-func (b blocked) Write(line []byte) (int, error) {
+func (b blockedWriter) Write(line []byte) (int, error) {
 	<-b.release
 	return len(line), nil
 }
 
-// TestALogThatNobodyReadsBlocksNothing: lines beyond the backlog are dropped and
+// TestLogDropsLinesInsteadOfBlocking: lines beyond the backlog are dropped and
 // counted.
-func TestALogThatNobodyReadsBlocksNothing(t *testing.T) {
+func TestLogDropsLinesInsteadOfBlocking(t *testing.T) {
 	g := NewWithT(t)
-	output := blocked{release: make(chan struct{})}
+	output := blockedWriter{release: make(chan struct{})}
 	writer := newAsyncWriter(output)
 	for range 3 * logBacklog {
 		_, err := writer.Write([]byte("line\n"))
@@ -69,7 +69,7 @@
 	var output bytes.Buffer
 	lines := make(chan []byte, 4*linesPerSecond)
 	logger := NewLogger("test", writerFunc(func(line []byte) { lines <- bytes.Clone(line) }))
-	tested := newEvents(logger, newFigures(), func() time.Duration { return time.Second })
+	tested := newRequestRecorder(logger, newMetricSet(), func() time.Duration { return time.Second })
 	for range sampleEvery {
 		tested.Record(front.Record{ID: "served", Status: 200})
 	}
@@ -82,16 +82,16 @@
 	g.Expect(strings.Count(output.String(), "served")).To(Equal(1))
 }
 
-// TestAnOverloadIsToldOnce for a while, however many requests fail for it.
-func TestAnOverloadIsToldOnce(t *testing.T) {
+// TestOverloadIsLoggedOncePerInterval for a while, however many requests fail for it.
+func TestOverloadIsLoggedOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		var lines atomic.Int64
 		output := writerFunc(func([]byte) { lines.Add(1) })
-		tested := newEvents(hclog.New(&hclog.LoggerOptions{Output: output, JSONFormat: true}), newFigures(), func() time.Duration { return time.Second })
+		tested := newRequestRecorder(hclog.New(&hclog.LoggerOptions{Output: output, JSONFormat: true}), newMetricSet(), func() time.Duration { return time.Second })
 		for range 20 {
 			tested.Overload("shard-0", 3)
-			time.Sleep(overloadSpan / 10)
+			time.Sleep(overloadLogInterval / 10)
 		}
 		g.Expect(lines.Load()).To(BeNumerically("~", 2, 1))
 	})
@@ -134,9 +134,9 @@
 	}
 }
 
-// TestTemplatesDecide: the route's own template, else that of its kind, else the
+// TestTemplateLookupOrder: the route's own template, else that of its kind, else the
 // built-in policies; a request keeps its arm; a tombstone ends a template.
-func TestTemplatesDecide(t *testing.T) {
+func TestTemplateLookupOrder(t *testing.T) {
 	g := NewWithT(t)
 	tested, err := newPolicies()
 	g.Expect(err).NotTo(HaveOccurred())
@@ -181,10 +181,10 @@
 	g.Expect(tested.For(gathered, "r").Template).To(Equal("routes/gathered"))
 }
 
-// TestTheDeployFileFitsTheSettings: every name of the deploy template is one of
+// TestDeployTemplateMatchesSettings: every name of the deploy template is one of
 // the settings, on deployments that tell all bounds and on those that tell only what each
 // has.
-func TestTheDeployFileFitsTheSettings(t *testing.T) {
+func TestDeployTemplateMatchesSettings(t *testing.T) {
 	g := NewWithT(t)
 	content, err := os.ReadFile("../../deploy/edge.json")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -233,7 +233,7 @@
 	g := NewWithT(t)
 	for _, drain := range []int{3000, 2500, 5000, 6000, 10000} {
 		settings := &Settings{Bounds: BoundSettings{DrainMillis: drain, ApplyMillis: 10000}}
-		latest := settings.leaveWithin() + settings.newsAge() + 500*time.Millisecond
+		latest := settings.leaveGrace() + settings.stalenessBound() + 500*time.Millisecond
 		g.Expect(latest).To(BeNumerically("<", time.Duration(drain)*time.Millisecond))
 	}
 }
@@ -244,7 +244,7 @@
 	g := NewWithT(t)
 	for _, millis := range []int{1500, 3000, 5000, 10000} {
 		settings := &Settings{Bounds: BoundSettings{DrainMillis: 10000, ApplyMillis: 10000, EvacuateMillis: millis}}
-		latest := settings.evacuateWithin() + settings.newsAge() + 500*time.Millisecond
+		latest := settings.evacuationSpan() + settings.stalenessBound() + 500*time.Millisecond
 		g.Expect(latest).To(BeNumerically("<", time.Duration(millis)*time.Millisecond))
 	}
 }
@@ -256,13 +256,13 @@
 		g := NewWithT(t)
 		lost := false
 		starting := &state{startedAt: time.Now(), storeLost: func() bool { return lost }}
-		g.Expect(starting.Starting()).To(Equal(front.Starting{Patience: startingPatience, RetryAfter: leastStartingWait}))
+		g.Expect(starting.Starting()).To(Equal(front.Starting{Patience: startingPatience, RetryAfter: minStartingWait}))
 		time.Sleep(600 * time.Millisecond)
 		g.Expect(starting.Starting().RetryAfter).To(Equal(600 * time.Millisecond))
 		time.Sleep(time.Minute)
-		g.Expect(starting.Starting().RetryAfter).To(Equal(greatestStartingWait))
+		g.Expect(starting.Starting().RetryAfter).To(Equal(maxStartingWait))
 		lost = true
-		g.Expect(starting.Starting()).To(Equal(front.Starting{RetryAfter: lostStoreWait}), "at once, and later")
+		g.Expect(starting.Starting()).To(Equal(front.Starting{RetryAfter: storeLostWait}), "at once, and later")
 	})
 }
 
@@ -300,38 +300,38 @@
 		5000: 2 * time.Second, 8000: 2 * time.Second, 1500: 800 * time.Millisecond, 0: 0,
 	} {
 		settings := Settings{Bounds: BoundSettings{ContactMillis: int(contact)}}
-		g.Expect(settings.listSettles()).To(And(
+		g.Expect(settings.absenceUncertainSpan()).To(And(
 			BeNumerically(">=", expected), BeNumerically("<=", expected+directory.MinStalenessBound),
 		))
 	}
 }
 
-// TestWhatARestoreLostHasTimeToComeBack, also where a deployment names no bound on being in contact.
-func TestWhatARestoreLostHasTimeToComeBack(t *testing.T) {
+// TestWriteBackSpanCoversLapsedEntries, also where a deployment names no bound on being in contact.
+func TestWriteBackSpanCoversLapsedEntries(t *testing.T) {
 	g := NewWithT(t)
-	for contact, want := range map[int]time.Duration{0: lapsedReturn, 500: lapsedReturn, 5000: 2800 * time.Millisecond} {
+	for contact, want := range map[int]time.Duration{0: lapsedEntryReturn, 500: lapsedEntryReturn, 5000: 2800 * time.Millisecond} {
 		settings := &Settings{Bounds: BoundSettings{ContactMillis: contact, ApplyMillis: 3000, DrainMillis: 3000}}
 		g.Expect(settings.writeBackSpan()).To(Equal(want), "a contact bound of %d ms", contact)
 	}
 }
 
-// TestNewsIsAsOldAsTheDeploymentAllows: nodes read the store as seldom as its
+// TestStalenessBoundFollowsDeploymentBounds: nodes read the store as seldom as its
 // bounds on configurations and leaving servers allow, with a reserve, and not
 // more often where these are unknown.
-func TestNewsIsAsOldAsTheDeploymentAllows(t *testing.T) {
+func TestStalenessBoundFollowsDeploymentBounds(t *testing.T) {
 	g := NewWithT(t)
 	for _, each := range []struct {
 		apply, drain int
 		expected     time.Duration
 	}{
 		{3000, 3000, directory.MinStalenessBound}, {5000, 5000, 2800 * time.Millisecond}, {5000, 3000, directory.MinStalenessBound},
-		{60000, 60000, greatestNewsAge}, {0, 0, directory.MinStalenessBound},
+		{60000, 60000, maxStalenessBound}, {0, 0, directory.MinStalenessBound},
 	} {
 		settings := Settings{Bounds: BoundSettings{ApplyMillis: each.apply, DrainMillis: each.drain}}
-		g.Expect(settings.newsAge()).To(Equal(each.expected))
+		g.Expect(settings.stalenessBound()).To(Equal(each.expected))
 	}
 	settings := Settings{Bounds: BoundSettings{ApplyMillis: 60000, DrainMillis: 60000, ContactMillis: 5000}}
-	g.Expect(settings.newsAge()).To(Equal(2800*time.Millisecond), "notes on deadly requests are known in time")
+	g.Expect(settings.stalenessBound()).To(Equal(2800*time.Millisecond), "notes on deadly requests are known in time")
 }
 
 // TestEvacuationsReachTheFleet, also one that was found at the start, and are told in the
@@ -343,8 +343,8 @@
 	servers := fleet.New(fleet.Settings{Random: newRandom()})
 	servers.Apply(fleet.Server{ID: "i", Service: "s", Address: "a", Zone: "z"}, time.Now())
 	tested := &state{
-		fleet: servers, figures: newFigures(), logger: NewLogger("test", writerFunc(func(line []byte) { lines <- string(line) })),
-		evacuateWithin: func() time.Duration { return time.Hour },
+		fleet: servers, metrics: newMetricSet(), logger: NewLogger("test", writerFunc(func(line []byte) { lines <- string(line) })),
+		evacuationSpan: func() time.Duration { return time.Hour },
 	}
 	mayServe := func() bool { return servers.CountServable([]string{"s"}, route.Regions{}, time.Now()) == 1 }
 	tested.Changed(directory.Entry{Key: "k", Revision: 1, EvacuatedZone: "z"})
@@ -354,7 +354,7 @@
 	tested.Loaded(2)
 	tested.Changed(directory.Entry{Key: "k", Revision: 3, EvacuatedZone: "z"})
 	g.Expect(mayServe()).To(BeTrue(), "the load leaves evenly")
-	tested.evacuateWithin = func() time.Duration { return 0 }
+	tested.evacuationSpan = func() time.Duration { return 0 }
 	tested.Changed(directory.Entry{Key: "k", Revision: 4, EvacuatedZone: "z", Gone: true})
 	tested.Changed(directory.Entry{Key: "k", Revision: 5, EvacuatedZone: "z"})
 	g.Expect(mayServe()).To(BeFalse())
--- a/internal/edge/fuzz_test.go
+++ b/internal/edge/fuzz_test.go
@@ -13,7 +13,7 @@
 		if err != nil {
 			return
 		}
-		if settings.grace() <= 0 || settings.listSettles() < 0 || settings.leaveWithin() < 0 || settings.MemoryBytes() < 0 {
+		if settings.grace() <= 0 || settings.absenceUncertainSpan() < 0 || settings.leaveGrace() < 0 || settings.MemoryBytes() < 0 {
 			t.Fatalf("accepted %+v", settings)
 		}
 	})
--- a/internal/edge/keys.go
+++ b/internal/edge/keys.go
@@ -6,8 +6,8 @@
 	"github.com/bramblemast/bramblemast/internal/front"
 )
 
-// keyNews returns whether the node's news of callers' keys is current, old, or so old that keys are refused.
-func (n *Node) keyNews() front.KeyNews {
+// keyFreshness returns whether the node's news of callers' keys is current, old, or so old that keys are refused.
+func (n *Node) keyFreshness() front.KeyNews {
 	settings := n.settings.Load()
 	switch {
 	case settings.Bounds.RefuseUnconfirmedKeys && !n.follower.IsFreshWithin(settings.revocationAge()):
@@ -22,26 +22,26 @@
 // confirmed, and one when that ends. Only sweepServers calls it.
 func (n *Node) watchKeys() {
 	table := n.state.Table()
-	lapsed := table != nil && table.HasTenants() && n.keyNews() == front.KeysLapsed
+	lapsed := table != nil && table.HasTenants() && n.keyFreshness() == front.KeysLapsed
 	if lapsed == n.keysLapsed {
 		return
 	}
 	n.keysLapsed = lapsed
-	age := n.newsAgeMillis()
+	age := n.stalenessMillis()
 	if lapsed {
-		n.figures.keysLapsed.Set(1)
+		n.metrics.keysLapsed.Set(1)
 		n.logger.Warn("keys lapsed", "news_age_ms", age, "error", "the store cannot be asked which keys were removed")
 		return
 	}
-	n.figures.keysLapsed.Set(0)
+	n.metrics.keysLapsed.Set(0)
 	n.logger.Info("keys confirmed", "news_age_ms", age)
 }
 
-// newsAgeMillis returns how old the node's news of the store is; -1 if it has none.
-func (n *Node) newsAgeMillis() int64 {
-	knownAt := n.follower.ConfirmedAt()
-	if knownAt.IsZero() {
+// stalenessMillis returns how old the node's news of the store is; -1 if it has none.
+func (n *Node) stalenessMillis() int64 {
+	confirmedAt := n.follower.ConfirmedAt()
+	if confirmedAt.IsZero() {
 		return -1
 	}
-	return time.Since(knownAt).Milliseconds()
+	return time.Since(confirmedAt).Milliseconds()
 }
--- a/internal/edge/keys_test.go
+++ b/internal/edge/keys_test.go
@@ -21,7 +21,7 @@
 		g.Expect(settings.revocationAge()).To(BeNumerically("<", bound))
 		// A call to the store, or to a node that reads it, takes its time.
 		const call = 500 * time.Millisecond
-		g.Expect(settings.newsAge() + call).To(BeNumerically("<", settings.revocationAge()))
+		g.Expect(settings.stalenessBound() + call).To(BeNumerically("<", settings.revocationAge()))
 	}
 }
 
@@ -29,9 +29,9 @@
 func TestRevocationIsStrictOnlyWhereAsked(t *testing.T) {
 	g := NewWithT(t)
 	lax := &Settings{Bounds: BoundSettings{ApplyMillis: 5000, DrainMillis: 5000, RevokeMillis: 1000}}
-	g.Expect(lax.newsAge()).To(Equal(2800*time.Millisecond), "as without the bound")
+	g.Expect(lax.stalenessBound()).To(Equal(2800*time.Millisecond), "as without the bound")
 	strict := &Settings{Bounds: BoundSettings{ApplyMillis: 5000, DrainMillis: 5000, RevokeMillis: 1000, RefuseUnconfirmedKeys: true}}
-	g.Expect(strict.newsAge()).To(Equal(directory.MinStalenessBound))
+	g.Expect(strict.stalenessBound()).To(Equal(directory.MinStalenessBound))
 	strict.Bounds.RevokeMillis = 0
 	g.Expect(strict.problems()).To(ContainElement("bounds.strict_revoke wants bounds.revoke_ms"))
 	tooShort := ContainElement(ContainSubstring("bounds.revoke_ms must be above 500"))
--- a/internal/edge/limits_page.go
+++ b/internal/edge/limits_page.go
@@ -11,13 +11,13 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// listInterval is the least time between two copies of all limits, since requests of tenants wait while
+// minListInterval is the least time between two copies of all limits, since requests of tenants wait while
 // one is made. Whoever asks within it gets the last one.
-const listInterval = 200 * time.Millisecond
+const minListInterval = 200 * time.Millisecond
 
-// lastList is the last copy of all limits. It is made when somebody asks, so that it costs nothing
+// listCache is the last copy of all limits. It is made when somebody asks, so that it costs nothing
 // while nobody does.
-type lastList struct {
+type listCache struct {
 	// mutex guards the fields below, and is held while any copy is made: requests wait for one at
 	// most, however many callers the page has at once.
 	mutex sync.Mutex
@@ -45,7 +45,7 @@
 	if tenant != "" {
 		return l.encode(tenant)
 	}
-	if l.list.message == nil || time.Since(l.list.madeAt) >= listInterval {
+	if l.list.message == nil || time.Since(l.list.madeAt) >= minListInterval {
 		l.list.message, l.list.madeAt = l.encode(""), time.Now()
 	}
 	return l.list.message
@@ -53,21 +53,21 @@
 
 // encode returns the message for a copy of the limits.
 func (l *limits) encode(tenant string) *wire.Node {
-	copied := l.limiter.Snapshot(tenant)
+	snapshot := l.limiter.Snapshot(tenant)
 	message := &wire.Node{
-		Node: copied.Node, Zone: copied.Zone, At: copied.At, CountedSince: copied.StartedAt,
-		Nodes: copied.Nodes, Silent: copied.Silent, SilentCount: copied.SilentCount,
-		Coordinated: make([]wire.Coordinated, 0, len(copied.Coordinated)), CoordinatedLeftOut: copied.CoordinatedLeftOut,
-		Served: make([]wire.Served, 0, len(copied.Served)), ServedLeftOut: copied.ServedLeftOut,
+		Node: snapshot.Node, Zone: snapshot.Zone, At: snapshot.At, CountedSince: snapshot.StartedAt,
+		Nodes: snapshot.Nodes, Silent: snapshot.Silent, SilentCount: snapshot.SilentCount,
+		Coordinated: make([]wire.Coordinated, 0, len(snapshot.Coordinated)), CoordinatedLeftOut: snapshot.CoordinatedLeftOut,
+		Served: make([]wire.Served, 0, len(snapshot.Served)), ServedLeftOut: snapshot.ServedLeftOut,
 	}
 	if table := l.node.state.Table(); table != nil {
 		message.ConfigurationVersion = table.Version
 	}
-	for _, one := range copied.Coordinated {
-		message.Coordinated = append(message.Coordinated, encodeCoordinated(one))
+	for _, coordinated := range snapshot.Coordinated {
+		message.Coordinated = append(message.Coordinated, encodeCoordinated(coordinated))
 	}
-	for _, one := range copied.Served {
-		message.Served = append(message.Served, encodeServed(one, copied))
+	for _, served := range snapshot.Served {
+		message.Served = append(message.Served, encodeServed(served, snapshot))
 	}
 	return message
 }
@@ -91,7 +91,7 @@
 }
 
 // encodeServed returns the message for a tenant whose requests the node got.
-func encodeServed(tenant quota.ServedTenant, copied quota.Snapshot) wire.Served {
+func encodeServed(tenant quota.ServedTenant, snapshot quota.Snapshot) wire.Served {
 	encoded := wire.Served{Tenant: tenant.Tenant, Limit: encodeLimit(tenant.Limit), Idle: tenant.IsIdle, Admitted: tenant.Admitted}
 	for reason, count := range tenant.Refused {
 		if encoded.Refused == nil {
@@ -105,11 +105,11 @@
 	encoded.DecidedBy, encoded.Coordinator = tenant.Mode.String(), tenant.Coordinator
 	encoded.Share, encoded.ShareOld = tenant.Share, tenant.IsShareStale
 	encoded.EntitledPerSecond = tenant.EntitledPerSecond
-	if window := copied.Window.Seconds(); window > 0 {
+	if window := snapshot.Window.Seconds(); window > 0 {
 		encoded.AdmittedPerSecond = tenant.AdmittedInWindow / window
 	}
 	if !tenant.ShareReceivedAt.IsZero() {
-		age := copied.At.Sub(tenant.ShareReceivedAt).Milliseconds()
+		age := snapshot.At.Sub(tenant.ShareReceivedAt).Milliseconds()
 		encoded.ShareAgeMS = &age
 	}
 	return encoded
--- a/internal/edge/limits_page_test.go
+++ b/internal/edge/limits_page_test.go
@@ -21,27 +21,27 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// pageOf asks a node for its limits.
-func pageOf(node *Node, path string) *httptest.ResponseRecorder {
+// getPage asks a node for its limits.
+func getPage(node *Node, path string) *httptest.ResponseRecorder {
 	recorder := httptest.NewRecorder()
 	node.Metrics().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, path, http.NoBody))
 	return recorder
 }
 
-// readPage reads the answer of pageOf.
-func readPage(g *WithT, answer *httptest.ResponseRecorder) wire.Node {
+// decodePage reads the answer of getPage.
+func decodePage(g *WithT, answer *httptest.ResponseRecorder) wire.Node {
 	var message wire.Node
 	g.Expect(answer.Code).To(Equal(http.StatusOK))
 	g.Expect(json.Unmarshal(answer.Body.Bytes(), &message)).To(Succeed())
 	return message
 }
 
-// TestANodeWithoutLimitsHasNoPageOfThem, and its metrics are where they were.
-func TestANodeWithoutLimitsHasNoPageOfThem(t *testing.T) {
+// TestNodeWithoutLimitsHasNoLimitsPage, and its metrics are where they were.
+func TestNodeWithoutLimitsHasNoLimitsPage(t *testing.T) {
 	g := NewWithT(t)
-	node := &Node{figures: newFigures(), logger: hclog.NewNullLogger(), state: &state{}}
-	g.Expect(pageOf(node, wire.Path).Code).To(Equal(http.StatusNotFound))
-	g.Expect(pageOf(node, metricsPath).Code).To(Equal(http.StatusOK))
+	node := &Node{metrics: newMetricSet(), logger: hclog.NewNullLogger(), state: &state{}}
+	g.Expect(getPage(node, wire.Path).Code).To(Equal(http.StatusNotFound))
+	g.Expect(getPage(node, metricsPath).Code).To(Equal(http.StatusOK))
 }
 
 // limitedNodes returns some nodes on one network, as those of a deployment with a configuration.
@@ -53,7 +53,7 @@
 		settings, err := ParseSettings([]byte(quotaSettings("127.0.0.1:0", 0.1)))
 		g.Expect(err).NotTo(HaveOccurred())
 		settings.Node.Name, settings.Node.Zone = name, fmt.Sprint("z-", number%2)
-		node := &Node{figures: newFigures(), logger: hclog.NewNullLogger(), state: &state{}}
+		node := &Node{metrics: newMetricSet(), logger: hclog.NewNullLogger(), state: &state{}}
 		node.state.table.Store(route.NewTable(&route.Configuration{Version: 7, Tenants: tenants}))
 		node.limits = newLimits(node, settings, network.Transport(peer.Address(name)))
 		nodes = append(nodes, node)
@@ -65,15 +65,15 @@
 	return nodes
 }
 
-// TestARefusedTenantIsSeenAtItsCoordinator, and each node tells what it admitted and refused and why; no
+// TestLimitsPageShowsRefusedTenant, and each node tells what it admitted and refused and why; no
 // key of a caller is told.
-func TestARefusedTenantIsSeenAtItsCoordinator(t *testing.T) {
+func TestLimitsPageShowsRefusedTenant(t *testing.T) {
 	const key, count = "key-of-a-caller", 5
 	tenants := []route.Tenant{
 		{Name: "busy", Keys: []string{key}, Limit: route.RateLimit{PerSecond: 10, Burst: 10}},
 		{Name: "quiet", Limit: route.RateLimit{PerSecond: 3, Burst: 3}},
 	}
-	var lists, shows []*httptest.ResponseRecorder
+	var listPages, tenantPages []*httptest.ResponseRecorder
 	coordinator, admitted, refused := "", int64(0), uint64(0)
 	synctest.Test(t, func(t *testing.T) {
 		network := peer.NewNetwork(1)
@@ -94,8 +94,8 @@
 		}
 		coordinator = nodes[0].limits.limiter.Coordinator("busy")
 		for _, node := range nodes {
-			lists = append(lists, pageOf(node, wire.Path))
-			shows = append(shows, pageOf(node, wire.Path+"?tenant=busy"))
+			listPages = append(listPages, getPage(node, wire.Path))
+			tenantPages = append(tenantPages, getPage(node, wire.Path+"?tenant=busy"))
 		}
 		stop()
 		for range nodes {
@@ -104,12 +104,12 @@
 		network.Close()
 	})
 	g := NewWithT(t)
-	for index, answers := range [][]*httptest.ResponseRecorder{lists, shows} {
+	for index, answers := range [][]*httptest.ResponseRecorder{listPages, tenantPages} {
 		sumAdmitted, sumRefused := int64(0), uint64(0)
-		var firsts []string
+		var firstCoordinators []string
 		for _, answer := range answers {
 			g.Expect(answer.Body.String()).NotTo(ContainSubstring(key))
-			message := readPage(g, answer)
+			message := decodePage(g, answer)
 			g.Expect(message.ConfigurationVersion).To(Equal(uint64(7)))
 			g.Expect(message.Nodes).To(Equal(count))
 			g.Expect(message.Served).To(HaveLen(1))
@@ -121,10 +121,10 @@
 			for _, coordinated := range message.Coordinated {
 				// Reporters are named in the answers for one tenant only.
 				expectCoordinatedBeyondLimit(g, coordinated, count, index*count)
-				firsts = append(firsts, message.Node)
+				firstCoordinators = append(firstCoordinators, message.Node)
 			}
 		}
-		g.Expect(firsts).To(Equal([]string{coordinator}))
+		g.Expect(firstCoordinators).To(Equal([]string{coordinator}))
 		g.Expect(sumAdmitted).To(Equal(admitted))
 		g.Expect(sumRefused).To(Equal(refused))
 	}
@@ -152,8 +152,8 @@
 	g.Expect(coordinated.Reporters).To(HaveLen(named), "named for one tenant only")
 }
 
-// TestListsOfLimitsAreCopiedNowAndThenOnly, however often they are asked for.
-func TestListsOfLimitsAreCopiedNowAndThenOnly(t *testing.T) {
+// TestLimitsPageIsCached, however often they are asked for.
+func TestLimitsPageIsCached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		network := peer.NewNetwork(1)
@@ -161,18 +161,18 @@
 		node := limitedNodes(g, network, 1, []route.Tenant{{Name: "a", Limit: route.RateLimit{PerSecond: 1, Burst: 1}}})[0]
 		times := make(map[time.Time]int)
 		for range 10 {
-			times[readPage(g, pageOf(node, wire.Path)).At]++
-			time.Sleep(listInterval / 5)
+			times[decodePage(g, getPage(node, wire.Path)).At]++
+			time.Sleep(minListInterval / 5)
 		}
 		g.Expect(times).To(HaveLen(2))
-		g.Expect(readPage(g, pageOf(node, wire.Path+"?tenant=a")).Served).To(HaveLen(1), "one that was not asked for yet")
-		g.Expect(readPage(g, pageOf(node, wire.Path+"?tenant=b")).Served).To(BeEmpty())
+		g.Expect(decodePage(g, getPage(node, wire.Path+"?tenant=a")).Served).To(HaveLen(1), "one that was not asked for yet")
+		g.Expect(decodePage(g, getPage(node, wire.Path+"?tenant=b")).Served).To(BeEmpty())
 	})
 }
 
-// TestPagesAndRequestsGoOnTogether: many callers of the page at once get whole answers while requests are
+// TestLimitsPageIsConsistentUnderConcurrentRequests: many callers of the page at once get whole answers while requests are
 // decided and nodes come and go, and no request is counted twice or lost.
-func TestPagesAndRequestsGoOnTogether(t *testing.T) {
+func TestLimitsPageIsConsistentUnderConcurrentRequests(t *testing.T) {
 	const callers, each = 8, 50
 	g := NewWithT(t)
 	network := peer.NewNetwork(1)
@@ -186,19 +186,19 @@
 			for number := range each {
 				tenant := &tenants[number%len(tenants)]
 				node.limits.Admit(tenant, fmt.Sprint(caller, "-", number), time.Now())
-				answers[caller] = append(answers[caller], pageOf(node, wire.Path), pageOf(node, wire.Path+"?tenant="+tenant.Name))
+				answers[caller] = append(answers[caller], getPage(node, wire.Path), getPage(node, wire.Path+"?tenant="+tenant.Name))
 				node.limits.setNodes([]directory.Node{{Name: "n-0", Zone: "z-0", PeerAddress: "n-0"}, {Name: fmt.Sprint("other-", number), PeerAddress: "none"}})
 			}
 		})
 	}
 	group.Wait()
 	for _, answer := range slices.Concat(answers...) {
-		message := readPage(g, answer)
+		message := decodePage(g, answer)
 		g.Expect(message.Nodes).To(Or(Equal(1), Equal(2)))
 		g.Expect(message.Served).NotTo(BeEmpty())
 	}
 	for _, tenant := range tenants {
-		served := readPage(g, pageOf(node, wire.Path+"?tenant="+tenant.Name)).Served[0]
+		served := decodePage(g, getPage(node, wire.Path+"?tenant="+tenant.Name)).Served[0]
 		decided := uint64(served.Admitted)
 		for _, count := range served.Refused {
 			decided += count
--- a/internal/edge/figures.go
+++ b/internal/edge/metric_set.go
@@ -19,33 +19,33 @@
 var latencyBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.175, 0.25, 0.5, 1, 2.5, 10}
 
 // figures are the node's metrics; docs/OPERATIONS.md explains each.
-type figures struct {
+type metrics struct {
 	registry *prometheus.Registry
 
-	requests    *prometheus.CounterVec
-	latency     *prometheus.HistogramVec
-	missing     *prometheus.CounterVec
-	subRequests *prometheus.CounterVec
-	denied      *prometheus.CounterVec
-	dependency  *prometheus.GaugeVec
-	refused     *prometheus.CounterVec
-	overloads   *prometheus.CounterVec
-	logLines    *prometheus.CounterVec
-	owned       *prometheus.CounterVec
-	ownersLost  *prometheus.CounterVec
-	storeCalls  *prometheus.CounterVec
-	evacuated   *prometheus.GaugeVec
-	broken      *prometheus.CounterVec
-	standings   *prometheus.CounterVec
-	keysLapsed  prometheus.Gauge
-	restores    prometheus.Counter
-	limited     *prometheus.CounterVec
+	requests          *prometheus.CounterVec
+	latency           *prometheus.HistogramVec
+	missing           *prometheus.CounterVec
+	subRequests       *prometheus.CounterVec
+	denied            *prometheus.CounterVec
+	dependency        *prometheus.GaugeVec
+	refused           *prometheus.CounterVec
+	overloads         *prometheus.CounterVec
+	logLines          *prometheus.CounterVec
+	owned             *prometheus.CounterVec
+	ownersLost        *prometheus.CounterVec
+	storeCalls        *prometheus.CounterVec
+	evacuated         *prometheus.GaugeVec
+	brokenConnections *prometheus.CounterVec
+	suspectStates     *prometheus.CounterVec
+	keysLapsed        prometheus.Gauge
+	restores          prometheus.Counter
+	limited           *prometheus.CounterVec
 	// coordinatorsLost counts coordinators of limits that fell silent.
 	coordinatorsLost *prometheus.CounterVec
 }
 
-func newFigures() *figures {
-	f := &figures{
+func newMetricSet() *metrics {
+	f := &metrics{
 		registry: prometheus.NewRegistry(),
 		requests: counters("requests_total", "Requests by outcome.", "route", "arm", "status", "reason"),
 		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
@@ -65,9 +65,9 @@
 		evacuated: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Namespace: namespace, Name: "zone_evacuated", Help: "1 while nothing is to be sent to the servers of a zone.",
 		}, []string{"zone"}),
-		storeCalls: counters("store_calls_total", "Calls to the platform's store, by what was asked and whether it answered as hoped.", "call", "result"),
-		broken:     counters("connections_broken_total", "Sub-requests whose server ended the connection before its answer.", "route"),
-		standings: counters("suspect_requests_total", "Changes of what is known of requests under which servers ended, by the new standing.",
+		storeCalls:        counters("store_calls_total", "Calls to the platform's store, by what was asked and whether it answered as hoped.", "call", "result"),
+		brokenConnections: counters("connections_broken_total", "Sub-requests whose server ended the connection before its answer.", "route"),
+		suspectStates: counters("suspect_requests_total", "Changes of what is known of requests under which servers ended, by the new standing.",
 			"standing"),
 		keysLapsed: prometheus.NewGauge(prometheus.GaugeOpts{
 			Namespace: namespace, Name: "keys_lapsed", Help: "1 while requests with keys are refused because the keys cannot be confirmed.",
@@ -81,7 +81,7 @@
 		ownersLost:       counters("owners_lost_total", "Times that an owner did not answer and was left out for a while."),
 	}
 	f.registry.MustRegister(f.requests, f.latency, f.missing, f.subRequests, f.denied, f.dependency, f.refused, f.overloads, f.logLines,
-		f.owned, f.ownersLost, f.storeCalls, f.evacuated, f.broken, f.standings, f.keysLapsed, f.restores, f.limited, f.coordinatorsLost)
+		f.owned, f.ownersLost, f.storeCalls, f.evacuated, f.brokenConnections, f.suspectStates, f.keysLapsed, f.restores, f.limited, f.coordinatorsLost)
 	return f
 }
 
@@ -92,28 +92,28 @@
 }
 
 // gauge registers a figure that is read when it is asked for.
-func (f *figures) gauge(name, help string, read func() float64) {
+func (f *metrics) gauge(name, help string, read func() float64) {
 	f.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: namespace, Name: name, Help: help,
 	}, read))
 }
 
 // counter registers a counter whose value is read at each scrape.
-func (f *figures) counter(name, help string, read func() uint64) {
+func (f *metrics) counter(name, help string, read func() uint64) {
 	f.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Namespace: namespace, Name: name, Help: help,
 	}, func() float64 { return float64(read()) }))
 }
 
 // handler serves the figures as text.
-func (f *figures) handler() *http.ServeMux {
+func (f *metrics) handler() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+metricsPath, promhttp.HandlerFor(f.registry, promhttp.HandlerOpts{}))
 	return mux
 }
 
 // count takes one request.
-func (f *figures) count(record front.Record) {
+func (f *metrics) count(record front.Record) {
 	route, arm := record.Route, record.Policy.Arm
 	f.requests.WithLabelValues(route, arm, strconv.Itoa(record.Status), record.Reason).Inc()
 	if record.Refused {
@@ -124,23 +124,23 @@
 	if record.Status == http.StatusOK && record.Parts < record.Total {
 		f.missing.WithLabelValues(route, arm).Add(float64(record.Total - record.Parts))
 	}
-	f.sent(route, arm, "first", result.Sent-result.Hedges-result.Retries)
-	f.sent(route, arm, "hedge", result.Hedges)
-	f.sent(route, arm, "retry", result.Retries)
+	f.countSent(route, arm, "first", result.Sent-result.Hedges-result.Retries)
+	f.countSent(route, arm, "hedge", result.Hedges)
+	f.countSent(route, arm, "retry", result.Retries)
 	f.countBroken(route, result.BrokenConnections)
 	if result.Denied > 0 {
 		f.denied.WithLabelValues(route, arm).Add(float64(result.Denied))
 	}
 }
 
-func (f *figures) countBroken(route string, count int) {
+func (f *metrics) countBroken(route string, count int) {
 	if count > 0 {
-		f.broken.WithLabelValues(route).Add(float64(count))
+		f.brokenConnections.WithLabelValues(route).Add(float64(count))
 	}
 }
 
 // countCall takes one call to the store.
-func (f *figures) countCall(call string, err error) {
+func (f *metrics) countCall(call string, err error) {
 	result := "ok"
 	if err != nil {
 		result = "error"
@@ -149,7 +149,7 @@
 }
 
 // countOwned takes one question of another node.
-func (f *figures) countOwned(record owner.Record) {
+func (f *metrics) countOwned(record owner.Record) {
 	result := record.Result
 	f.countBroken(record.Kind, result.BrokenConnections)
 	f.owned.WithLabelValues(record.Kind, "answered").Add(float64(result.AnsweredCount))
@@ -158,7 +158,7 @@
 	}
 }
 
-func (f *figures) sent(route, arm, kind string, count int) {
+func (f *metrics) countSent(route, arm, kind string, count int) {
 	if count > 0 {
 		f.subRequests.WithLabelValues(route, arm, kind).Add(float64(count))
 	}
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -23,13 +23,13 @@
 		return errors.Wrap(err, "listen for metrics")
 	}
 	n.metricsListener = opened
-	n.metrics = &http.Server{Handler: n.metricsHandler(), ReadHeaderTimeout: connectTimeout}
+	n.metricsServer = &http.Server{Handler: n.metricsHandler(), ReadHeaderTimeout: connectTimeout}
 	return nil
 }
 
 // metricsHandler serves the figures and the limits of tenants.
 func (n *Node) metricsHandler() http.Handler {
-	mux := n.figures.handler()
+	mux := n.metrics.handler()
 	mux.HandleFunc("GET "+wire.Path, n.serveLimits)
 	return mux
 }
@@ -42,33 +42,33 @@
 
 // registerGauges registers the figures that are read when they are asked for.
 func (n *Node) registerGauges() {
-	n.figures.gauge("configuration_version", "Version of the routing configuration in force; 0 for none.", func() float64 {
+	n.metrics.gauge("configuration_version", "Version of the routing configuration in force; 0 for none.", func() float64 {
 		if table := n.state.Table(); table != nil {
 			return float64(table.Version)
 		}
 		return 0
 	})
-	n.figures.gauge("store_revision", "Revision of the store up to which the node is complete.", func() float64 {
+	n.metrics.gauge("store_revision", "Revision of the store up to which the node is complete.", func() float64 {
 		revision, _ := n.follower.Revision()
 		return float64(revision)
 	})
-	n.figures.gauge("store_era", "Era of the store, which rises each time that it comes back from an older copy; 0 if it tells none.", func() float64 {
+	n.metrics.gauge("store_era", "Era of the store, which rises each time that it comes back from an older copy; 0 if it tells none.", func() float64 {
 		return float64(n.follower.Position().Era)
 	})
-	n.figures.gauge("store_keys_kept", "Keys whose state from before a restore of the store is in force.", func() float64 {
+	n.metrics.gauge("store_keys_kept", "Keys whose state from before a restore of the store is in force.", func() float64 {
 		return float64(len(n.follower.RetainedKeys()))
 	})
-	n.figures.gauge("store_contact_age_seconds", "Time since the store last answered; -1 for never.", func() float64 {
+	n.metrics.gauge("store_contact_age_seconds", "Time since the store last answered; -1 for never.", func() float64 {
 		_, contactAt := n.follower.Revision()
 		return age(contactAt)
 	})
-	n.figures.gauge("store_news_age_seconds", "Time since the node knew all that the store held; -1 for never.", func() float64 {
+	n.metrics.gauge("store_news_age_seconds", "Time since the node knew all that the store held; -1 for never.", func() float64 {
 		return age(n.follower.ConfirmedAt())
 	})
-	n.figures.gauge("servers", "Servers that the platform lists.", func() float64 { return float64(n.state.fleet.Len()) })
-	n.figures.gauge("servers_pausing", "Servers that pause by a clock and whose next pause is foreseen.", func() float64 {
+	n.metrics.gauge("servers", "Servers that the platform lists.", func() float64 { return float64(n.state.fleet.Len()) })
+	n.metrics.gauge("servers_pausing", "Servers that pause by a clock and whose next pause is foreseen.", func() float64 {
 		return float64(n.state.fleet.CountPredictedPauses(time.Now()))
 	})
-	n.figures.gauge("nodes", "Nodes that are registered.", func() float64 { return float64(len(n.state.knownNodes())) })
-	n.figures.gauge("client_connections", "Open connections of clients.", func() float64 { return float64(n.listener.Open()) })
+	n.metrics.gauge("nodes", "Nodes that are registered.", func() float64 { return float64(len(n.state.knownNodes())) })
+	n.metrics.gauge("client_connections", "Open connections of clients.", func() float64 { return float64(n.listener.Open()) })
 }
--- a/internal/edge/owners.go
+++ b/internal/edge/owners.go
@@ -11,22 +11,22 @@
 
 // serveOwned answers the questions of other nodes about the shards that this one
 // owns.
-func (n *Node) serveOwned(handler *front.Handler, rules *policies, recorder *events) {
+func (n *Node) serveOwned(handler *front.Handler, rules *policies, recorder *requestRecorder) {
 	owner.NewServer(owner.ServerOptions{
 		Transport: n.transport, Runner: handler.Collector(), Servers: n.state.fleet, Draining: n.state.Draining,
 		Policies: func(kind, requestID string) (policy.HedgePolicy, float64) {
 			found := rules.forKind(kind, true, requestID)
 			return found.Hedge, found.ExtraShare
 		},
-		Regions:   n.state.regionsNow,
+		Regions:   n.state.currentRegions,
 		Announcer: n.announcer,
 		Recorder:  recorder.RecordOwned,
 	})
 }
 
-// regionsNow returns where another node's request may be served: by the newer one of its
+// currentRegions returns where another node's request may be served: by the newer one of its
 // configuration and this node's.
-func (s *state) regionsNow(asked owner.RequestScope) route.Regions {
+func (s *state) currentRegions(asked owner.RequestScope) route.Regions {
 	table := s.table.Load()
 	if table == nil || table.Version <= asked.Version {
 		return asked.Regions
@@ -39,7 +39,7 @@
 
 // OwnerLost implements owner.Events.
 func (e ownerEvents) OwnerLost(name string, cause error) {
-	e.node.figures.ownersLost.WithLabelValues().Inc()
+	e.node.metrics.ownersLost.WithLabelValues().Inc()
 	e.node.logger.Warn("owner lost", "owner", name, "error", cause.Error())
 }
 
@@ -49,11 +49,11 @@
 }
 
 // RecordOwned takes the story of one question of another node.
-func (e *events) RecordOwned(record owner.Record) {
-	e.figures.countOwned(record)
+func (e *requestRecorder) RecordOwned(record owner.Record) {
+	e.metrics.countOwned(record)
 	result := record.Result
-	isWhole := result.AnsweredCount == len(record.Services)
-	if isWhole && e.successes.Add(1)%sampleEvery != 1 {
+	isComplete := result.AnsweredCount == len(record.Services)
+	if isComplete && e.successes.Add(1)%sampleEvery != 1 {
 		return
 	}
 	if !e.mayWrite() {
--- a/internal/edge/quota.go
+++ b/internal/edge/quota.go
@@ -18,9 +18,9 @@
 	// greatest limits; the others share otherTenants.
 	namedTenants = 10
 	otherTenants = "other"
-	// limitedSpan is the least time between two lines that the same tenant is at its limit, or that
+	// limitLogInterval is the least time between two lines that the same tenant is at its limit, or that
 	// coordinators do not answer.
-	limitedSpan = 5 * time.Second
+	limitLogInterval = 5 * time.Second
 )
 
 // limits holds tenants to their limits. It implements front.Limits and quota.Events, and is
@@ -32,35 +32,35 @@
 	mutex sync.Mutex
 	// atLimit limits the lines about tenants at their limits, by name, lost those about coordinators
 	// that do not answer, all together; guarded by mutex.
-	atLimit *stateLines[string]
-	lost    *stateLines[struct{}]
+	atLimit          *stateLogLimiter[string]
+	lostCoordinators *stateLogLimiter[struct{}]
 	// named are the tenants with metrics of their own in the configuration version, guarded
 	// by mutex.
 	named   map[string]bool
 	version uint64
 
 	// list is the last answer to operators who asked for all tenants.
-	list lastList
+	list listCache
 }
 
 // newLimits returns the limits of a node and registers their metrics.
 func newLimits(node *Node, settings *Settings, transport peer.Transport) *limits {
-	held := &limits{node: node, atLimit: newStateLines[string](limitedSpan), lost: newStateLines[struct{}](limitedSpan)}
-	held.limiter = quota.New(quota.Options{
-		Local: settings.Node.Name, Zone: settings.Node.Zone, Bounds: settings.quotaBounds(), Transport: transport, Events: held,
+	created := &limits{node: node, atLimit: newStateLogLimiter[string](limitLogInterval), lostCoordinators: newStateLogLimiter[struct{}](limitLogInterval)}
+	created.limiter = quota.New(quota.Options{
+		Local: settings.Node.Name, Zone: settings.Node.Zone, Bounds: settings.quotaBounds(), Transport: transport, Events: created,
 		LimitOf: node.state.limitOf, Incarnation: rand.Uint64(),
 		KnowsTenants: func() bool { table := node.state.Table(); return table != nil && table.HasTenants() },
-		WasListed:    func() bool { return node.member != nil && node.member.wasListed.Load() },
+		WasListed:    func() bool { return node.registration != nil && node.registration.wasListed.Load() },
 	})
-	node.figures.gauge("quota_tenants_at_limit", "Tenants at their limit that this node coordinates.", func() float64 {
-		return float64(held.limiter.TenantsAtLimit())
+	node.metrics.gauge("quota_tenants_at_limit", "Tenants at their limit that this node coordinates.", func() float64 {
+		return float64(created.limiter.TenantsAtLimit())
 	})
-	node.figures.gauge("quota_tenants", "Tenants with a limit that this node was asked for lately.", func() float64 {
-		return float64(held.limiter.TenantCount())
+	node.metrics.gauge("quota_tenants", "Tenants with a limit that this node was asked for lately.", func() float64 {
+		return float64(created.limiter.TenantCount())
 	})
-	node.figures.counter("quota_reports_total", "Reports to coordinators of limits.", func() uint64 { return held.limiter.MessagesSent().Reports })
-	node.figures.counter("quota_verdicts_total", "Admitted shares told to other nodes.", func() uint64 { return held.limiter.MessagesSent().Verdicts })
-	return held
+	node.metrics.counter("quota_reports_total", "Reports to coordinators of limits.", func() uint64 { return created.limiter.MessagesSent().Reports })
+	node.metrics.counter("quota_verdicts_total", "Admitted shares told to other nodes.", func() uint64 { return created.limiter.MessagesSent().Verdicts })
+	return created
 }
 
 // limitOf returns the limit of a tenant by the configuration in force.
@@ -81,10 +81,10 @@
 	decision := l.limiter.Admit(tenant.Name, tenant.Limit, requestID, now)
 	name := l.metricName(tenant.Name)
 	if decision.IsAdmitted {
-		l.node.figures.limited.WithLabelValues(name, "admitted").Inc()
+		l.node.metrics.limited.WithLabelValues(name, "admitted").Inc()
 		return front.LimitDecision{IsAdmitted: true}
 	}
-	l.node.figures.limited.WithLabelValues(name, "refused").Inc()
+	l.node.metrics.limited.WithLabelValues(name, "refused").Inc()
 	decidedBy := decision.Mode.String()
 	if coordinator := l.limiter.Coordinator(tenant.Name); coordinator != "" {
 		decidedBy += " " + coordinator
@@ -122,37 +122,37 @@
 }
 
 // AtLimit implements quota.Events.
-func (l *limits) AtLimit(tenant string, verdict quota.Verdict, figures quota.AccountStats) {
+func (l *limits) AtLimit(tenant string, verdict quota.Verdict, stats quota.AccountStats) {
 	l.mutex.Lock()
-	isDue := l.atLimit.begins(tenant, time.Now())
+	shouldLog := l.atLimit.shouldLogBegin(tenant, time.Now())
 	l.mutex.Unlock()
-	if !isDue {
-		l.node.figures.logLines.WithLabelValues("rate").Inc()
+	if !shouldLog {
+		l.node.metrics.logLines.WithLabelValues("rate").Inc()
 		return
 	}
-	l.node.logger.Info("tenant at its limit", "tenant", tenant, "share", verdict.Share, "asked_per_s", figures.RequestRate,
-		"limit_per_s", figures.Limit.PerSecond, "burst", figures.Limit.Burst, "level", figures.Tokens,
-		"nodes_reporting", figures.Nodes, "first_coordinator", verdict.IsFirst)
+	l.node.logger.Info("tenant at its limit", "tenant", tenant, "share", verdict.Share, "asked_per_s", stats.RequestRate,
+		"limit_per_s", stats.Limit.PerSecond, "burst", stats.Limit.Burst, "level", stats.Tokens,
+		"nodes_reporting", stats.Nodes, "first_coordinator", verdict.IsFirst)
 }
 
 // BelowLimit implements quota.Events.
-func (l *limits) BelowLimit(tenant string, figures quota.AccountStats, span time.Duration) {
+func (l *limits) BelowLimit(tenant string, stats quota.AccountStats, span time.Duration) {
 	l.mutex.Lock()
-	isDue := l.atLimit.ends(tenant, time.Now())
+	shouldLog := l.atLimit.shouldLogEnd(tenant, time.Now())
 	l.mutex.Unlock()
-	if isDue {
+	if shouldLog {
 		l.node.logger.Info("tenant within its limit again", "tenant", tenant, "span_ms", span.Milliseconds(),
-			"asked_per_s", figures.RequestRate, "limit_per_s", figures.Limit.PerSecond)
+			"asked_per_s", stats.RequestRate, "limit_per_s", stats.Limit.PerSecond)
 	}
 }
 
 // CoordinatorLost implements quota.Events.
 func (l *limits) CoordinatorLost(name string, cause error) {
-	l.node.figures.coordinatorsLost.WithLabelValues().Inc()
+	l.node.metrics.coordinatorsLost.WithLabelValues().Inc()
 	l.mutex.Lock()
-	isDue := l.lost.begins(struct{}{}, time.Now())
+	shouldLog := l.lostCoordinators.shouldLogBegin(struct{}{}, time.Now())
 	l.mutex.Unlock()
-	if isDue {
+	if shouldLog {
 		// A partition loses several coordinators at once: one line is enough, the metric counts all.
 		l.node.logger.Warn("coordinator of limits lost", "coordinator", name, "error", cause.Error())
 	}
--- a/internal/edge/quota_test.go
+++ b/internal/edge/quota_test.go
@@ -31,47 +31,47 @@
 	g.Expect(err).To(MatchError(ContainSubstring("bounds.quota_window_s needs listen.peers")))
 }
 
-// limitsOf returns what holds tenants to their limits at a node alone.
-func limitsOf(t *testing.T, tenants []route.Tenant) *limits {
+// newTestLimits returns what holds tenants to their limits at a node alone.
+func newTestLimits(t *testing.T, tenants []route.Tenant) *limits {
 	settings, err := ParseSettings([]byte(quotaSettings("127.0.0.1:0", 0.1)))
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	network := peer.NewNetwork(1)
 	t.Cleanup(network.Close)
-	node := &Node{figures: newFigures(), logger: hclog.NewNullLogger(), state: &state{}}
+	node := &Node{metrics: newMetricSet(), logger: hclog.NewNullLogger(), state: &state{}}
 	node.state.table.Store(route.NewTable(&route.Configuration{Version: 1, Tenants: tenants}))
 	return newLimits(node, settings, network.Transport("n"))
 }
 
-// TestMetricsByTenantAreBound, however many tenants there are.
-func TestMetricsByTenantAreBound(t *testing.T) {
+// TestTenantMetricsAreBounded, however many tenants there are.
+func TestTenantMetricsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	var tenants []route.Tenant
 	for number := range 1000 {
 		tenants = append(tenants, route.Tenant{Name: fmt.Sprint("t", number), Limit: route.RateLimit{PerSecond: float64(number + 1), Burst: 1}})
 	}
-	held := limitsOf(t, tenants)
+	tested := newTestLimits(t, tenants)
 	names := make(map[string]bool)
 	for _, tenant := range tenants {
-		names[held.metricName(tenant.Name)] = true
+		names[tested.metricName(tenant.Name)] = true
 	}
 	g.Expect(names).To(HaveLen(namedTenants + 1))
 	g.Expect(names).To(HaveKey("t999"))
 	g.Expect(names).To(HaveKey(otherTenants))
 }
 
-// TestARefusalTellsWhy: the share, its age and who decided.
-func TestARefusalTellsWhy(t *testing.T) {
+// TestRefusalLogNamesShareAgeAndDecider: the share, its age and who decided.
+func TestRefusalLogNamesShareAgeAndDecider(t *testing.T) {
 	g := NewWithT(t)
 	tenant := route.Tenant{Name: "a", Limit: route.RateLimit{PerSecond: 1, Burst: 1}}
-	held := limitsOf(t, []route.Tenant{tenant})
+	tested := newTestLimits(t, []route.Tenant{tenant})
 	var refused *front.LimitDecision
 	for number := 0; refused == nil; number++ {
-		if decision := held.Admit(&tenant, fmt.Sprint(number), time.Now()); !decision.IsAdmitted {
+		if decision := tested.Admit(&tenant, fmt.Sprint(number), time.Now()); !decision.IsAdmitted {
 			refused = &decision
 		}
 	}
 	g.Expect(refused.DecidedBy).To(Equal("alone"))
 	g.Expect(refused.RetryAfter).To(BeNumerically(">", 0))
-	recorder := newEvents(hclog.NewNullLogger(), newFigures(), func() time.Duration { return 0 })
+	recorder := newRequestRecorder(hclog.NewNullLogger(), newMetricSet(), func() time.Duration { return 0 })
 	g.Expect(recorder.fields(front.Record{Status: 429, Refused: true, LimitDecision: refused})).To(ContainElements("quota_share", "quota_share_age_ms", "alone"))
 }
--- a/internal/edge/registration.go
+++ b/internal/edge/registration.go
@@ -28,19 +28,19 @@
 	registrationLifetime = 90 * time.Second
 	renewInterval        = 30 * time.Second
 	registerTimeout      = 3 * time.Second
-	// leastRegisterRetry and greatestRegisterRetry bound the wait after a failure, which
+	// minRegisterRetry and maxRegisterRetry bound the wait after a failure, which
 	// doubles each time and differs between nodes: a store that answers again is not met by
 	// all of them at once, and each call in vain is one too many.
-	leastRegisterRetry    = 2 * time.Second
-	greatestRegisterRetry = 8 * time.Second
-	// adoptPatience is how long a starting node waits for the entry that it wrote before
+	minRegisterRetry = 2 * time.Second
+	maxRegisterRetry = 8 * time.Second
+	// adoptTimeout is how long a starting node waits for the entry that it wrote before
 	// it was restarted: renewing that costs a tenth of a call, writing it anew two calls.
-	adoptPatience = 1500 * time.Millisecond
-	// restoredRate is at how many a second nodes write their entries anew after a restore of the
+	adoptTimeout = 1500 * time.Millisecond
+	// restoreRegisterRate is at how many a second nodes write their entries anew after a restore of the
 	// store, as far as their number is known: two calls each, of a few hundred a second that the
-	// store takes of all nodes. leastRestoredSpread bounds the span over which they are spread.
-	restoredRate        = 100
-	leastRestoredSpread = 500 * time.Millisecond
+	// store takes of all nodes. minRestoreSpread bounds the span over which they are spread.
+	restoreRegisterRate = 100
+	minRestoreSpread    = 500 * time.Millisecond
 )
 
 // registration keeps this node's entry in the store.
@@ -53,13 +53,13 @@
 	nodes func() int
 	// written is the lease of the entry that was found in the store, if that is the one
 	// that this node would write; nil if there is none.
-	written atomic.Pointer[directory.Lease]
-	// eraBegan has an element when the store has come back from an older copy.
-	eraBegan chan struct{}
-	// isWriting says that this process has begun to write the entry, and wasListed that the store held it before
+	adoptable atomic.Pointer[directory.Lease]
+	// eraChanged has an element when the store has come back from an older copy.
+	eraChanged chan struct{}
+	// hasStartedWriting says that this process has begun to write the entry, and wasListed that the store held it before
 	// that: others that were lost with this node are still listed then too.
-	isWriting atomic.Bool
-	wasListed atomic.Bool
+	hasStartedWriting atomic.Bool
+	wasListed         atomic.Bool
 }
 
 // storeView is what a node knows of the store; directory.Follower implements it.
@@ -73,27 +73,27 @@
 }
 
 func newRegistration(registry Registry, node directory.Node, logger hclog.Logger, store storeView, nodes func() int) *registration {
-	return &registration{registry: registry, node: node, logger: logger, store: store, nodes: nodes, eraBegan: make(chan struct{}, 1)}
+	return &registration{registry: registry, node: node, logger: logger, store: store, nodes: nodes, eraChanged: make(chan struct{}, 1)}
 }
 
 // found takes an entry of a node as the store holds it.
-func (r *registration) found(entry directory.Entry) {
-	if entry.Node.Name == r.node.Name && !r.isWriting.Load() {
+func (r *registration) noteEntry(entry directory.Entry) {
+	if entry.Node.Name == r.node.Name && !r.hasStartedWriting.Load() {
 		// Also with another address: coordinators of limits are chosen by name.
 		r.wasListed.Store(true)
 	}
-	written := *entry.Node
-	written.Era = 0
-	if written == r.node && entry.Lease != 0 {
-		r.written.Store(&directory.Lease{ID: entry.Lease, Era: entry.Node.Era})
+	entryWithoutEra := *entry.Node
+	entryWithoutEra.Era = 0
+	if entryWithoutEra == r.node && entry.Lease != 0 {
+		r.adoptable.Store(&directory.Lease{ID: entry.Lease, Era: entry.Node.Era})
 	}
 }
 
-// noteEra tells that the store has come back from an older copy: it may have lost the entry, and given
+// notifyEraChange tells that the store has come back from an older copy: it may have lost the entry, and given
 // its lease to another node.
-func (r *registration) noteEra() {
+func (r *registration) notifyEraChange() {
 	select {
-	case r.eraBegan <- struct{}{}:
+	case r.eraChanged <- struct{}{}:
 	default:
 	}
 }
@@ -102,18 +102,18 @@
 func (r *registration) run(ctx context.Context) error {
 	r.awaitLoad(ctx)
 	var lease directory.Lease
-	if written := r.written.Load(); written != nil {
-		lease = *written
+	if adoptable := r.adoptable.Load(); adoptable != nil {
+		lease = *adoptable
 	}
 	failures := 0
 	for ctx.Err() == nil {
-		if r.isOfEarlierEra(lease) {
+		if r.isFromEarlierEra(lease) {
 			lease = directory.Lease{}
 		}
 		if lease.ID == 0 {
 			r.awaitSettled(ctx)
 		}
-		r.isWriting.Store(true)
+		r.hasStartedWriting.Store(true)
 		next := renewInterval
 		if err := r.step(ctx, &lease); err != nil {
 			r.logger.Warn("registration failed", "error", err.Error())
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// isOfEarlierEra reports whether a lease was granted before the store came back from an older copy.
-func (r *registration) isOfEarlierEra(lease directory.Lease) bool {
+// isFromEarlierEra reports whether a lease was granted before the store came back from an older copy.
+func (r *registration) isFromEarlierEra(lease directory.Lease) bool {
 	return lease.ID != 0 && lease.Era < r.store.Position().Era
 }
 
@@ -141,7 +141,7 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-r.eraBegan:
+	case <-r.eraChanged:
 	}
 }
 
@@ -156,13 +156,13 @@
 	for ; ctx.Err() == nil && left > 0; left = r.store.SettlesIn() {
 		pause.For(ctx, left)
 	}
-	spread := time.Duration(r.nodes()) * time.Second / restoredRate
-	pause.For(ctx, rand.N(max(spread, leastRestoredSpread)))
+	spread := time.Duration(r.nodes()) * time.Second / restoreRegisterRate
+	pause.For(ctx, rand.N(max(spread, minRestoreSpread)))
 }
 
 // awaitLoad waits until the store has been read, for a while.
 func (r *registration) awaitLoad(ctx context.Context) {
-	timer := time.NewTimer(adoptPatience)
+	timer := time.NewTimer(adoptTimeout)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -173,25 +173,25 @@
 
 // registerRetry returns the wait after so many failures in a row.
 func registerRetry(failures int) time.Duration {
-	span := pause.Doubled(leastRegisterRetry, greatestRegisterRetry, failures)
+	span := pause.Doubled(minRegisterRetry, maxRegisterRetry, failures)
 	return span/2 + rand.N(span/2)
 }
 
 // step registers, or renews if there is a lease already.
 func (r *registration) step(ctx context.Context, lease *directory.Lease) error {
-	limited, cancel := context.WithTimeout(ctx, registerTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	if lease.ID == 0 {
 		node := r.node
 		// An entry of an era whose begin this node has not seen yet would tell others that it has settled.
 		node.Era = r.store.Position().Era
-		granted, err := r.registry.Register(limited, node, registrationLifetime)
+		granted, err := r.registry.Register(callCtx, node, registrationLifetime)
 		if err == nil {
 			*lease = granted
 		}
 		return err
 	}
-	kept, err := r.registry.Renew(limited, *lease)
+	kept, err := r.registry.Renew(callCtx, *lease)
 	if err == nil && !kept {
 		*lease = directory.Lease{}
 	}
--- a/internal/edge/registration_test.go
+++ b/internal/edge/registration_test.go
@@ -15,14 +15,14 @@
 	"github.com/bramblemast/bramblemast/pkg/directory"
 )
 
-// keptRegistry takes every entry.
-type keptRegistry struct{}
+// acceptingRegistry takes every entry.
+type acceptingRegistry struct{}
 
-func (keptRegistry) Register(context.Context, directory.Node, time.Duration) (directory.Lease, error) {
+func (acceptingRegistry) Register(context.Context, directory.Node, time.Duration) (directory.Lease, error) {
 	return directory.Lease{ID: 7}, nil
 }
 
-func (keptRegistry) Renew(context.Context, directory.Lease) (bool, error) { return true, nil }
+func (acceptingRegistry) Renew(context.Context, directory.Lease) (bool, error) { return true, nil }
 
 // settledStore is a store that was read at once.
 type settledStore struct{ era atomic.Uint64 }
@@ -44,13 +44,13 @@
 		g := NewWithT(t)
 		node, other := directory.Node{Name: "n", Zone: "z"}, directory.Node{Name: "other", Zone: "z"}
 		wasListed := func(before directory.Node) bool {
-			tested := newRegistration(keptRegistry{}, node, hclog.NewNullLogger(), &settledStore{}, func() int { return 2 })
-			tested.found(directory.Entry{Node: &before})
+			tested := newRegistration(acceptingRegistry{}, node, hclog.NewNullLogger(), &settledStore{}, func() int { return 2 })
+			tested.noteEntry(directory.Entry{Node: &before})
 			ctx, stop := context.WithCancel(t.Context())
 			ended := make(chan error)
 			go func() { ended <- tested.run(ctx) }()
 			synctest.Wait()
-			tested.found(directory.Entry{Node: &node, Lease: 7})
+			tested.noteEntry(directory.Entry{Node: &node, Lease: 7})
 			stop()
 			g.Expect(<-ended).To(Succeed())
 			return tested.wasListed.Load()
@@ -78,9 +78,9 @@
 	return at
 }
 
-// recordedRegistry keeps when entries were written.
-type recordedRegistry struct {
-	keptRegistry
+// recordingRegistry keeps when entries were written.
+type recordingRegistry struct {
+	acceptingRegistry
 	store *settledStore
 
 	mutex sync.Mutex
@@ -89,13 +89,13 @@
 }
 
 // times returns when entries were written.
-func (r *recordedRegistry) times() []time.Time {
+func (r *recordingRegistry) times() []time.Time {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return slices.Clone(r.written)
 }
 
-func (r *recordedRegistry) Register(context.Context, directory.Node, time.Duration) (directory.Lease, error) {
+func (r *recordingRegistry) Register(context.Context, directory.Node, time.Duration) (directory.Lease, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.written = append(r.written, time.Now())
@@ -110,19 +110,19 @@
 		store := &settlingStore{}
 		settlesAt := store.settleWithin(3 * time.Second)
 		store.era.Store(2)
-		registry := &recordedRegistry{store: &store.settledStore}
+		registry := &recordingRegistry{store: &store.settledStore}
 		tested := newRegistration(registry, directory.Node{Name: "n"}, hclog.NewNullLogger(), store, func() int { return 2 })
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan error)
 		go func() { ended <- tested.run(ctx) }()
-		time.Sleep(3*time.Second + leastRestoredSpread)
+		time.Sleep(3*time.Second + minRestoreSpread)
 		g.Expect(registry.times()).To(HaveLen(1))
 		g.Expect(registry.times()[0]).To(BeTemporally(">=", settlesAt))
 		time.Sleep(time.Second)
 		settlesAt = store.settleWithin(2 * time.Second)
 		store.era.Store(3)
-		tested.noteEra()
-		time.Sleep(2*time.Second + leastRestoredSpread)
+		tested.notifyEraChange()
+		time.Sleep(2*time.Second + minRestoreSpread)
 		g.Expect(registry.times()).To(HaveLen(2), "without waiting for the next renewal")
 		g.Expect(registry.times()[1]).To(BeTemporally(">=", settlesAt))
 		stop()
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -24,7 +24,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.options.Hangup:
+		case <-n.options.ReloadSignals:
 			n.logger.Info("reload asked for", "by", "signal")
 		case <-ticker.C:
 		}
@@ -36,22 +36,22 @@
 func (n *Node) reload() {
 	offered, err := n.options.Reload()
 	if err != nil {
-		if text := err.Error(); text != n.reloadProblem {
-			n.reloadProblem = text
+		if text := err.Error(); text != n.lastReloadError {
+			n.lastReloadError = text
 			n.logger.Error("settings refused", "error", text)
 		}
 		return
 	}
-	n.reloadProblem = ""
+	n.lastReloadError = ""
 	current := n.settings.Load()
 	if reflect.DeepEqual(current, offered) {
 		return
 	}
 	n.settings.Store(offered)
 	n.state.budgets.setBounds(offered.Bounds)
-	n.state.fleet.SetLeaveGrace(offered.leaveWithin())
+	n.state.fleet.SetLeaveGrace(offered.leaveGrace())
 	n.state.fleet.SetWarmUpBounds(offered.warmUpBounds())
-	n.follower.SetStalenessBound(offered.newsAge())
+	n.follower.SetStalenessBound(offered.stalenessBound())
 	n.follower.SetWriteBackSpan(offered.writeBackSpan())
 	n.follower.SetConfirmWhenIdle(offered.Bounds.RefuseUnconfirmedKeys)
 	if n.peers != nil {
@@ -62,4 +62,4 @@
 }
 
 // Hangups is a source of reload signals.
-type Hangups <-chan os.Signal
+type ReloadSignals <-chan os.Signal
--- a/internal/edge/events.go
+++ b/internal/edge/request_recorder.go
@@ -20,9 +20,9 @@
 )
 
 // events writes the story of requests. It implements front.Recorder.
-type events struct {
+type requestRecorder struct {
 	logger  hclog.Logger
-	figures *figures
+	metrics *metrics
 	// storeAge returns the time since the store last answered.
 	storeAge func() time.Duration
 
@@ -30,20 +30,20 @@
 
 	mutex sync.Mutex
 	// overloads bounds the lines about overloads of services, guarded by mutex.
-	overloads *stateLines[string]
+	overloads *stateLogLimiter[string]
 	// second, lines and left are guarded by mutex.
-	second time.Time
-	lines  int
-	left   int
+	second  time.Time
+	lines   int
+	leftOut int
 }
 
-func newEvents(logger hclog.Logger, figures *figures, storeAge func() time.Duration) *events {
-	return &events{logger: logger, figures: figures, storeAge: storeAge, overloads: newStateLines[string](overloadSpan)}
+func newRequestRecorder(logger hclog.Logger, metrics *metrics, storeAge func() time.Duration) *requestRecorder {
+	return &requestRecorder{logger: logger, metrics: metrics, storeAge: storeAge, overloads: newStateLogLimiter[string](overloadLogInterval)}
 }
 
 // Record implements front.Recorder.
-func (e *events) Record(record front.Record) {
-	e.figures.count(record)
+func (e *requestRecorder) Record(record front.Record) {
+	e.metrics.count(record)
 	if isOrdinary(record) && e.successes.Add(1)%sampleEvery != 1 {
 		return
 	}
@@ -54,25 +54,25 @@
 
 // mayWrite reports whether a line about a request may be written, and tells of
 // those that were left out.
-func (e *events) mayWrite() bool {
-	left, ok := e.admit(time.Now())
-	if left > 0 {
-		e.figures.logLines.WithLabelValues("rate").Add(float64(left))
-		e.logger.Warn("lines left out", "count", left)
+func (e *requestRecorder) mayWrite() bool {
+	leftOut, ok := e.admit(time.Now())
+	if leftOut > 0 {
+		e.metrics.logLines.WithLabelValues("rate").Add(float64(leftOut))
+		e.logger.Warn("lines left out", "count", leftOut)
 	}
 	return ok
 }
 
-// overloadSpan is for how long an overload is told once.
-const overloadSpan = 5 * time.Second
+// overloadLogInterval is for how long an overload is told once.
+const overloadLogInterval = 5 * time.Second
 
 // Overload implements front.Recorder.
-func (e *events) Overload(service string, waiting int) {
-	e.figures.overloads.WithLabelValues(service).Inc()
+func (e *requestRecorder) Overload(service string, waiting int) {
+	e.metrics.overloads.WithLabelValues(service).Inc()
 	e.mutex.Lock()
-	isDue := e.overloads.begins(service, time.Now())
+	shouldLog := e.overloads.shouldLogBegin(service, time.Now())
 	e.mutex.Unlock()
-	if isDue {
+	if shouldLog {
 		e.logger.Warn("overload", "service", service, "waiting", waiting)
 	}
 }
@@ -83,23 +83,23 @@
 	return record.Status < 400 && record.Parts == record.Total
 }
 
-func (e *events) admit(now time.Time) (int, bool) {
+func (e *requestRecorder) admit(now time.Time) (int, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	left := 0
+	leftOut := 0
 	if now.Sub(e.second) >= time.Second {
-		left, e.left, e.lines, e.second = e.left, 0, 0, now
+		leftOut, e.leftOut, e.lines, e.second = e.leftOut, 0, 0, now
 	}
 	if e.lines >= linesPerSecond {
-		e.left++
-		return left, false
+		e.leftOut++
+		return leftOut, false
 	}
 	e.lines++
-	return left, true
+	return leftOut, true
 }
 
 // fields lists what decided a request.
-func (e *events) fields(record front.Record) []any {
+func (e *requestRecorder) fields(record front.Record) []any {
 	list := []any{
 		"request", record.ID, "host", record.Host, "path", record.Path, "route", record.Route,
 		"version", record.Version, "store_age_ms", e.storeAge().Milliseconds(), "status", record.Status, "reason", record.Reason,
--- a/internal/edge/room.go
+++ b/internal/edge/room_log.go
@@ -13,39 +13,39 @@
 // openAnnouncer lets this node tell others of the room at services that it asks on their behalf.
 func (n *Node) openAnnouncer() {
 	n.announcer = owner.NewAnnouncer(owner.AnnouncerOptions{
-		Admission: n.known, Roster: n.state.roster, Transport: n.transport, OnPublish: newRoomLog(n.logger).write,
+		Admission: n.admission, Roster: n.state.roster, Transport: n.transport, OnPublish: newRoomLog(n.logger).write,
 	})
-	n.figures.gauge("services_short_of_room", "Services of which this node lets in only a part of the requests.", func() float64 {
-		return float64(n.known.Admitter.LimitedServices())
+	n.metrics.gauge("services_short_of_room", "Services of which this node lets in only a part of the requests.", func() float64 {
+		return float64(n.admission.Admitter.LimitedServices())
 	})
 }
 
-// roomLogSpan is the least time between two lines that a service is short of room: its shares
+// roomLogInterval is the least time between two lines that a service is short of room: its shares
 // change several times a second.
-const roomLogSpan = time.Second
+const roomLogInterval = time.Second
 
 // roomLog tells in the log what this node tells others, as an owner of services that are short
 // of room or have room again. Only one goroutine uses it.
 type roomLog struct {
-	logger hclog.Logger
-	lines  *stateLines[loadshed.Key]
+	logger  hclog.Logger
+	limiter *stateLogLimiter[loadshed.Key]
 }
 
 // newRoomLog returns a log that has no line yet.
 func newRoomLog(logger hclog.Logger) *roomLog {
-	return &roomLog{logger: logger, lines: newStateLines[loadshed.Key](roomLogSpan)}
+	return &roomLog{logger: logger, limiter: newStateLogLimiter[loadshed.Key](roomLogInterval)}
 }
 
 // write logs the shares of each service for which a line is due.
 func (l *roomLog) write(message []loadshed.Measurement) {
 	for _, each := range message {
 		if each.Shares.IsFull() {
-			if l.lines.ends(each.Key, each.MeasuredAt) {
+			if l.limiter.shouldLogEnd(each.Key, each.MeasuredAt) {
 				l.logger.Info("room again", "service", each.Service)
 			}
 			continue
 		}
-		if !l.lines.begins(each.Key, each.MeasuredAt) {
+		if !l.limiter.shouldLogBegin(each.Key, each.MeasuredAt) {
 			continue
 		}
 		l.logger.Warn("short of room", "service", each.Service, "shares", each.Shares.Ranks, "tenants", each.Shares.Tenants)
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -94,12 +94,12 @@
 	// serve on with the keys that they know.
 	RefuseUnconfirmedKeys bool `json:"strict_revoke"`
 	RevokeMillis          int  `json:"revoke_ms"`
-	// LimitWindowSeconds is the span in which a tenant's requests over all nodes are counted;
-	// zero if limits of tenants are not held. In each span there may be LimitOvershoot times
-	// more requests than the tenant's limit grants, and LimitSlack beside.
-	LimitWindowSeconds float64 `json:"quota_window_s"`
-	LimitOvershoot     float64 `json:"quota_overshoot"`
-	LimitSlack         float64 `json:"quota_slack"`
+	// QuotaWindowSeconds is the span in which a tenant's requests over all nodes are counted;
+	// zero if limits of tenants are not held. In each span there may be QuotaOvershoot times
+	// more requests than the tenant's limit grants, and QuotaSlack beside.
+	QuotaWindowSeconds float64 `json:"quota_window_s"`
+	QuotaOvershoot     float64 `json:"quota_overshoot"`
+	QuotaSlack         float64 `json:"quota_slack"`
 }
 
 // LoadSettings reads and checks a settings file.
@@ -138,12 +138,12 @@
 // addressProblems returns the faults of the names and addresses.
 func (s *Settings) addressProblems() []string {
 	var problems []string
-	wanted := func(name, value string) {
+	requireValue := func(name, value string) {
 		if value == "" {
 			problems = append(problems, name+" is missing")
 		}
 	}
-	address := func(name, value string, optional bool) {
+	checkAddress := func(name, value string, optional bool) {
 		if value == "" && optional {
 			return
 		}
@@ -151,15 +151,15 @@
 			problems = append(problems, fmt.Sprintf("%s: %q is not ip:port", name, value))
 		}
 	}
-	wanted("node.name", s.Node.Name)
-	wanted("node.zone", s.Node.Zone)
-	address("listen.clients", s.Listen.Clients, false)
-	address("listen.ready", s.Listen.Ready, false)
-	address("listen.peers", s.Listen.Peers, true)
-	address("listen.peers_advertised", s.Listen.PeersAdvertised, true)
-	address("store.address", s.Store.Address, false)
+	requireValue("node.name", s.Node.Name)
+	requireValue("node.zone", s.Node.Zone)
+	checkAddress("listen.clients", s.Listen.Clients, false)
+	checkAddress("listen.ready", s.Listen.Ready, false)
+	checkAddress("listen.peers", s.Listen.Peers, true)
+	checkAddress("listen.peers_advertised", s.Listen.PeersAdvertised, true)
+	checkAddress("store.address", s.Store.Address, false)
 	for index, peer := range s.Peers {
-		address(fmt.Sprintf("peers.%d", index), peer, false)
+		checkAddress(fmt.Sprintf("peers.%d", index), peer, false)
 	}
 	return problems
 }
@@ -167,30 +167,30 @@
 // boundProblems returns the faults of the limits and bounds.
 func (s *Settings) boundProblems() []string {
 	var problems []string
-	negative := func(name string, value float64) {
+	rejectNegative := func(name string, value float64) {
 		if value < 0 {
 			problems = append(problems, name+" is negative")
 		}
 	}
-	negative("limits.memory_mb", float64(s.Limits.MemoryMB))
-	negative("limits.descriptors", float64(s.Limits.Descriptors))
-	negative("bounds.drain_ms", float64(s.Bounds.DrainMillis))
-	negative("bounds.apply_ms", float64(s.Bounds.ApplyMillis))
-	negative("bounds.contact_ms", float64(s.Bounds.ContactMillis))
-	negative("bounds.evacuate_ms", float64(s.Bounds.EvacuateMillis))
-	negative("bounds.cold_factor", s.Bounds.ColdFactor)
-	negative("bounds.cold_extra", s.Bounds.ColdExtra)
-	negative("bounds.extra_ratio", s.Bounds.ExtraRatio)
-	negative("bounds.extra", s.Bounds.Extra)
-	negative("bounds.extra_window_s", s.Bounds.ExtraWindowSeconds)
-	negative("bounds.revoke_ms", float64(s.Bounds.RevokeMillis))
+	rejectNegative("limits.memory_mb", float64(s.Limits.MemoryMB))
+	rejectNegative("limits.descriptors", float64(s.Limits.Descriptors))
+	rejectNegative("bounds.drain_ms", float64(s.Bounds.DrainMillis))
+	rejectNegative("bounds.apply_ms", float64(s.Bounds.ApplyMillis))
+	rejectNegative("bounds.contact_ms", float64(s.Bounds.ContactMillis))
+	rejectNegative("bounds.evacuate_ms", float64(s.Bounds.EvacuateMillis))
+	rejectNegative("bounds.cold_factor", s.Bounds.ColdFactor)
+	rejectNegative("bounds.cold_extra", s.Bounds.ColdExtra)
+	rejectNegative("bounds.extra_ratio", s.Bounds.ExtraRatio)
+	rejectNegative("bounds.extra", s.Bounds.Extra)
+	rejectNegative("bounds.extra_window_s", s.Bounds.ExtraWindowSeconds)
+	rejectNegative("bounds.revoke_ms", float64(s.Bounds.RevokeMillis))
 	if problem := s.revocationProblem(); problem != "" {
 		problems = append(problems, problem)
 	}
-	negative("bounds.quota_window_s", s.Bounds.LimitWindowSeconds)
-	negative("bounds.quota_overshoot", s.Bounds.LimitOvershoot)
-	negative("bounds.quota_slack", s.Bounds.LimitSlack)
-	if s.Bounds.LimitWindowSeconds > 0 && s.Listen.Peers == "" {
+	rejectNegative("bounds.quota_window_s", s.Bounds.QuotaWindowSeconds)
+	rejectNegative("bounds.quota_overshoot", s.Bounds.QuotaOvershoot)
+	rejectNegative("bounds.quota_slack", s.Bounds.QuotaSlack)
+	if s.Bounds.QuotaWindowSeconds > 0 && s.Listen.Peers == "" {
 		problems = append(problems, "bounds.quota_window_s needs listen.peers")
 	}
 	if s.Bounds.GraceSeconds <= 0 {
@@ -199,52 +199,52 @@
 	return problems
 }
 
-// leaveWithin returns for how long after the news that a server leaves it may
+// leaveGrace returns for how long after the news that a server leaves it may
 // still be asked as the last one of its service.
-func (s *Settings) leaveWithin() time.Duration {
-	return time.Duration(s.Bounds.DrainMillis) * time.Millisecond / leaveShare
+func (s *Settings) leaveGrace() time.Duration {
+	return time.Duration(s.Bounds.DrainMillis) * time.Millisecond / leaveGraceDivisor
 }
 
 // Constants of the age of news.
 const (
-	// newsReserve is kept of the time within which news must be in force: for a
+	// stalenessReserve is kept of the time within which news must be in force: for a
 	// call that fails and is made again by way of another node, and for requests
 	// on their way.
-	newsReserve = 2200 * time.Millisecond
-	// greatestNewsAge bounds how old news may be however long the deployment
+	stalenessReserve = 2200 * time.Millisecond
+	// maxStalenessBound bounds how old news may be however long the deployment
 	// allows: new servers are to be used soon. Readers hear of changes as they happen;
 	// the age bounds how late a silent loss of them is noticed.
-	greatestNewsAge = 4 * time.Second
+	maxStalenessBound = 4 * time.Second
 )
 
-// newsAge returns how old news of the store may be while it answers. A node reads
+// stalenessBound returns how old news of the store may be while it answers. A node reads
 // the store itself as soon as what it knows is older, and where the deployment
 // allows older news, few nodes of a zone read for the others (directory.Role).
-func (s *Settings) newsAge() time.Duration {
-	least := min(s.Bounds.ApplyMillis, s.Bounds.DrainMillis)
+func (s *Settings) stalenessBound() time.Duration {
+	shortestMillis := min(s.Bounds.ApplyMillis, s.Bounds.DrainMillis)
 	if s.Bounds.EvacuateMillis > 0 {
-		least = min(least, s.Bounds.EvacuateMillis)
+		shortestMillis = min(shortestMillis, s.Bounds.EvacuateMillis)
 	}
 	if s.Bounds.RefuseUnconfirmedKeys {
-		least = min(least, s.Bounds.RevokeMillis)
+		shortestMillis = min(shortestMillis, s.Bounds.RevokeMillis)
 	}
 	// Notes on requests that end servers are to be known at all nodes within it.
 	if s.Bounds.ContactMillis > 0 {
-		least = min(least, s.Bounds.ContactMillis)
+		shortestMillis = min(shortestMillis, s.Bounds.ContactMillis)
 	}
-	bound := time.Duration(least) * time.Millisecond
-	return min(max(bound-newsReserve, directory.MinStalenessBound), greatestNewsAge)
+	bound := time.Duration(shortestMillis) * time.Millisecond
+	return min(max(bound-stalenessReserve, directory.MinStalenessBound), maxStalenessBound)
 }
 
 // evacuationReserve is kept of the time in which a zone is to be evacuated, beside the age
 // of news: for a process that stands still and for requests on their way.
 const evacuationReserve = time.Second
 
-// evacuateWithin returns the span in which the load leaves a zone after the news that it is
+// evacuationSpan returns the span in which the load leaves a zone after the news that it is
 // to be evacuated.
-func (s *Settings) evacuateWithin() time.Duration {
+func (s *Settings) evacuationSpan() time.Duration {
 	bound := time.Duration(s.Bounds.EvacuateMillis) * time.Millisecond
-	return max(0, bound-s.newsAge()-evacuationReserve)
+	return max(0, bound-s.stalenessBound()-evacuationReserve)
 }
 
 // revocationReserve is kept of the time after which a removed key must be refused: nodes tell
@@ -281,27 +281,29 @@
 // quotaBounds returns how far the requests of a tenant may go beyond its limit.
 func (s *Settings) quotaBounds() quota.Bounds {
 	return quota.Bounds{
-		Window:    time.Duration(s.Bounds.LimitWindowSeconds * float64(time.Second)),
-		Overshoot: s.Bounds.LimitOvershoot, Slack: s.Bounds.LimitSlack,
+		Window:    time.Duration(s.Bounds.QuotaWindowSeconds * float64(time.Second)),
+		Overshoot: s.Bounds.QuotaOvershoot, Slack: s.Bounds.QuotaSlack,
 	}
 }
 
-// lapsedReturn is within which time after the store's return the entries are
+// lapsedEntryReturn is within which time after the store's return the entries are
 // back that lapsed while it was away, as the platform promises; one that is still
-// missing then belongs to a server that is gone. A node hears of it a newsAge
+// missing then belongs to a server that is gone. A node hears of it a stalenessBound
 // later at most.
-const lapsedReturn = 2 * time.Second
+const lapsedEntryReturn = 2 * time.Second
 
-// listSettles returns for how long after the store has answered again an
+// absenceUncertainSpan returns for how long after the store has answered again an
 // absence in it proves nothing.
-func (s *Settings) listSettles() time.Duration {
-	contact := time.Duration(s.Bounds.ContactMillis)*time.Millisecond - settleReserve
-	return max(0, min(contact, lapsedReturn+s.newsAge()))
+func (s *Settings) absenceUncertainSpan() time.Duration {
+	contact := time.Duration(s.Bounds.ContactMillis)*time.Millisecond - contactReserve
+	return max(0, min(contact, lapsedEntryReturn+s.stalenessBound()))
 }
 
 // writeBackSpan returns how long the operator and the servers may take to write again what the store
 // has lost when it comes back from an older copy.
-func (s *Settings) writeBackSpan() time.Duration { return max(lapsedReturn, s.listSettles()) }
+func (s *Settings) writeBackSpan() time.Duration {
+	return max(lapsedEntryReturn, s.absenceUncertainSpan())
+}
 
 // Shares of the machine's limits.
 const (
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -25,20 +25,20 @@
 	fleet    *fleet.Fleet
 	budgets  *budgets
 	policies *policies
-	figures  *figures
+	metrics  *metrics
 	// refusals limits the rate of lines about entries that were refused; nothing else of it is used.
-	refusals *events
+	refusals *requestRecorder
 	// idle takes the configured time for which clients' connections may rest.
-	idle func(time.Duration)
+	setIdleTimeout func(time.Duration)
 	// storeLost reports whether the store did not answer the last call.
 	storeLost func() bool
-	// mayBeOld reports whether the node has just started and may know an older configuration than is
+	// mayBeOutdated reports whether the node has just started and may know an older configuration than is
 	// in force elsewhere; nil for never.
-	mayBeOld func() bool
-	// doubtedUntil returns until when an absence in the store proves nothing.
-	doubtedUntil func(now time.Time) time.Time
-	// evacuateWithin returns the span in which the load of an evacuated zone leaves it.
-	evacuateWithin func() time.Duration
+	mayBeOutdated func() bool
+	// uncertainUntil returns until when an absence in the store proves nothing.
+	uncertainUntil func(now time.Time) time.Time
+	// evacuationSpan returns the span in which the load of an evacuated zone leaves it.
+	evacuationSpan func() time.Duration
 
 	// quarantine is told what other nodes found out about requests that end servers.
 	quarantine *quarantine.Guard
@@ -48,15 +48,15 @@
 	// limits is told which nodes there are; nil if limits of tenants are not held.
 	limits *limits
 	// teller tells the nodes of suspect requests; nil if the node has no peers.
-	teller *quarantine.Gossiper
+	gossiper *quarantine.Gossiper
 	// member is told of the nodes' entries, and of restores of the store.
-	member *registration
+	registration *registration
 
 	startedAt time.Time
 	table     atomic.Pointer[route.Table]
 	draining  atomic.Bool
 	// restored says that what was found at the start has been applied.
-	restored atomic.Bool
+	loaded atomic.Bool
 
 	mutex sync.Mutex
 	// nodes is guarded by mutex.
@@ -66,21 +66,21 @@
 // newState returns the beliefs of a node that knows nothing yet.
 func newState(node *Node, servers *fleet.Fleet, rules *policies) *state {
 	return &state{
-		policies: rules, logger: node.logger, fleet: servers, budgets: newBudgets(node.options.Settings.Bounds), figures: node.figures,
-		refusals: newEvents(node.logger, node.figures, nil),
+		policies: rules, logger: node.logger, fleet: servers, budgets: newBudgets(node.options.Settings.Bounds), metrics: node.metrics,
+		refusals: newRequestRecorder(node.logger, node.metrics, nil),
 		nodes:    make(map[string]directory.Node), startedAt: time.Now(),
-		evacuateWithin: func() time.Duration { return node.settings.Load().evacuateWithin() },
+		evacuationSpan: func() time.Duration { return node.settings.Load().evacuationSpan() },
 		storeLost:      func() bool { return node.follower.IsStoreLost() },
-		mayBeOld:       func() bool { return node.follower.AwaitsPeers() },
-		doubtedUntil: func(now time.Time) time.Time {
-			return node.follower.AbsenceUncertainUntil(node.settings.Load().listSettles(), now)
+		mayBeOutdated:  func() bool { return node.follower.AwaitsPeers() },
+		uncertainUntil: func(now time.Time) time.Time {
+			return node.follower.AbsenceUncertainUntil(node.settings.Load().absenceUncertainSpan(), now)
 		},
 	}
 }
 
 // Table implements front.State.
 func (s *state) Table() *route.Table {
-	if s.mayBeOld != nil && s.mayBeOld() {
+	if s.mayBeOutdated != nil && s.mayBeOutdated() {
 		return nil
 	}
 	return s.table.Load()
@@ -94,13 +94,13 @@
 	// startingPatience is how long they wait for it: a node that has just
 	// started knows it within milliseconds.
 	startingPatience = 120 * time.Millisecond
-	// leastStartingWait and greatestStartingWait bound when they may be retried.
-	leastStartingWait    = 200 * time.Millisecond
-	greatestStartingWait = 1200 * time.Millisecond
-	// lostStoreWait is when they may be retried while the store does not answer:
+	// minStartingWait and maxStartingWait bound when they may be retried.
+	minStartingWait = 200 * time.Millisecond
+	maxStartingWait = 1200 * time.Millisecond
+	// storeLostWait is when they may be retried while the store does not answer:
 	// its outages last for seconds, and a client that may retry only once
 	// must not come too early.
-	lostStoreWait = 2 * time.Second
+	storeLostWait = 2 * time.Second
 )
 
 // Starting implements front.State. While the store does not answer, waiting
@@ -108,10 +108,10 @@
 // another node or retry in time.
 func (s *state) Starting() front.Starting {
 	if s.storeLost() {
-		return front.Starting{RetryAfter: lostStoreWait}
+		return front.Starting{RetryAfter: storeLostWait}
 	}
 	return front.Starting{
-		Patience: startingPatience, RetryAfter: min(max(leastStartingWait, time.Since(s.startedAt)), greatestStartingWait),
+		Patience: startingPatience, RetryAfter: min(max(minStartingWait, time.Since(s.startedAt)), maxStartingWait),
 	}
 }
 
@@ -132,8 +132,8 @@
 	case entry.Note != nil:
 		s.quarantine.ApplyNote(*entry.Note, entry.Gone, time.Now())
 	case entry.Node != nil:
-		if s.member != nil {
-			s.member.found(entry)
+		if s.registration != nil {
+			s.registration.noteEntry(entry)
 		}
 		s.setNode(entry.Key, *entry.Node)
 	case entry.Template != nil:
@@ -151,13 +151,13 @@
 	case fleet.Unchanged:
 		return
 	case fleet.Invalid, fleet.StillInvalid:
-		entry.Problem = errNoStart
-		s.tellRefused(entry, change.Kind == fleet.Invalid)
+		entry.Problem = errStartMissing
+		s.logRefusal(entry, change.Kind == fleet.Invalid)
 		return
 	case fleet.Restarted:
 		s.quarantine.RecordReplacement(change.Replaced, now)
 	}
-	if !s.restored.Load() {
+	if !s.loaded.Load() {
 		return
 	}
 	s.logger.Info("server "+string(change.Kind), serverFields(entry)...)
@@ -173,23 +173,23 @@
 	return list
 }
 
-// errNoStart is why an entry is not taken for that of a server which has told its start.
-var errNoStart = errors.New("it lacks the start that the server has told before")
+// errStartMissing is why an entry is not taken for that of a server which has told its start.
+var errStartMissing = errors.New("it lacks the start that the server has told before")
 
 // refuse takes an entry that could not be read. It names no server, so that the one which was
 // known under its key is left as if the key had gone; for anything else the last good state stays
 // in force.
 func (s *state) refuse(entry directory.Entry) {
 	isKnown := entry.ServerID != "" && s.fleet.RejectEntry(entry.ServerID, time.Now())
-	s.tellRefused(entry, isKnown)
+	s.logRefusal(entry, isKnown)
 }
 
-// tellRefused counts an entry that was refused and writes a line about it, as far as the rate of
+// logRefusal counts an entry that was refused and writes a line about it, as far as the rate of
 // lines allows.
-func (s *state) tellRefused(entry directory.Entry, leftOut bool) {
-	s.figures.refused.WithLabelValues("entry").Inc()
+func (s *state) logRefusal(entry directory.Entry, serverLeftOut bool) {
+	s.metrics.refused.WithLabelValues("entry").Inc()
 	if s.refusals.mayWrite() {
-		s.logger.Error("entry refused", "key", entry.Key, "revision", entry.Revision, "server_left_out", leftOut,
+		s.logger.Error("entry refused", "key", entry.Key, "revision", entry.Revision, "server_left_out", serverLeftOut,
 			"error", entry.Problem.Error())
 	}
 }
@@ -198,7 +198,7 @@
 // nodes that were found at the start: a line for each would take processor time
 // just when clients retry.
 func (s *state) Loaded(revision uint64) {
-	s.restored.Store(true)
+	s.loaded.Store(true)
 	s.logger.Info("state restored", "revision", revision, "servers", s.fleet.Len(), "nodes", len(s.knownNodes()))
 }
 
@@ -211,7 +211,7 @@
 		return
 	}
 	if err := route.Validate(offered); err != nil {
-		s.figures.refused.WithLabelValues("configuration").Inc()
+		s.metrics.refused.WithLabelValues("configuration").Inc()
 		s.logger.Error("configuration refused", "version", offered.Version, "revision", entry.Revision, "error", err.Error())
 		return
 	}
@@ -222,7 +222,7 @@
 	}
 	s.fleet.SetConnections(connections)
 	s.fleet.SetWarmUps(warmUps)
-	s.idle(offered.Limits.IdleTimeout)
+	s.setIdleTimeout(offered.Limits.IdleTimeout)
 	s.table.Store(route.NewTable(offered))
 	s.logger.Info("configuration in force", "version", offered.Version, "revision", entry.Revision,
 		"routes", len(offered.Routes), "services", len(offered.Services))
@@ -231,24 +231,24 @@
 // applyEvacuation takes that nothing more is to be sent to the servers of a zone, or that it
 // may be again. What is found at the start may have been told long ago, so it holds at once.
 func (s *state) applyEvacuation(entry directory.Entry) {
-	now, within := time.Now(), s.evacuateWithin()
-	if !s.restored.Load() {
-		within = 0
+	now, span := time.Now(), s.evacuationSpan()
+	if !s.loaded.Load() {
+		span = 0
 	}
 	switch {
 	case entry.Gone && s.fleet.EndEvacuation(entry.EvacuatedZone, now):
-		s.figures.evacuated.WithLabelValues(entry.EvacuatedZone).Set(0)
+		s.metrics.evacuated.WithLabelValues(entry.EvacuatedZone).Set(0)
 		s.logger.Info("zone open again", "zone", entry.EvacuatedZone, "revision", entry.Revision)
-	case !entry.Gone && s.fleet.Evacuate(entry.EvacuatedZone, within, now):
-		s.figures.evacuated.WithLabelValues(entry.EvacuatedZone).Set(1)
-		s.logger.Info("zone evacuated", "zone", entry.EvacuatedZone, "revision", entry.Revision, "within_ms", within.Milliseconds())
+	case !entry.Gone && s.fleet.Evacuate(entry.EvacuatedZone, span, now):
+		s.metrics.evacuated.WithLabelValues(entry.EvacuatedZone).Set(1)
+		s.logger.Info("zone evacuated", "zone", entry.EvacuatedZone, "revision", entry.Revision, "within_ms", span.Milliseconds())
 	}
 }
 
 func (s *state) applyTemplate(entry directory.Entry) {
 	offered := entry.Template.Template
 	if err := s.policies.apply(entry.Template); err != nil {
-		s.figures.refused.WithLabelValues("template").Inc()
+		s.metrics.refused.WithLabelValues("template").Inc()
 		s.logger.Error("template refused", "template", offered.Key().String(), "template_revision", offered.Revision,
 			"revision", entry.Revision, "error", err.Error())
 		return
@@ -266,8 +266,8 @@
 	if known {
 		return
 	}
-	s.share()
-	if !s.restored.Load() {
+	s.updateNodes()
+	if !s.loaded.Load() {
 		return
 	}
 	s.logger.Info("node found", "found", node.Name, "nodes", count)
@@ -275,9 +275,9 @@
 
 func (s *state) remove(entry directory.Entry) {
 	now := time.Now()
-	doubtedUntil := s.doubtedUntil(now)
-	if entry.ServerID != "" && s.fleet.Remove(entry.ServerID, doubtedUntil, now) {
-		s.logger.Info("server gone", "list_settles", doubtedUntil.After(now), "server", entry.ServerID, "revision", entry.Revision)
+	uncertainUntil := s.uncertainUntil(now)
+	if entry.ServerID != "" && s.fleet.Remove(entry.ServerID, uncertainUntil, now) {
+		s.logger.Info("server gone", "list_settles", uncertainUntil.After(now), "server", entry.ServerID, "revision", entry.Revision)
 		return
 	}
 	s.mutex.Lock()
@@ -286,7 +286,7 @@
 	count := len(s.nodes)
 	s.mutex.Unlock()
 	if known {
-		s.share()
+		s.updateNodes()
 		s.logger.Info("node gone", "key", entry.Key, "nodes", count)
 	}
 }
@@ -299,7 +299,7 @@
 }
 
 // share divides what the nodes have in common among those that are known.
-func (s *state) share() {
+func (s *state) updateNodes() {
 	s.mutex.Lock()
 	callers := fleet.Callers{Total: len(s.nodes), ByZone: make(map[string]int)}
 	for _, node := range s.nodes {
@@ -313,32 +313,32 @@
 	if s.limits != nil {
 		s.limits.setNodes(s.knownNodes())
 	}
-	if s.teller != nil {
-		s.teller.SetNodes(addressesOf(s.knownNodes()))
+	if s.gossiper != nil {
+		s.gossiper.SetNodes(peerAddresses(s.knownNodes()))
 	}
 	s.fleet.SetCallers(callers)
 	s.budgets.setNodes(callers.Total)
 }
 
-// keptKeysTold bounds the keys that the line about a restore names.
-const keptKeysTold = 10
+// maxLoggedKeys bounds the keys that the line about a restore names.
+const maxLoggedKeys = 10
 
 // EraChanged implements directory.Listener.
 func (s *state) EraChanged(change directory.EraChange) {
-	s.figures.restores.Inc()
+	s.metrics.restores.Inc()
 	s.logger.Warn("store came back from an older copy", "era_before", change.From.Era, "revision_before", change.From.Revision,
 		"era", change.To.Era, "revision", change.To.Revision, "keys_kept", len(change.Retained),
-		"keys", change.Retained[:min(len(change.Retained), keptKeysTold)])
-	s.member.noteEra()
+		"keys", change.Retained[:min(len(change.Retained), maxLoggedKeys)])
+	s.registration.notifyEraChange()
 }
 
 // Dependency implements directory.Listener.
 func (s *state) Dependency(name string, connected bool, cause error) {
 	if connected {
-		s.figures.dependency.WithLabelValues(name).Set(1)
+		s.metrics.dependency.WithLabelValues(name).Set(1)
 		s.logger.Info("dependency regained", "dependency", name)
 		return
 	}
-	s.figures.dependency.WithLabelValues(name).Set(0)
+	s.metrics.dependency.WithLabelValues(name).Set(0)
 	s.logger.Warn("dependency lost", "dependency", name, "error", cause.Error())
 }
--- a/internal/edge/state_lines_test.go
+++ b/internal/edge/state_log_limiter_test.go
@@ -25,10 +25,10 @@
 	log, began := newRoomLog(logger), time.Unix(100, 0)
 	short := loadshed.Shares{Ranks: []loadshed.RankShare{{Share: 0.5}}}
 	for step := range 20 {
-		at := began.Add(time.Duration(step) * roomLogSpan / 10)
+		at := began.Add(time.Duration(step) * roomLogInterval / 10)
 		key := loadshed.Key{Service: "a"}
 		log.write([]loadshed.Measurement{{Key: key, Shares: short, MeasuredAt: at}})
-		log.write([]loadshed.Measurement{{Key: key, MeasuredAt: at.Add(roomLogSpan / 20)}})
+		log.write([]loadshed.Measurement{{Key: key, MeasuredAt: at.Add(roomLogInterval / 20)}})
 	}
 	g.Expect(sink.lines).To(And(BeNumerically(">=", 2), BeNumerically("<=", 6)))
 }
--- a/internal/edge/entries_test.go
+++ b/internal/edge/state_test.go
@@ -22,8 +22,8 @@
 	g := NewWithT(t)
 	var lines bytes.Buffer
 	logger := hclog.New(&hclog.LoggerOptions{Output: &lines, JSONFormat: true})
-	servers, counted := fleet.New(fleet.Settings{Random: newRandom()}), newFigures()
-	tested := &state{fleet: servers, figures: counted, logger: logger, refusals: newEvents(logger, counted, nil)}
+	servers, metrics := fleet.New(fleet.Settings{Random: newRandom()}), newMetricSet()
+	tested := &state{fleet: servers, metrics: metrics, logger: logger, refusals: newRequestRecorder(logger, metrics, nil)}
 	tested.Changed(directory.Entry{Key: "servers/i", Server: &fleet.Server{ID: "i", Start: 1, Service: "s", Address: "a"}})
 	tested.Changed(directory.Entry{Key: "servers/i", Revision: 2, ServerID: "i", Server: &fleet.Server{ID: "i", Service: "s", Address: "a"}})
 	g.Expect(lines.String()).To(And(ContainSubstring("lacks the start"), ContainSubstring(`"server_left_out":true`)))
@@ -34,7 +34,7 @@
 		tested.Changed(directory.Entry{Key: "servers/i", Revision: uint64(number), ServerID: "i", Problem: io.ErrUnexpectedEOF})
 	}
 	g.Expect(strings.Count(lines.String(), "entry refused")).To(BeNumerically("<=", 2*linesPerSecond))
-	families, err := counted.registry.Gather()
+	families, err := metrics.registry.Gather()
 	g.Expect(err).NotTo(HaveOccurred())
 	for _, family := range families {
 		if family.GetName() == namespace+"_state_refused_total" {
@@ -45,23 +45,23 @@
 	t.Fatal("no entry was counted")
 }
 
-// TestAReplacedProcessIsToldToTheQuarantine: a connection to its address would not show that it
+// TestReplacedProcessIsReportedToQuarantine: a connection to its address would not show that it
 // has ended, since the later process takes it.
-func TestAReplacedProcessIsToldToTheQuarantine(t *testing.T) {
+func TestReplacedProcessIsReportedToQuarantine(t *testing.T) {
 	g := NewWithT(t)
 	network := exchangetest.NewNetwork()
 	network.Add("a", func(exchangetest.Request) exchangetest.Answer { return exchangetest.Whole("") })
-	silent, figures := hclog.NewNullLogger(), newFigures()
+	silent, metrics := hclog.NewNullLogger(), newMetricSet()
 	guard := quarantine.New(quarantine.Options{Dialer: network, Events: suspectEvents{
-		node: &Node{figures: figures, logger: silent}, recorder: newEvents(silent, figures, nil),
+		node: &Node{metrics: metrics, logger: silent}, recorder: newRequestRecorder(silent, metrics, nil),
 	}})
 	tested := &state{fleet: fleet.New(fleet.Settings{Random: newRandom()}), quarantine: guard, logger: silent}
-	deadly := exchange.Fingerprint{1}
+	fingerprint := exchange.Fingerprint{1}
 	for start := fleet.Start(1); start <= 3; start++ {
 		process := fleet.Server{ID: "i", Start: start, Service: "s", Address: "a"}
 		tested.Changed(directory.Entry{Key: "servers/i", Server: &process})
-		guard.RecordBrokenConnection(deadly, process.Incarnation(), process.Address, time.Now())
+		guard.RecordBrokenConnection(fingerprint, process.Incarnation(), process.Address, time.Now())
 	}
 	tested.Changed(directory.Entry{Key: "servers/i", Server: &fleet.Server{ID: "i", Start: 4, Service: "s", Address: "a"}})
-	g.Expect(guard.State(deadly)).To(Equal(quarantine.Suspect))
+	g.Expect(guard.State(fingerprint)).To(Equal(quarantine.Suspect))
 }
--- a/internal/edge/stop.go
+++ b/internal/edge/stop.go
@@ -11,9 +11,9 @@
 
 // Times of a planned stop.
 const (
-	// notReadyNotice is for how long a stopping node still accepts connections,
+	// notReadyDelay is for how long a stopping node still accepts connections,
 	// so that the platform has noticed that it is not ready.
-	notReadyNotice = 2600 * time.Millisecond
+	notReadyDelay = 2600 * time.Millisecond
 	// stopReserve is kept of the grace time.
 	stopReserve = 300 * time.Millisecond
 )
@@ -25,7 +25,7 @@
 		return errors.Wrap(err, "listen for readiness")
 	}
 	n.readyListener = opened
-	n.ready = &http.Server{Handler: n.readyHandler(), ReadHeaderTimeout: connectTimeout}
+	n.readyServer = &http.Server{Handler: n.readyHandler(), ReadHeaderTimeout: connectTimeout}
 	return nil
 }
 
@@ -46,15 +46,15 @@
 		return nil
 	case <-ctx.Done():
 	}
-	begun := time.Now()
+	stopStartedAt := time.Now()
 	grace := n.settings.Load().grace()
 	n.logger.Info("stopping", "grace_s", grace.Seconds(), "connections", n.listener.Open())
 	n.state.draining.Store(true)
-	time.Sleep(min(notReadyNotice, grace/2))
+	time.Sleep(min(notReadyDelay, grace/2))
 	n.listener.StopAccepting()
-	limited, cancel := context.WithDeadline(inner, begun.Add(grace-stopReserve))
+	drainCtx, cancel := context.WithDeadline(inner, stopStartedAt.Add(grace-stopReserve))
 	defer cancel()
-	left := n.listener.AwaitDrained(limited)
-	n.logger.Info("drained", "connections_left", left, "took_ms", time.Since(begun).Milliseconds())
+	left := n.listener.AwaitDrained(drainCtx)
+	n.logger.Info("drained", "connections_left", left, "took_ms", time.Since(stopStartedAt).Milliseconds())
 	return nil
 }
--- a/internal/edge/suspects.go
+++ b/internal/edge/suspects.go
@@ -13,12 +13,12 @@
 type suspectEvents struct {
 	node *Node
 	// recorder bounds the lines: one crash leaves as many suspects as it had requests.
-	recorder *events
+	recorder *requestRecorder
 }
 
 // StateChanged implements quarantine.Events.
-func (e suspectEvents) StateChanged(fingerprint exchange.Fingerprint, standing quarantine.State, servers []fleet.Incarnation) {
-	e.node.figures.standings.WithLabelValues(standing.String()).Inc()
+func (e suspectEvents) StateChanged(fingerprint exchange.Fingerprint, current quarantine.State, servers []fleet.Incarnation) {
+	e.node.metrics.suspectStates.WithLabelValues(current.String()).Inc()
 	if !e.recorder.mayWrite() {
 		return
 	}
@@ -27,11 +27,11 @@
 		names = append(names, server.String())
 	}
 	list := []any{"fingerprint", fingerprint.String(), "servers_ended", names}
-	if standing == quarantine.Clear {
+	if current == quarantine.Clear {
 		e.node.logger.Info("request cleared", list...)
 		return
 	}
-	e.node.logger.Warn("request "+standing.String(), list...)
+	e.node.logger.Warn("request "+current.String(), list...)
 }
 
 // LedgerFailed implements quarantine.Events.
@@ -42,23 +42,23 @@
 	e.node.logger.Warn("notes on suspect requests not kept", "call", call, "error", err.Error())
 }
 
-// openTeller lets nodes tell each other of suspect requests directly.
-func (n *Node) openTeller() {
-	n.teller = quarantine.NewGossiper(n.quarantine, n.transport)
-	n.state.teller = n.teller
-	n.figures.counter("suspect_notes_told_total", "Notes on requests under which servers ended that were told to other nodes.", func() uint64 {
-		told, _ := n.teller.Counts()
-		return told
+// openGossiper lets nodes tell each other of suspect requests directly.
+func (n *Node) openGossiper() {
+	n.gossiper = quarantine.NewGossiper(n.quarantine, n.transport)
+	n.state.gossiper = n.gossiper
+	n.metrics.counter("suspect_notes_told_total", "Notes on requests under which servers ended that were told to other nodes.", func() uint64 {
+		sent, _ := n.gossiper.Counts()
+		return sent
 	})
-	n.figures.counter("suspect_notes_heard_total", "Notes on requests under which servers ended that other nodes told first.", func() uint64 {
-		_, heard := n.teller.Counts()
-		return heard
+	n.metrics.counter("suspect_notes_heard_total", "Notes on requests under which servers ended that other nodes told first.", func() uint64 {
+		_, received := n.gossiper.Counts()
+		return received
 	})
-	n.figures.counter("suspect_notes_refused_total", "Times that a note for other nodes found no room to wait: ends are told later, the rest by the store.", n.teller.Refused)
+	n.metrics.counter("suspect_notes_refused_total", "Times that a note for other nodes found no room to wait: ends are told later, the rest by the store.", n.gossiper.Refused)
 }
 
-// addressesOf returns where nodes are told something.
-func addressesOf(known []directory.Node) []peer.Address {
+// peerAddresses returns where nodes are told something.
+func peerAddresses(known []directory.Node) []peer.Address {
 	addresses := make([]peer.Address, 0, len(known))
 	for _, node := range known {
 		addresses = append(addresses, peer.Address(node.PeerAddress))
--- a/internal/edge/write_back.go
+++ b/internal/edge/write_back.go
@@ -20,10 +20,10 @@
 const (
 	writeBackInterval = 250 * time.Millisecond
 	writeBackTimeout  = time.Second
-	// writeBackTurn is how much later than the one before it a node writes a key, in the order of its
-	// rank for that key: the others find it written. writeBackRanks bounds the turns.
-	writeBackTurn  = time.Second
-	writeBackRanks = 5
+	// writeBackStagger is how much later than the one before it a node writes a key, in the order of its
+	// rank for that key: the others find it written. maxWriteBackRank bounds the turns.
+	writeBackStagger = time.Second
+	maxWriteBackRank = 5
 )
 
 // writeBack writes to the store what it has lost and nobody but the nodes keeps: templates, and notes on
@@ -66,16 +66,16 @@
 	ticker := time.NewTicker(writeBackInterval)
 	defer ticker.Stop()
 	var settledAt time.Time
-	written, writtenIn := make(map[string]uint64), w.node.follower.Position().Era
+	written, writtenEra := make(map[string]uint64), w.node.follower.Position().Era
 	for w.node.follower.IsRestoring() {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			if era := w.node.follower.Position().Era; era != writtenIn {
+			if era := w.node.follower.Position().Era; era != writtenEra {
 				// Another restore has taken it away again.
 				clear(written)
-				settledAt, writtenIn = time.Time{}, era
+				settledAt, writtenEra = time.Time{}, era
 			}
 			lost := w.node.follower.LostEntries()
 			if len(lost) > 0 && settledAt.IsZero() {
@@ -88,17 +88,17 @@
 
 // writeDue writes those of the lost states for which it is this node's turn a span after the store
 // has settled. What was written over a revision of the store is known to be there a reading later.
-func (w *writeBack) writeDue(ctx context.Context, lost []directory.LostEntry, span time.Duration, written map[string]uint64) {
+func (w *writeBack) writeDue(ctx context.Context, lost []directory.LostEntry, sinceSettled time.Duration, written map[string]uint64) {
 	names := w.nodeNames()
 	for _, each := range lost {
-		over, isWritten := written[each.Entry.Key]
-		isDue := time.Duration(w.rank(each.Entry.Key, names))*writeBackTurn <= span
-		if !isDue || isWritten && over == each.StoreRevision {
+		writtenRevision, isWritten := written[each.Entry.Key]
+		isOwnTurn := time.Duration(w.rank(each.Entry.Key, names))*writeBackStagger <= sinceSettled
+		if !isOwnTurn || isWritten && writtenRevision == each.StoreRevision {
 			continue
 		}
 		if !w.write(ctx, each) {
 			// The store refuses this node, or is away: another one may write meanwhile.
-			pause.For(ctx, writeBackTurn)
+			pause.For(ctx, writeBackStagger)
 			return
 		}
 		written[each.Entry.Key] = each.StoreRevision
@@ -107,9 +107,9 @@
 
 // write writes one state, and reports whether the store took the call.
 func (w *writeBack) write(ctx context.Context, lost directory.LostEntry) bool {
-	limited, cancel := context.WithTimeout(ctx, writeBackTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, writeBackTimeout)
 	defer cancel()
-	isWritten, err := w.restorer.WriteBack(limited, lost)
+	isWritten, err := w.restorer.WriteBack(callCtx, lost)
 	if err != nil {
 		w.node.logger.Warn("lost state not written back", "key", lost.Entry.Key, "error", err.Error())
 		return false
@@ -121,7 +121,7 @@
 
 // nodeNames returns the names of the known nodes, this one among them.
 func (w *writeBack) nodeNames() []string {
-	names := []string{w.node.member.node.Name}
+	names := []string{w.node.registration.node.Name}
 	for _, known := range w.node.state.knownNodes() {
 		if known.Name != names[0] {
 			names = append(names, known.Name)
@@ -130,7 +130,7 @@
 	return names
 }
 
-// rank returns this node's rank for a key among nodes, at most writeBackRanks.
+// rank returns this node's rank for a key among nodes, at most maxWriteBackRank.
 func (w *writeBack) rank(key string, names []string) int {
-	return min(slices.Index(rendezvous.Rank(key, names), w.node.member.node.Name), writeBackRanks)
+	return min(slices.Index(rendezvous.Rank(key, names), w.node.registration.node.Name), maxWriteBackRank)
 }
