--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -78,7 +78,7 @@
 	// clocks.
 	Suspended func() time.Duration
 	// Hangup tells that the settings have changed; it may be nil.
-	ReloadSignals ReloadSignals
+	ReloadSignals SignalChannel
 }
 
 // Node is one node of a routed deployment.
@@ -103,7 +103,7 @@
 	// metrics and metricsListener are nil if no port is set.
 	metricsServer   *http.Server
 	metricsListener net.Listener
-	registration    *registration
+	nodeEntry       *nodeEntry
 	writeBack       *writeBack
 	// transport, peers and owners are nil if the node has no address for its peers.
 	transport *peer.TCP
@@ -154,8 +154,8 @@
 	if err := node.openClients(rules, recorder); err != nil {
 		return nil, err
 	}
-	node.registration = newRegistration(options.Platform, local, options.Logger, node.follower, func() int { return len(node.state.knownNodes()) })
-	node.state.registration = node.registration
+	node.nodeEntry = newRegistration(options.Platform, local, options.Logger, node.follower, func() int { return len(node.state.knownNodes()) })
+	node.state.nodeEntry = node.nodeEntry
 	node.writeBack = newWriteBack(options.Platform, node)
 	if err := node.openReady(); err != nil {
 		return nil, err
@@ -276,7 +276,7 @@
 		group.Add(func() error { return n.metricsServer.Serve(n.metricsListener) }, func(error) { _ = n.metricsServer.Close() })
 	}
 	add(n.follower.Run)
-	add(n.registration.run)
+	add(n.nodeEntry.run)
 	add(n.writeBack.run)
 	add(n.quarantine.Run)
 	if n.transport != nil {
--- a/internal/edge/quota.go
+++ b/internal/edge/quota.go
@@ -50,7 +50,7 @@
 		Local: settings.Node.Name, Zone: settings.Node.Zone, Bounds: settings.quotaBounds(), Transport: transport, Events: created,
 		LimitOf: node.state.limitOf, Incarnation: rand.Uint64(),
 		KnowsTenants: func() bool { table := node.state.Table(); return table != nil && table.HasTenants() },
-		WasListed:    func() bool { return node.registration != nil && node.registration.wasListed.Load() },
+		WasListed:    func() bool { return node.nodeEntry != nil && node.nodeEntry.wasListed.Load() },
 	})
 	node.metrics.gauge("quota_tenants_at_limit", "Tenants at their limit that this node coordinates.", func() float64 {
 		return float64(created.limiter.TenantsAtLimit())
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -62,4 +62,4 @@
 }
 
 // Hangups is a source of reload signals.
-type ReloadSignals <-chan os.Signal
+type SignalChannel <-chan os.Signal
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -50,7 +50,7 @@
 	// teller tells the nodes of suspect requests; nil if the node has no peers.
 	gossiper *quarantine.Gossiper
 	// member is told of the nodes' entries, and of restores of the store.
-	registration *registration
+	nodeEntry *nodeEntry
 
 	startedAt time.Time
 	table     atomic.Pointer[route.Table]
@@ -132,8 +132,8 @@
 	case entry.Note != nil:
 		s.quarantine.ApplyNote(*entry.Note, entry.Gone, time.Now())
 	case entry.Node != nil:
-		if s.registration != nil {
-			s.registration.noteEntry(entry)
+		if s.nodeEntry != nil {
+			s.nodeEntry.noteEntry(entry)
 		}
 		s.setNode(entry.Key, *entry.Node)
 	case entry.Template != nil:
@@ -329,7 +329,7 @@
 	s.logger.Warn("store came back from an older copy", "era_before", change.From.Era, "revision_before", change.From.Revision,
 		"era", change.To.Era, "revision", change.To.Revision, "keys_kept", len(change.Retained),
 		"keys", change.Retained[:min(len(change.Retained), maxLoggedKeys)])
-	s.registration.notifyEraChange()
+	s.nodeEntry.notifyEraChange()
 }
 
 // Dependency implements directory.Listener.
--- a/internal/edge/state_test.go
+++ b/internal/edge/state_test.go
@@ -22,8 +22,8 @@
 	g := NewWithT(t)
 	var lines bytes.Buffer
 	logger := hclog.New(&hclog.LoggerOptions{Output: &lines, JSONFormat: true})
-	servers, metrics := fleet.New(fleet.Settings{Random: newRandom()}), newMetricSet()
-	tested := &state{fleet: servers, metrics: metrics, logger: logger, refusals: newRequestRecorder(logger, metrics, nil)}
+	servers, recorded := fleet.New(fleet.Settings{Random: newRandom()}), newMetricSet()
+	tested := &state{fleet: servers, metrics: recorded, logger: logger, refusals: newRequestRecorder(logger, recorded, nil)}
 	tested.Changed(directory.Entry{Key: "servers/i", Server: &fleet.Server{ID: "i", Start: 1, Service: "s", Address: "a"}})
 	tested.Changed(directory.Entry{Key: "servers/i", Revision: 2, ServerID: "i", Server: &fleet.Server{ID: "i", Service: "s", Address: "a"}})
 	g.Expect(lines.String()).To(And(ContainSubstring("lacks the start"), ContainSubstring(`"server_left_out":true`)))
@@ -34,7 +34,7 @@
 		tested.Changed(directory.Entry{Key: "servers/i", Revision: uint64(number), ServerID: "i", Problem: io.ErrUnexpectedEOF})
 	}
 	g.Expect(strings.Count(lines.String(), "entry refused")).To(BeNumerically("<=", 2*linesPerSecond))
-	families, err := metrics.registry.Gather()
+	families, err := recorded.registry.Gather()
 	g.Expect(err).NotTo(HaveOccurred())
 	for _, family := range families {
 		if family.GetName() == namespace+"_state_refused_total" {
--- a/internal/edge/write_back.go
+++ b/internal/edge/write_back.go
@@ -121,7 +121,7 @@
 
 // nodeNames returns the names of the known nodes, this one among them.
 func (w *writeBack) nodeNames() []string {
-	names := []string{w.node.registration.node.Name}
+	names := []string{w.node.nodeEntry.node.Name}
 	for _, known := range w.node.state.knownNodes() {
 		if known.Name != names[0] {
 			names = append(names, known.Name)
@@ -132,5 +132,5 @@
 
 // rank returns this node's rank for a key among nodes, at most maxWriteBackRank.
 func (w *writeBack) rank(key string, names []string) int {
-	return min(slices.Index(rendezvous.Rank(key, names), w.node.registration.node.Name), maxWriteBackRank)
+	return min(slices.Index(rendezvous.Rank(key, names), w.node.nodeEntry.node.Name), maxWriteBackRank)
 }
