--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -103,7 +103,7 @@
 	// metrics and metricsListener are nil if no port is set.
 	metricsServer   *http.Server
 	metricsListener net.Listener
-	nodeEntry       *nodeEntry
+	nodeEntry       *registration
 	writeBack       *writeBack
 	// transport, peers and owners are nil if the node has no address for its peers.
 	transport *peer.TCP
--- a/internal/edge/registration.go
+++ b/internal/edge/registration.go
@@ -44,7 +44,7 @@
 )
 
 // registration keeps this node's entry in the store.
-type nodeEntry struct {
+type registration struct {
 	registry Registry
 	node     directory.Node
 	logger   hclog.Logger
@@ -72,12 +72,12 @@
 	SettlesIn() time.Duration
 }
 
-func newRegistration(registry Registry, node directory.Node, logger hclog.Logger, store storeView, nodes func() int) *nodeEntry {
-	return &nodeEntry{registry: registry, node: node, logger: logger, store: store, nodes: nodes, eraChanged: make(chan struct{}, 1)}
+func newRegistration(registry Registry, node directory.Node, logger hclog.Logger, store storeView, nodes func() int) *registration {
+	return &registration{registry: registry, node: node, logger: logger, store: store, nodes: nodes, eraChanged: make(chan struct{}, 1)}
 }
 
 // found takes an entry of a node as the store holds it.
-func (r *nodeEntry) noteEntry(entry directory.Entry) {
+func (r *registration) noteEntry(entry directory.Entry) {
 	if entry.Node.Name == r.node.Name && !r.hasStartedWriting.Load() {
 		// Also with another address: coordinators of limits are chosen by name.
 		r.wasListed.Store(true)
@@ -91,7 +91,7 @@
 
 // notifyEraChange tells that the store has come back from an older copy: it may have lost the entry, and given
 // its lease to another node.
-func (r *nodeEntry) notifyEraChange() {
+func (r *registration) notifyEraChange() {
 	select {
 	case r.eraChanged <- struct{}{}:
 	default:
@@ -99,7 +99,7 @@
 }
 
 // run registers and renews until ctx ends.
-func (r *nodeEntry) run(ctx context.Context) error {
+func (r *registration) run(ctx context.Context) error {
 	r.awaitLoad(ctx)
 	var lease directory.Lease
 	if adoptable := r.adoptable.Load(); adoptable != nil {
@@ -130,12 +130,12 @@
 }
 
 // isFromEarlierEra reports whether a lease was granted before the store came back from an older copy.
-func (r *nodeEntry) isFromEarlierEra(lease directory.Lease) bool {
+func (r *registration) isFromEarlierEra(lease directory.Lease) bool {
 	return lease.ID != 0 && lease.Era < r.store.Position().Era
 }
 
 // await waits for a span, or until the store has come back from an older copy.
-func (r *nodeEntry) await(ctx context.Context, span time.Duration) {
+func (r *registration) await(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
@@ -148,7 +148,7 @@
 // awaitSettled waits until the store has back what a restore has lost, since an entry of the new era
 // tells starting nodes so, and then as long as the number of nodes asks for. It does not wait if
 // the store has settled.
-func (r *nodeEntry) awaitSettled(ctx context.Context) {
+func (r *registration) awaitSettled(ctx context.Context) {
 	left := r.store.SettlesIn()
 	if left <= 0 {
 		return
@@ -161,7 +161,7 @@
 }
 
 // awaitLoad waits until the store has been read, for a while.
-func (r *nodeEntry) awaitLoad(ctx context.Context) {
+func (r *registration) awaitLoad(ctx context.Context) {
 	timer := time.NewTimer(adoptTimeout)
 	defer timer.Stop()
 	select {
@@ -178,7 +178,7 @@
 }
 
 // step registers, or renews if there is a lease already.
-func (r *nodeEntry) step(ctx context.Context, lease *directory.Lease) error {
+func (r *registration) step(ctx context.Context, lease *directory.Lease) error {
 	callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	if lease.ID == 0 {
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -50,7 +50,7 @@
 	// teller tells the nodes of suspect requests; nil if the node has no peers.
 	gossiper *quarantine.Gossiper
 	// member is told of the nodes' entries, and of restores of the store.
-	nodeEntry *nodeEntry
+	nodeEntry *registration
 
 	startedAt time.Time
 	table     atomic.Pointer[route.Table]
