--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -273,15 +273,15 @@
 // Apply merges updates from a peer. It returns those that changed the catalog, for the relay to
 // forward; updates that change nothing must not be forwarded.
 func (c *Catalog) Apply(batch ...Update) []Update {
-	var learnt []Update
+	var applied []Update
 	c.mutate(func(m *mutation) {
 		for index := range batch {
 			if c.apply(m, &batch[index]) {
-				learnt = append(learnt, batch[index])
+				applied = append(applied, batch[index])
 			}
 		}
 	})
-	return learnt
+	return applied
 }
 
 func (c *Catalog) apply(m *mutation, update *Update) bool {
@@ -304,14 +304,14 @@
 	}
 	c.factsChanged(m, r, previousID)
 	if current := r.facts.current(); wasDead && current.ID == previousID && !current.dead() {
-		c.refuted(m, r)
+		c.noteRefutation(m, r)
 	}
 	return true
 }
 
-// refuted extends the wait before this node announces a server as dead again, because another node
-// can reach the server.
-func (c *Catalog) refuted(m *mutation, r *record) {
+// noteRefutation extends the wait before this node announces a server as dead again, because
+// another node can reach the server.
+func (c *Catalog) noteRefutation(m *mutation, r *record) {
 	if r.probe.failures < c.options.ProbeFailures {
 		return
 	}
@@ -331,7 +331,7 @@
 		}
 	}
 	r.results.updateFrom(current)
-	r.clearIfContentsChanged()
+	r.clearStalenessIfContentsChanged()
 	c.markDirty(r)
 	c.updateBases(m, r)
 }
--- a/pkg/catalog/change.go
+++ b/pkg/catalog/change.go
@@ -43,13 +43,13 @@
 }
 
 // setVersionChange turns the update into a version change if the base is the same before and after.
-func (n *Update) setVersionChange(before, after uint64) {
+func (u *Update) setVersionChange(before, after uint64) {
 	if before == 0 || before != after {
 		return
 	}
-	n.Change = VersionChange{Base: after, Revision: n.Instance.Revision}
-	for _, index := range n.Instance.Contents.Indexes {
-		n.Change.Versions = append(n.Change.Versions, index.Version)
+	u.Change = VersionChange{Base: after, Revision: u.Instance.Revision}
+	for _, index := range u.Instance.Contents.Indexes {
+		u.Change.Versions = append(u.Change.Versions, index.Version)
 	}
 }
 
--- a/pkg/catalog/converge_test.go
+++ b/pkg/catalog/converge_test.go
@@ -154,8 +154,8 @@
 	if !repeat {
 		p.inbox[node] = append(p.inbox[node][:index], p.inbox[node][index+1:]...)
 	}
-	for _, learnt := range p.catalogs[node].Apply(update) {
-		p.send(node, learnt)
+	for _, applied := range p.catalogs[node].Apply(update) {
+		p.send(node, applied)
 	}
 }
 
--- a/pkg/catalog/encoding_test.go
+++ b/pkg/catalog/encoding_test.go
@@ -112,8 +112,8 @@
 		c := newTestCatalog("node", newClock().Now)
 		c.Apply(batch...)
 		c.View(testService)
-		if learnt := c.Apply(c.Snapshot()...); len(learnt) > 0 {
-			t.Fatalf("own snapshot changed the catalog: %+v", learnt)
+		if applied := c.Apply(c.Snapshot()...); len(applied) > 0 {
+			t.Fatalf("own snapshot changed the catalog: %+v", applied)
 		}
 	})
 }
--- a/pkg/catalog/exchange.go
+++ b/pkg/catalog/exchange.go
@@ -169,14 +169,14 @@
 	if err := e.options.Transport.Call(bounded, address, kindSync, request, &reply); err != nil {
 		return false, err
 	}
-	learnt, err := e.apply(reply.News)
+	applied, err := e.apply(reply.News)
 	if err != nil {
 		return false, err
 	}
 	if operatorOnly {
-		e.forwardToZone(learnt)
+		e.forwardToZone(applied)
 	}
-	return reply.More && len(learnt) > 0, nil
+	return reply.More && len(applied) > 0, nil
 }
 
 func (e *Exchange) apply(messages []*catalogpb.News) ([]Update, error) {
@@ -191,8 +191,8 @@
 	return e.options.Catalog.Apply(batch...), nil
 }
 
-func (e *Exchange) forwardToZone(learnt []Update) {
-	for _, update := range learnt {
+func (e *Exchange) forwardToZone(applied []Update) {
+	for _, update := range applied {
 		e.options.OnForwarded(update)
 	}
 }
@@ -232,10 +232,10 @@
 	if err := batch.UnmarshalVT(body); err != nil {
 		return nil, errors.Wrap(err, "decode news")
 	}
-	learnt, err := e.apply(batch.News)
+	applied, err := e.apply(batch.News)
 	if err != nil {
 		return nil, err
 	}
-	e.forwardToZone(learnt)
+	e.forwardToZone(applied)
 	return &catalogpb.Received{}, nil
 }
--- a/pkg/catalog/facts.go
+++ b/pkg/catalog/facts.go
@@ -95,11 +95,11 @@
 		return changed
 	}
 	known := f.instance(update.Instance.ID)
-	learnt := known.merge(&update.Instance, now)
+	instanceChanged := known.merge(&update.Instance, now)
 	f.prune()
 	// An instance that is pruned immediately does not count as a change; otherwise the update would
 	// be forwarded repeatedly.
-	return changed || learnt && slices.Contains(f.instances, known)
+	return changed || instanceChanged && slices.Contains(f.instances, known)
 }
 
 // merge merges another state of the same instance field by field and reports whether anything
--- a/pkg/catalog/machine_test.go
+++ b/pkg/catalog/machine_test.go
@@ -159,8 +159,8 @@
 		return
 	}
 	sent := len(m.updates)
-	if learnt := m.catalog.Apply(rapid.SampledFrom(m.updates).Draw(t, "news")); len(learnt) > 0 || len(m.updates) > sent {
-		t.Fatalf("own update changed the catalog: %v", learnt)
+	if applied := m.catalog.Apply(rapid.SampledFrom(m.updates).Draw(t, "news")); len(applied) > 0 || len(m.updates) > sent {
+		t.Fatalf("own update changed the catalog: %v", applied)
 	}
 }
 
--- a/pkg/catalog/outlier.go
+++ b/pkg/catalog/outlier.go
@@ -167,7 +167,8 @@
 	return total >= float64(options.MinResults) && o.windowFailures >= options.FailureShare*total
 }
 
-// expireEjections resets the count of ejections once MaxEjectionTime has passed since the last one.
+// expireEjections resets the count of ejections once MaxEjectionTime has passed since the end of
+// the last one.
 func (o *outlier) expireEjections(now time.Time, options *Options) {
 	if o.consecutive > 0 && now.Sub(o.until) >= options.MaxEjectionTime {
 		o.consecutive = 0
--- a/pkg/catalog/staleness.go
+++ b/pkg/catalog/staleness.go
@@ -81,12 +81,12 @@
 	return nil
 }
 
-// clearIfContentsChanged ends the suspicion if the contents have changed since it arose.
-func (r *record) clearIfContentsChanged() {
+// clearStalenessIfContentsChanged ends the suspicion if the contents have changed since it arose.
+func (r *record) clearStalenessIfContentsChanged() {
 	if !r.staleness.suspected || r.currentContents() == r.staleness.contents {
 		return
 	}
-	r.clearStaleness()
+	r.endSuspicion()
 	r.staleness.unchangedProbes = 0
 }
 
@@ -96,11 +96,11 @@
 	if !r.staleness.suspected || sentAt.Before(r.staleness.since) {
 		return
 	}
-	r.clearStaleness()
+	r.endSuspicion()
 	r.staleness.unchangedProbes = min(r.staleness.unchangedProbes+1, maxStaleProbeDoublings)
 }
 
-func (r *record) clearStaleness() {
+func (r *record) endSuspicion() {
 	r.staleness.suspected, r.staleness.contents = false, nil
 	r.results.suspectedStale.Store(false)
 }
