--- a/pkg/catalog/update.go
+++ b/pkg/catalog/update.go
@@ -8,7 +8,7 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// UpdateKind says what changed. It is used for logs and metrics only; merging considers the other
+// UpdateKind says what changed. It is used for logs and metrics; merging considers only the other
 // fields of Update.
 type UpdateKind uint32
 
