--- a/pkg/fanout/admission.go
+++ b/pkg/fanout/admission.go
@@ -30,11 +30,11 @@
 // isAdmitted decides whether the request is admitted, from what is known of the load on its
 // services.
 func (r *run) isAdmitted() bool {
-	room := r.runner.Admission
-	if room == nil {
+	control := r.runner.Admission
+	if control == nil {
 		return true
 	}
-	r.samplingValue = room.Sampler.Sample(r.contentHash(), r.samplingValue, r.began)
+	r.samplingValue = control.Sampler.Sample(r.contentHash(), r.samplingValue, r.began)
 	r.admission = r.admit(r.began)
 	return r.admission.IsAdmitted
 }
--- a/pkg/fanout/admission_test.go
+++ b/pkg/fanout/admission_test.go
@@ -41,17 +41,17 @@
 	return loadshed.Shares{Ranks: []loadshed.RankShare{{Share: admitted}}}
 }
 
-// TestWhatIsNotLetInIsRefusedAtOnce checks that a request that is not admitted is refused without
+// TestARequestThatIsNotAdmittedIsRefusedAtOnce checks that a request that is not admitted is refused without
 // delay, with outcome NotRun and the limiting service, and reaches no server.
-func TestWhatIsNotLetInIsRefusedAtOnce(t *testing.T) {
+func TestARequestThatIsNotAdmittedIsRefusedAtOnce(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
 		w.add("b", "b1", quick("b"))
 		control := w.withAdmissionControl()
 		control.Admitter.Update(loadshed.Key{Service: "a"}, sharesOf(0), time.Now())
-		asked := plan("a", "b")
-		asked.Required = 2
-		result, took := w.run(asked)
+		planned := plan("a", "b")
+		planned.Required = 2
+		result, took := w.run(planned)
 		g.Expect(took).To(BeZero())
 		g.Expect(result.Reason).To(Equal(fanout.StopOverloaded))
 		g.Expect(result.Outcome).To(Equal(outcome.NotRun))
@@ -90,18 +90,18 @@
 	})
 }
 
-// TestASparedShardIsAskedOnceAnotherFails checks that a skipped shard is queried after all when the
+// TestASkippedShardIsQueriedOnceAnotherFails checks that a skipped shard is queried after all when the
 // request can no longer be answered without it.
-func TestASparedShardIsAskedOnceAnotherFails(t *testing.T) {
+func TestASkippedShardIsQueriedOnceAnotherFails(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
 		w.add("b", "b1", exchangetest.Answer{Status: 500, Cut: -1})
 		w.add("c", "c1", quick("c"))
 		control := w.withAdmissionControl()
 		control.Admitter.Update(loadshed.Key{Service: "a"}, sharesOf(0), time.Now())
-		asked := plan("a", "b", "c")
-		asked.MaxAttempts = 1
-		result, _ := w.run(asked)
+		planned := plan("a", "b", "c")
+		planned.MaxAttempts = 1
+		result, _ := w.run(planned)
 		g.Expect(result.AnsweredCount).To(Equal(2))
 		g.Expect(w.arrivals("a1")).To(Equal(1))
 	})
@@ -132,9 +132,9 @@
 		answer.Delay = answeredAfter
 		w.add(service, service+"1", answer)
 		w.add(service, service+"2", answer)
-		asked := plan(service)
-		asked.Target = time.Now().Add(400 * time.Millisecond)
-		result, _ := w.run(asked)
+		planned := plan(service)
+		planned.Target = time.Now().Add(400 * time.Millisecond)
+		result, _ := w.run(planned)
 		g.Expect(result.AnsweredCount).To(Equal(1))
 		return result.Hedges
 	}
--- a/pkg/fanout/fanout_test.go
+++ b/pkg/fanout/fanout_test.go
@@ -267,7 +267,7 @@
 		g.Expect(took).To(BeNumerically(">=", 60*time.Millisecond))
 
 		result, took = w.run(plan("a"))
-		g.Expect(result.AnsweredCount).To(Equal(1), "the refusal is remembered")
+		g.Expect(result.AnsweredCount).To(Equal(1), "the server that refused is avoided")
 		g.Expect(took).To(BeNumerically("<", 60*time.Millisecond))
 	})
 	inBubble(t, func(g *WithT, w *world) {
@@ -314,7 +314,7 @@
 		lacking.Required = 2
 		result, took = w.run(lacking)
 		g.Expect(result.AnsweredCount).To(Equal(1))
-		g.Expect(took).To(BeNumerically("<=", 130*time.Millisecond), "it is given up when the patience ends")
+		g.Expect(took).To(BeNumerically("<=", 130*time.Millisecond), "the part is abandoned after MaxServerWait")
 	})
 }
 
@@ -382,12 +382,12 @@
 	inBubble(t, func(g *WithT, w *world) {
 		const refusals = 5
 		var mutex sync.Mutex
-		asked := 0
+		calls := 0
 		w.servers["a1"] = w.network.Add("a1", func(exchangetest.Request) exchangetest.Answer {
 			mutex.Lock()
 			defer mutex.Unlock()
-			asked++
-			if asked <= refusals {
+			calls++
+			if calls <= refusals {
 				return exchangetest.Answer{Status: http.StatusServiceUnavailable, Cut: -1, Header: map[string]string{"Refused": "1"}}
 			}
 			return quick("at last")
@@ -399,6 +399,6 @@
 		result, _ := w.run(patient)
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 		g.Expect(string(result.Parts[0].Body)).To(Equal("at last"))
-		g.Expect(w.budget.spent).To(Equal(refusals), "each further arrival is paid for")
+		g.Expect(w.budget.spent).To(Equal(refusals), "each retry takes one extra sub-request from the budget")
 	})
 }
--- a/pkg/fanout/needed_test.go
+++ b/pkg/fanout/needed_test.go
@@ -35,9 +35,9 @@
 		var runs sync.WaitGroup
 		start := func(id string, required int, services ...string) {
 			runs.Go(func() {
-				asked := plan(services...)
-				asked.Required = required
-				result := w.runner.Run(context.Background(), asked, &exchange.Request{Method: "GET", Target: "/", ID: id})
+				planned := plan(services...)
+				planned.Required = required
+				result := w.runner.Run(context.Background(), planned, &exchange.Request{Method: "GET", Target: "/", ID: id})
 				g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 			})
 			time.Sleep(5 * time.Millisecond)
--- a/pkg/fanout/owners_test.go
+++ b/pkg/fanout/owners_test.go
@@ -59,7 +59,7 @@
 		g.Expect(w.send(tried, "/suspect").AnsweredCount).To(Equal(len(fourShards)))
 		g.Expect(owners.divisions).To(BeZero())
 		now := time.Now()
-		_, judgedAt := w.runner.Admission.Meters.CurrentShares(loadshed.Key{Service: "a"}, now)
-		g.Expect(judgedAt).To(Equal(now), "not measured")
+		_, sharesAt := w.runner.Admission.Meters.CurrentShares(loadshed.Key{Service: "a"}, now)
+		g.Expect(sharesAt).To(Equal(now), "no load of the service was recorded")
 	})
 }
--- a/pkg/fanout/quarantine_shard_test.go
+++ b/pkg/fanout/quarantine_shard_test.go
@@ -70,14 +70,14 @@
 			g.Expect(result.AnsweredCount).To(Equal(3))
 			g.Expect(result.Parts[0]).To(BeNil())
 		}
-		t.Logf("%d servers ended", crashes.Load())
+		t.Logf("%d servers crashed", crashes.Load())
 		g.Expect(crashes.Load()).To(BeNumerically("<=", maxCrashesOfShard))
 		whole := plan(fourShards...)
 		whole.Required = len(fourShards)
 		g.Expect(w.send(whole, "/ordinary").AnsweredCount).To(Equal(len(fourShards)))
 		began := time.Now()
 		g.Expect(w.send(plan(fourShards...), deadlyTarget).AnsweredCount).To(Equal(3))
-		g.Expect(time.Since(began)).To(BeNumerically("<", 50*time.Millisecond), "nothing waits for the shard")
+		g.Expect(time.Since(began)).To(BeNumerically("<", 50*time.Millisecond), "the answer does not wait for the barred shard")
 	})
 }
 
@@ -96,7 +96,7 @@
 		for began := time.Now(); time.Since(began) < repeatDuration; time.Sleep(repeatInterval) {
 			w.send(needed(), deadlyTarget)
 		}
-		t.Logf("%d servers ended", crashes.Load())
+		t.Logf("%d servers crashed", crashes.Load())
 		g.Expect(crashes.Load()).To(BeNumerically("<=", maxCrashesOfShard))
 		began := time.Now()
 		result := w.send(needed(), deadlyTarget)
@@ -136,10 +136,10 @@
 		g := NewWithT(t)
 		w := newDeadlyWorld(fourShards, append(threeReplicas, "4"))
 		defer w.close()
-		var asked atomic.Int64
+		var calls atomic.Int64
 		for _, name := range []string{"a1", "a2", "a3", "a4"} {
 			w.servers[name].Respond = func(exchangetest.Request) exchangetest.Answer {
-				if asked.Add(1) > 1 {
+				if calls.Add(1) > 1 {
 					w.network.Remove(name)
 					return exchangetest.Answer{}
 				}
@@ -157,9 +157,9 @@
 	})
 }
 
-// TestAPartThatIsKeptBackClaimsNotRunOnlyIfItWasSentNowhere checks the outcome of the failures of a
+// TestAWithheldPartIsNotRunOnlyIfItWasSentNowhere checks the outcome of the failures of a
 // withheld part.
-func TestAPartThatIsKeptBackClaimsNotRunOnlyIfItWasSentNowhere(t *testing.T) {
+func TestAWithheldPartIsNotRunOnlyIfItWasSentNowhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w, _ := newDeadlyShardWorld()
@@ -184,10 +184,10 @@
 	})
 }
 
-// TestATrialThatIsRefusedAfterTheRunIsGivenBack checks that a trial is released if the run has
+// TestATrialThatIsRefusedAfterTheRunIsReleased checks that a trial is released if the run has
 // ended with the answers of the other shards and the server then says that it has not executed the
 // request.
-func TestATrialThatIsRefusedAfterTheRunIsGivenBack(t *testing.T) {
+func TestATrialThatIsRefusedAfterTheRunIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newDeadlyWorld(fourShards, threeReplicas)
@@ -203,12 +203,12 @@
 		request := exchange.Request{Method: "GET", Target: "/suspect"}
 		fingerprint := request.Fingerprint(&exchangetest.Dialect).At("a")
 		w.runner.Quarantine.RecordCrashes(fingerprint, []fleet.Incarnation{{ID: "x"}, {ID: "y"}, {ID: "z"}}, time.Now())
-		ended := plan(fourShards...)
-		ended.Target = time.Now().Add(50 * time.Millisecond)
-		result := w.send(ended, "/suspect")
+		early := plan(fourShards...)
+		early.Target = time.Now().Add(50 * time.Millisecond)
+		result := w.send(early, "/suspect")
 		g.Expect(result.Reason).To(Equal(fanout.StopTarget))
 		time.Sleep(200 * time.Millisecond)
-		g.Expect(w.arrivals("a1", "a2", "a3")).To(Equal(1), "the trial")
+		g.Expect(w.arrivals("a1", "a2", "a3")).To(Equal(1), "only the trial reaches a server")
 		for range quarantine.ImmediateTrials {
 			g.Expect(w.runner.Quarantine.ClaimTrial(t.Context(), fingerprint)).NotTo(BeNil())
 		}
--- a/pkg/fanout/quarantine_test.go
+++ b/pkg/fanout/quarantine_test.go
@@ -130,13 +130,13 @@
 		result := w.send(plan(fourShards...), "/ordinary")
 		g.Expect(result.AnsweredCount).To(Equal(4))
 		g.Expect(result.BrokenConnections).To(Equal(1))
-		g.Expect(time.Since(began)).To(BeNumerically("~", 32*time.Millisecond, 10*time.Millisecond), "10 ms, a recheck, 10 ms")
+		g.Expect(time.Since(began)).To(BeNumerically("~", 32*time.Millisecond, 10*time.Millisecond), "10 ms, a recheck interval, 10 ms")
 	})
 }
 
-// TestAPartThatLostItsServerWaitsNoLongerThanAMoment checks that a part whose server crashed is
+// TestAPartThatLostItsServerWaitsBriefly checks that a part whose server crashed is
 // retried after a short wait where the other servers are all silent.
-func TestAPartThatLostItsServerWaitsNoLongerThanAMoment(t *testing.T) {
+func TestAPartThatLostItsServerWaitsBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newDeadlyWorld([]string{"a", "b"}, threeReplicas)
@@ -172,7 +172,7 @@
 		g.Expect(result.Outcome).To(Equal(outcome.Unknown))
 		g.Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond))
 		crashed := w.countRequests(deadlyTarget)
-		g.Expect(crashed).To(Equal(6), "one of each shard, and two trials")
+		g.Expect(crashed).To(Equal(6), "one server of each shard, and two trials")
 		result = w.send(plan(fourShards...), deadlyTarget)
 		g.Expect(result.Reason).To(Equal(fanout.StopQuarantined))
 		g.Expect(result.Outcome).To(Equal(outcome.NotRun))
@@ -180,9 +180,9 @@
 	})
 }
 
-// TestWhatSharedAServerIsRetriedAtOnce checks that a request that lost parts with the servers that
+// TestARequestThatSharedCrashedServersIsRetriedAtOnce checks that a request that lost parts with the servers that
 // another request crashed is answered and does not become suspect.
-func TestWhatSharedAServerIsRetriedAtOnce(t *testing.T) {
+func TestARequestThatSharedCrashedServersIsRetriedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newDeadlyWorld(fourShards, threeReplicas)
@@ -233,7 +233,7 @@
 		began := time.Now()
 		result := w.send(plan(shards...), deadlyTarget)
 		g.Expect(result.Reason).To(Equal(fanout.StopQuarantined))
-		g.Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond), "nobody waits for what is not tried")
+		g.Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond), "the run does not wait for parts without a trial")
 		g.Expect(w.countRequests(deadlyTarget)).To(Equal(len(shards)))
 		g.Expect(w.quarantineState(deadlyTarget)).To(Equal(quarantine.Suspect))
 		needed := plan(shards...)
--- a/pkg/fanout/regions_test.go
+++ b/pkg/fanout/regions_test.go
@@ -67,9 +67,9 @@
 	})
 }
 
-// TestWhatNoAllowedServerCanServeIsRefusedAtOnce checks that a request without enough servers in
+// TestARequestWithoutAllowedServersIsRefusedAtOnce checks that a request without enough servers in
 // its regions is refused at once, with outcome NotRun.
-func TestWhatNoAllowedServerCanServeIsRefusedAtOnce(t *testing.T) {
+func TestARequestWithoutAllowedServersIsRefusedAtOnce(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.inRegions()
 		for _, service := range []string{"a", "b", "c"} {
--- a/pkg/fanout/result.go
+++ b/pkg/fanout/result.go
@@ -29,26 +29,26 @@
 }
 
 // noteError updates the state of a part after an attempt without an answer.
-func (r *run) noteError(part *part, ended *attempt, err error) {
+func (r *run) noteError(part *part, failed *attempt, err error) {
 	isNotRun := outcome.Of(err) == outcome.NotRun
 	part.failure = err
-	part.shed = part.shed || ended.TurnedAway
+	part.shed = part.shed || failed.TurnedAway
 	if isNotRun {
-		r.returnTrial(ended)
+		r.returnTrial(failed)
 	}
 	switch {
-	case r.plan.Repeatable && ended.TurnedAway:
+	case r.plan.Repeatable && failed.TurnedAway:
 		part.executions--
 		part.refusals++
-		part.markNotRun(ended.lease)
-		if !ended.Arrived {
+		part.markNotRun(failed.lease)
+		if !failed.Arrived {
 			part.arrivals--
 		}
 	case isNotRun:
 		part.executions--
-		if !ended.Arrived {
+		if !failed.Arrived {
 			part.arrivals--
-			part.markNotRun(ended.lease)
+			part.markNotRun(failed.lease)
 		}
 	}
 }
@@ -89,14 +89,14 @@
 
 // attemptRecord describes one attempt, finished or pending.
 func (r *run) attemptRecord(part *part, sent *attempt, now time.Time) AttemptRecord {
-	ended, result := sent.endedAt, sent.result
-	if ended.IsZero() {
-		ended, result = now, "pending"
+	end, result := sent.endedAt, sent.result
+	if end.IsZero() {
+		end, result = now, "pending"
 	}
 	return AttemptRecord{
 		Service: part.service, Server: sent.lease.Server.ID, Zone: sent.lease.Server.Zone,
 		SentMillis: sent.lease.AcquiredAt().Sub(r.began).Milliseconds(),
-		TookMillis: ended.Sub(sent.lease.AcquiredAt()).Milliseconds(), Result: result,
+		TookMillis: end.Sub(sent.lease.AcquiredAt()).Milliseconds(), Result: result,
 	}
 }
 
--- a/pkg/fanout/skipped_test.go
+++ b/pkg/fanout/skipped_test.go
@@ -72,9 +72,9 @@
 			"c": {{2 * time.Millisecond, answerReport("c")}},
 		}
 		w.limitService("a")
-		asked := plan("a", "b", "c")
-		asked.MaxAttempts = 1
-		result, took := w.run(asked)
+		planned := plan("a", "b", "c")
+		planned.MaxAttempts = 1
+		result, took := w.run(planned)
 		g.Expect(result.AnsweredCount).To(Equal(2))
 		g.Expect(took).To(Equal(20 * time.Millisecond))
 		g.Expect(w.arrivals("a1")).To(BeZero())
@@ -85,8 +85,8 @@
 // the time of a report to get it before this node spends budget on a second server.
 func TestAnOwnerHasTimeForASparedPart(t *testing.T) {
 	for name, expected := range map[string]struct {
-		answer       []scriptedReport
-		spent, asked int
+		answer         []scriptedReport
+		spent, queried int
 	}{
 		"in time": {[]scriptedReport{{120 * time.Millisecond, answerReport("a")}}, 0, 0},
 		"never":   {[]scriptedReport{{120 * time.Millisecond, fanout.Report{}}}, 1, 1},
@@ -104,7 +104,7 @@
 				g.Expect(result.AnsweredCount).To(Equal(2))
 				g.Expect(took).To(BeNumerically("<", 150*time.Millisecond))
 				g.Expect(w.budget.spent).To(Equal(expected.spent))
-				g.Expect(w.arrivals("a1")).To(Equal(expected.asked))
+				g.Expect(w.arrivals("a1")).To(Equal(expected.queried))
 			})
 		})
 	}
