--- a/pkg/fleet/cold_test.go
+++ b/pkg/fleet/cold_test.go
@@ -12,12 +12,12 @@
 	"github.com/bramblemast/bramblemast/pkg/fleet"
 )
 
-// coldNodes are the nodes of a deployment whose servers of one service have all just
-// started, as after a loss of power of the zones that hold them.
+// coldNodes are the nodes of a deployment in which all servers of one service have just started, as
+// after a power failure of their zones.
 type coldNodes struct {
 	fleets []*fleet.Fleet
 	random *rand.Rand
-	// sends are when each server was asked.
+	// sends are the times of the requests to each server.
 	sends map[string][]time.Time
 }
 
@@ -43,9 +43,9 @@
 	return created
 }
 
-// offer sends requests through random nodes for a span, and returns how many found a
+// sendLoad sends requests through random nodes at the given rate and returns how many found a
 // server.
-func (c *coldNodes) offer(rate float64, span time.Duration, now time.Time) int {
+func (c *coldNodes) sendLoad(rate float64, span time.Duration, now time.Time) int {
 	served := 0
 	interval := time.Duration(float64(time.Second) / rate)
 	for end := now.Add(span); now.Before(end); now = now.Add(interval) {
@@ -61,21 +61,21 @@
 	return served
 }
 
-// mostInASecond returns the most requests that one server got in any second.
-func (c *coldNodes) mostInASecond() int {
-	most := 0
+// maxPerSecond returns the maximum number of requests that one server received in any second.
+func (c *coldNodes) maxPerSecond() int {
+	highest := 0
 	for _, sends := range c.sends {
 		for first := range sends {
 			end, _ := slices.BinarySearchFunc(sends, sends[first].Add(time.Second), time.Time.Compare)
-			most = max(most, end-first)
+			highest = max(highest, end-first)
 		}
 	}
-	return most
+	return highest
 }
 
-// TestColdServersGetWhatTheyBear, from all nodes together in any second, at any number of
-// nodes and any bound, ten times as much and ten requests of each node being asked for; and
-// most of it is used.
+// TestColdServersGetWhatTheyBear: all nodes together send a cold server no more requests in any
+// second than it can take, for any number of nodes and any bound, under a load of ten times the
+// bound or ten requests per node and second. Most of the bound is used.
 func TestColdServersGetWhatTheyBear(t *testing.T) {
 	for _, nodes := range []int{1, 9, 65, 295} {
 		for _, perSecond := range []float64{2, 20, 200} {
@@ -86,59 +86,60 @@
 				bound := perSecond*bounds.Factor + bounds.Extra
 				const servers = 3
 				tested := newColdNodes(nodes, servers, fleet.WarmUp{Span: 3 * time.Second, PerSecond: perSecond}, bounds, now)
-				served := tested.offer(10*max(bound*servers, float64(nodes)), 3*time.Second, now)
-				g.Expect(tested.mostInASecond()).To(BeNumerically("<=", bound))
-				g.Expect(float64(served)).To(BeNumerically(">", 0.5*0.8*3*servers*bound), "half of what may be used")
+				served := tested.sendLoad(10*max(bound*servers, float64(nodes)), 3*time.Second, now)
+				g.Expect(tested.maxPerSecond()).To(BeNumerically("<=", bound))
+				g.Expect(float64(served)).To(BeNumerically(">", 0.5*0.8*3*servers*bound), "more than half of what may be used")
 				after := now.Add(3 * time.Second)
-				g.Expect(tested.offer(100, time.Second, after)).To(Equal(100), "warm servers have no bound")
+				g.Expect(tested.sendLoad(100, time.Second, after)).To(Equal(100), "warm servers have no limit")
 			})
 		}
 	}
 }
 
-// TestAServerMayTurnColdAgain: what its entry tells later counts as at its start, and one
-// that tells nothing new stays warm.
+// TestAServerMayTurnColdAgain: a warm-up time in a later entry counts like one at the start, and an
+// entry without a new warm-up time does not change the server's state.
 func TestAServerMayTurnColdAgain(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	bounds := fleet.WarmUpBounds{Factor: 1}
 	tested := newColdNodes(1, 1, fleet.WarmUp{Span: 3 * time.Second, PerSecond: 10}, bounds, now)
 	now = now.Add(time.Minute)
-	g.Expect(tested.offer(100, time.Second, now)).To(Equal(100))
+	g.Expect(tested.sendLoad(100, time.Second, now)).To(Equal(100))
 	now = now.Add(time.Second)
 	entry := fleet.Server{ID: "server-0", Service: "s", Address: "server-0", Zone: "near", Slots: 4, WarmUp: 2 * time.Second}
 	tested.fleets[0].Apply(entry, now)
-	g.Expect(tested.offer(100, time.Second, now)).To(BeNumerically("<=", 10))
+	g.Expect(tested.sendLoad(100, time.Second, now)).To(BeNumerically("<=", 10))
 	entry.WarmUp = 0
 	tested.fleets[0].Apply(entry, now.Add(time.Second))
-	g.Expect(tested.offer(100, time.Second, now.Add(time.Second))).To(BeNumerically("<=", 10), "the rest of the span")
-	g.Expect(tested.offer(100, time.Second, now.Add(3*time.Second))).To(Equal(100))
+	g.Expect(tested.sendLoad(100, time.Second, now.Add(time.Second))).To(BeNumerically("<=", 10), "still cold for the rest of the warm-up time")
+	g.Expect(tested.sendLoad(100, time.Second, now.Add(3*time.Second))).To(Equal(100))
 }
 
-// TestOwnersHaveMostOfWhatAColdServerBears, since requests of a service with owners come
-// from them; also if three nodes of each region take themselves for the owner.
+// TestOwnersHaveMostOfWhatAColdServerBears: owners get most of the requests that a cold server can
+// take, since the requests of a service with owners come from them. The bound also holds when three
+// nodes of a region consider themselves the owner.
 func TestOwnersHaveMostOfWhatAColdServerBears(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	bounds := fleet.WarmUpBounds{Factor: 1.5, Extra: 5}
 	tested := newColdNodes(65, 1, fleet.WarmUp{Span: 3 * time.Second, PerSecond: 60}, bounds, now)
-	owned := choice
-	owned.AsOwner = true
+	ownerChoice := choice
+	ownerChoice.AsOwner = true
 	sent := 0
 	for number, node := range tested.fleets {
 		node.SetConnections(map[string]int{"s": 64})
-		asked := choice
+		request := choice
 		if number < 3 {
-			asked = owned
+			request = ownerChoice
 		}
 		for range 200 {
-			if lease, _ := node.Acquire(asked, now); lease != nil {
+			if lease, _ := node.Acquire(request, now); lease != nil {
 				sent++
 				node.Finish(lease, fleet.Answered, 0, now)
 			}
 		}
 		if number == 2 {
-			g.Expect(sent).To(BeNumerically(">", 50), "the owners alone")
+			g.Expect(sent).To(BeNumerically(">", 50), "requests of the owners alone")
 		}
 	}
 	g.Expect(sent).To(BeNumerically("<=", 60*bounds.Factor+bounds.Extra))
--- a/pkg/fleet/evacuation_test.go
+++ b/pkg/fleet/evacuation_test.go
@@ -10,20 +10,20 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-const evacuateWithin = time.Second
+const evacuationTime = time.Second
 
-// TestTheLoadLeavesAnEvacuatedZoneEvenly, and is gone when the time is over, also what
-// has chosen a server before.
+// TestTheLoadLeavesAnEvacuatedZoneEvenly: the load of a zone under evacuation decreases linearly,
+// and is zero when the evacuation time is over.
 func TestTheLoadLeavesAnEvacuatedZoneEvenly(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	tested := newFleet(now)
-	g.Expect(tested.Evacuate("near", evacuateWithin, now)).To(BeTrue())
-	g.Expect(tested.Evacuate("near", evacuateWithin, now)).To(BeFalse(), "it is known")
+	g.Expect(tested.Evacuate("near", evacuationTime, now)).To(BeTrue())
+	g.Expect(tested.Evacuate("near", evacuationTime, now)).To(BeFalse(), "the zone is already under evacuation")
 	counts := make([]int, 5)
 	for quarter := range counts {
 		for range 100 {
-			if ask(tested, &now, time.Millisecond) == "near" {
+			if sendRequest(tested, &now, time.Millisecond) == "near" {
 				counts[quarter]++
 			}
 			now = now.Add(1500 * time.Microsecond)
@@ -37,42 +37,44 @@
 	g.Expect(tested.ServingZones("s")).NotTo(ContainElement("near"))
 }
 
+// TestWhatWasQueuedForAnEvacuatedServerIsNotSent: a request that has a lease, but has not been sent
+// yet, is not sent to a server whose zone has been evacuated in the meantime.
 func TestWhatWasQueuedForAnEvacuatedServerIsNotSent(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	tested := newFleet(now)
 	lease, _ := tested.Acquire(choice, now)
 	g.Expect(lease.Server.ID).To(Equal("near"))
-	tested.Evacuate("near", evacuateWithin, now)
+	tested.Evacuate("near", evacuationTime, now)
 	g.Expect(tested.MaySend(lease, route.Regions{}, now)).To(BeTrue())
-	g.Expect(tested.MaySend(lease, route.Regions{}, now.Add(evacuateWithin))).To(BeFalse())
+	g.Expect(tested.MaySend(lease, route.Regions{}, now.Add(evacuationTime))).To(BeFalse())
 }
 
-// TestAServiceWhoseZonesAreAllEvacuatedIsNotServable: none of its servers is the last
-// resort.
+// TestAServiceWhoseZonesAreAllEvacuatedIsNotServable: a server in an evacuated zone is not used as
+// the last resort either.
 func TestAServiceWhoseZonesAreAllEvacuatedIsNotServable(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	tested := newFleet(now)
 	for _, zone := range []string{"near", "far", "farther"} {
-		tested.Evacuate(zone, evacuateWithin, now)
+		tested.Evacuate(zone, evacuationTime, now)
 	}
-	g.Expect(tested.CountServable([]string{"s"}, route.Regions{}, now.Add(evacuateWithin/2))).To(Equal(1))
-	now = now.Add(evacuateWithin)
+	g.Expect(tested.CountServable([]string{"s"}, route.Regions{}, now.Add(evacuationTime/2))).To(Equal(1))
+	now = now.Add(evacuationTime)
 	g.Expect(tested.CountServable([]string{"s"}, route.Regions{}, now)).To(BeZero())
 	_, availability := tested.Acquire(choice, now)
 	g.Expect(availability).To(Equal(fleet.Absent))
 }
 
-// TestAZoneIsUsedWhileItIsEvacuatedIfTheOthersAreFull: until the time is over, a request
-// that fits nowhere else is served there.
+// TestAZoneIsUsedWhileItIsEvacuatedIfTheOthersAreFull: until the evacuation time is over, a request
+// that no other zone has capacity for is served in the zone.
 func TestAZoneIsUsedWhileItIsEvacuatedIfTheOthersAreFull(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	tested := newFleet(now)
 	tested.SetConnections(map[string]int{"s": 1})
-	tested.Evacuate("near", evacuateWithin, now)
-	now = now.Add(evacuateWithin * 9 / 10)
+	tested.Evacuate("near", evacuationTime, now)
+	now = now.Add(evacuationTime * 9 / 10)
 	servers := map[string]bool{}
 	for range 3 {
 		lease, availability := tested.Acquire(choice, now)
@@ -82,8 +84,8 @@
 	g.Expect(servers).To(HaveLen(3))
 }
 
-// TestAZoneReturnsColdFromAnEvacuation, since its servers have served nothing meanwhile
-// and what they tell of it may come later.
+// TestAZoneReturnsColdFromAnEvacuation: after an evacuation the servers of a zone count as cold,
+// since they have served nothing in the meantime and their entries may say so only later.
 func TestAZoneReturnsColdFromAnEvacuation(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
@@ -92,16 +94,16 @@
 	tested.SetWarmUpBounds(fleet.WarmUpBounds{Factor: 1})
 	tested.SetCallers(fleet.Callers{Total: 1, ByZone: map[string]int{"near": 1}, Names: []string{""}})
 	g.Expect(tested.EndEvacuation("near", now)).To(BeFalse())
-	tested.Evacuate("near", evacuateWithin, now)
+	tested.Evacuate("near", evacuationTime, now)
 	now = now.Add(time.Minute)
 	g.Expect(tested.EndEvacuation("near", now)).To(BeTrue())
 	near := 0
 	for range 100 {
-		if ask(tested, &now, 9*time.Millisecond) == "near" {
+		if sendRequest(tested, &now, 9*time.Millisecond) == "near" {
 			near++
 		}
 	}
-	g.Expect(near).To(BeNumerically("<=", 4), "in nearly a second")
+	g.Expect(near).To(BeNumerically("<=", 4), "while cold, in nearly a second")
 	now = now.Add(3 * time.Second)
-	g.Expect(ask(tested, &now, time.Millisecond)).To(Equal("near"), "it is warm again")
+	g.Expect(sendRequest(tested, &now, time.Millisecond)).To(Equal("near"), "after the warm-up time")
 }
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -11,14 +11,14 @@
 	"github.com/bramblemast/bramblemast/pkg/fleet"
 )
 
-const leaveWithin = 2 * time.Second
+const leaveGrace = 2 * time.Second
 
 var choice = fleet.Choice{Service: "s", Kind: "k", Assumed: 20 * time.Millisecond}
 
-// newFleet has one server in each of the zones near, far and farther.
+// newFleet returns a fleet with one server in each of the zones near, far and farther.
 func newFleet(now time.Time) *fleet.Fleet {
 	tested := fleet.New(fleet.Settings{
-		Local: fleet.Place{Zone: "near", Region: "here"}, LeaveGrace: leaveWithin,
+		Local: fleet.Place{Zone: "near", Region: "here"}, LeaveGrace: leaveGrace,
 		Regions: map[string]string{"near": "here", "far": "there", "farther": "elsewhere"},
 		Random:  rand.New(rand.NewPCG(1, 1)),
 	})
@@ -28,44 +28,44 @@
 	return tested
 }
 
-// ask sends one request that takes the given time, and returns its server.
-func ask(tested *fleet.Fleet, now *time.Time, took time.Duration) string {
+// sendRequest sends one request that takes the given time, and returns the id of its server.
+func sendRequest(tested *fleet.Fleet, now *time.Time, took time.Duration) string {
 	lease, _ := tested.Acquire(choice, *now)
 	*now = now.Add(took)
 	tested.Finish(lease, fleet.Answered, 0, *now)
 	return lease.Server.ID
 }
 
-// TestTheNearestServerIsAsked, and a single slow answer, which any server has
-// now and then, does not change that; two in a row do, for a while.
+// TestTheNearestServerIsAsked: the nearest server is used. A single slow answer, which any server
+// gives now and then, does not change that; two in a row do for a while.
 func TestTheNearestServerIsAsked(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	tested := newFleet(now)
 	for range 20 {
-		g.Expect(ask(tested, &now, 20*time.Millisecond)).To(Equal("near"))
+		g.Expect(sendRequest(tested, &now, 20*time.Millisecond)).To(Equal("near"))
 	}
 	for range 5 {
-		g.Expect(ask(tested, &now, 300*time.Millisecond)).To(Equal("near"))
+		g.Expect(sendRequest(tested, &now, 300*time.Millisecond)).To(Equal("near"))
 		for range 5 {
-			g.Expect(ask(tested, &now, 20*time.Millisecond)).To(Equal("near"), "after one slow answer")
+			g.Expect(sendRequest(tested, &now, 20*time.Millisecond)).To(Equal("near"), "after one slow answer")
 		}
 	}
-	ask(tested, &now, 200*time.Millisecond)
-	ask(tested, &now, 200*time.Millisecond)
-	g.Expect(ask(tested, &now, 20*time.Millisecond)).NotTo(Equal("near"), "after two slow answers")
+	sendRequest(tested, &now, 200*time.Millisecond)
+	sendRequest(tested, &now, 200*time.Millisecond)
+	g.Expect(sendRequest(tested, &now, 20*time.Millisecond)).NotTo(Equal("near"), "after two slow answers")
 	now = now.Add(time.Minute)
-	g.Expect(ask(tested, &now, 20*time.Millisecond)).To(Equal("near"), "a slow server is tried again")
+	g.Expect(sendRequest(tested, &now, 20*time.Millisecond)).To(Equal("near"), "a slow server is tried again")
 }
 
-// TestRequestsOfOnePauseCountOnce: what was under way during one pause shows
-// one pause.
+// TestRequestsOfOnePauseCountOnce: several slow answers to requests that were in flight during the
+// same pause count as one slow episode.
 func TestRequestsOfOnePauseCountOnce(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	tested := newFleet(now)
 	for range 20 {
-		ask(tested, &now, 20*time.Millisecond)
+		sendRequest(tested, &now, 20*time.Millisecond)
 	}
 	var leases []*fleet.Lease
 	for range 3 {
@@ -77,11 +77,11 @@
 	for _, lease := range leases {
 		tested.Finish(lease, fleet.Answered, 0, now)
 	}
-	g.Expect(ask(tested, &now, 20*time.Millisecond)).To(Equal("near"))
+	g.Expect(sendRequest(tested, &now, 20*time.Millisecond)).To(Equal("near"))
 }
 
-// TestASilentServerIsAvoidedBeforeItAnswers: a request that is overdue diverts
-// the next ones.
+// TestASilentServerIsAvoidedBeforeItAnswers: while a request is overdue, the next requests go to
+// other servers.
 func TestASilentServerIsAvoidedBeforeItAnswers(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
@@ -92,10 +92,10 @@
 	next, _ := tested.Acquire(choice, now)
 	g.Expect(next.Server.ID).NotTo(Equal("near"))
 	tested.Finish(waiting, fleet.Answered, 0, now)
-	g.Expect(ask(tested, &now, time.Millisecond)).To(Equal("near"))
+	g.Expect(sendRequest(tested, &now, time.Millisecond)).To(Equal("near"))
 }
 
-// TestAServerThatAnswersOthersIsNotSilent: one heavy request diverts no others, a
+// TestAServerThatAnswersOthersIsNotSilent: a single heavy request does not divert other requests; a
 // pause does.
 func TestAServerThatAnswersOthersIsNotSilent(t *testing.T) {
 	g := NewWithT(t)
@@ -104,14 +104,15 @@
 	heavy, _ := tested.Acquire(choice, now)
 	g.Expect(heavy.Server.ID).To(Equal("near"))
 	for range 8 {
-		g.Expect(ask(tested, &now, 30*time.Millisecond)).To(Equal("near"))
+		g.Expect(sendRequest(tested, &now, 30*time.Millisecond)).To(Equal("near"))
 	}
 	now = now.Add(90 * time.Millisecond)
 	next, _ := tested.Acquire(choice, now)
-	g.Expect(next.Server.ID).NotTo(Equal("near"), "it answers nothing any more")
+	g.Expect(next.Server.ID).NotTo(Equal("near"), "no answers during the pause")
 }
 
-// TestAFailedServerIsAvoidedForATime that doubles with each failure.
+// TestAFailedServerIsAvoidedForATime: a server that failed or refused a request is avoided for a
+// time that doubles with each failure in a row.
 func TestAFailedServerIsAvoidedForATime(t *testing.T) {
 	g := NewWithT(t)
 	for _, result := range []fleet.Result{fleet.Failed, fleet.Refused} {
@@ -130,7 +131,8 @@
 	}
 }
 
-// TestALeavingServerIsTheLastOneAsked, and not at all when its time is over.
+// TestALeavingServerIsTheLastOneAsked: a leaving server is used only if there is no other, and not
+// at all once its grace time is over.
 func TestALeavingServerIsTheLastOneAsked(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
@@ -138,19 +140,19 @@
 	draining := fleet.Server{ID: "near", Service: "s", Address: "near", Zone: "near", Draining: true}
 	g.Expect(tested.Apply(draining, now)).To(Equal(fleet.Change{Kind: fleet.Draining}))
 	g.Expect(tested.Apply(draining, now.Add(time.Second))).To(Equal(fleet.Change{}))
-	g.Expect(ask(tested, &now, time.Millisecond)).NotTo(Equal("near"))
+	g.Expect(sendRequest(tested, &now, time.Millisecond)).NotTo(Equal("near"))
 	for _, other := range []string{"far", "farther"} {
 		g.Expect(tested.Remove(other, time.Time{}, now)).To(BeTrue())
 		g.Expect(tested.Remove(other, time.Time{}, now)).To(BeFalse())
 	}
-	g.Expect(ask(tested, &now, time.Millisecond)).To(Equal("near"))
-	_, availability := tested.Acquire(choice, time.Unix(0, 0).Add(leaveWithin+time.Millisecond))
+	g.Expect(sendRequest(tested, &now, time.Millisecond)).To(Equal("near"))
+	_, availability := tested.Acquire(choice, time.Unix(0, 0).Add(leaveGrace+time.Millisecond))
 	g.Expect(availability).To(Equal(fleet.Absent))
 }
 
-// TestAListInDoubtTakesNoServerAway: while the store may have lost entries, a
-// server that vanished is asked as before, until the doubt ends or it is
-// listed again. (tintas-setubal trouble-1 --seed 202)
+// TestAListInDoubtTakesNoServerAway: while the store may have lost entries, a server that has
+// disappeared from the list is used as before, until the unconfirmed time ends or the server is
+// listed again.
 func TestAListInDoubtTakesNoServerAway(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
@@ -162,15 +164,16 @@
 	g.Expect(tested.Len()).To(BeZero())
 	now = now.Add(3 * time.Second)
 	tested.Sweep(now)
-	g.Expect(ask(tested, &now, time.Millisecond)).To(Equal("near"))
+	g.Expect(sendRequest(tested, &now, time.Millisecond)).To(Equal("near"))
 	listed := fleet.Server{ID: "far", Service: "s", Address: "far", Zone: "far"}
 	g.Expect(tested.Apply(listed, now)).To(Equal(fleet.Change{Kind: fleet.Returned}))
 	now = now.Add(2 * time.Second)
 	tested.Sweep(now)
-	g.Expect(ask(tested, &now, time.Millisecond)).To(Equal("far"))
+	g.Expect(sendRequest(tested, &now, time.Millisecond)).To(Equal("far"))
 }
 
-// TestAnAddressThatAnotherServerHas is not asked for the old one any more.
+// TestAnAddressThatAnotherServerHas: once another server has answered at a server's address, the
+// address is not used for the earlier server any more.
 func TestAnAddressThatAnotherServerHas(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
@@ -178,11 +181,11 @@
 	lease, _ := tested.Acquire(choice, now)
 	g.Expect(lease.Server.ID).To(Equal("near"))
 	tested.Finish(lease, fleet.WrongInstance, 0, now)
-	g.Expect(ask(tested, &now, time.Millisecond)).NotTo(Equal("near"))
+	g.Expect(sendRequest(tested, &now, time.Millisecond)).NotTo(Equal("near"))
 }
 
-// TestConnectionsAreSharedByZone: all nodes at their limits together stay within
-// the connections of a server, and its zone has the larger share for each node.
+// TestConnectionsAreSharedByZone: all nodes at their limits together stay within the connections of
+// a server, and each node in the server's zone has a larger share than each other node.
 func TestConnectionsAreSharedByZone(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
@@ -203,9 +206,9 @@
 	g.Expect(2*count["near"] + 8*count["far"]).To(BeNumerically("<=", connections))
 }
 
-// TestASlowServerCostsFewRequests: over a service of many servers of which one
-// turns slow, few requests are sent to it until it is avoided.
-func TestASlowServerCostsFewRequests(t *testing.T) {
+// TestASlowServerGetsFewRequests: when one of many servers of a service becomes slow, few requests
+// are sent to it before it is avoided.
+func TestASlowServerGetsFewRequests(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	tested := newFleet(now)
@@ -227,8 +230,8 @@
 	g.Expect(slow).To(BeNumerically("<=", 12))
 }
 
-// TestAServerThatCannotBeReachedIsNotBusy, however many requests try to connect
-// to it: a lost shard is no overload. (valgsok trouble-1 --seed 406752304372)
+// TestAServerThatCannotBeReachedIsNotBusy: a server that cannot be reached does not count as busy,
+// however many requests try to connect to it. Otherwise a lost shard would look like overload.
 func TestAServerThatCannotBeReachedIsNotBusy(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
@@ -249,63 +252,65 @@
 	}
 }
 
-// TestAServerThatCannotBeReachedIsTriedNowAndThen, not by every request that
-// waits for a lost shard. (skipulag-leit scale-1 --seed 12: 279 tries of one
-// request)
+// TestAServerThatCannotBeReachedIsTriedNowAndThen: an unreachable server is retried at intervals,
+// and not by every request that waits for a lost shard. Without that, a single request tried 279
+// times.
 func TestAServerThatCannotBeReachedIsTriedNowAndThen(t *testing.T) {
 	g := NewWithT(t)
-	tries := newSingleServer().tries(fleet.Unreachable, 2*time.Second)
+	tries := newSingleServer().countRequests(fleet.Unreachable, 2*time.Second)
 	g.Expect(tries).To(BeNumerically("~", 20, 2))
 }
 
-// TestAFullServerIsAskedLessAndLess: where nodes outnumber the places at a server,
-// one request of each node is too many, and each one refused is extra load; an
-// answer ends that. (skipulag-leit-grown scale-1 --seed 11: 20,000 denied retries)
+// TestAFullServerIsAskedLessAndLess: a server that refuses requests because it is full is retried
+// at growing intervals until it answers. Where there are more nodes than places at a server, one
+// request of each node is already too many, and each refused one is extra load (20,000 denied
+// retries were seen).
 func TestAFullServerIsAskedLessAndLess(t *testing.T) {
 	g := NewWithT(t)
 	tested := newSingleServer()
-	g.Expect(tested.tries(fleet.Refused, 10*time.Second)).To(BeNumerically("<=", 18))
-	g.Expect(tested.tries(fleet.Answered, 2*time.Second)).To(BeNumerically(">=", 100))
-	g.Expect(tested.tries(fleet.Refused, 300*time.Millisecond)).To(BeNumerically(">=", 2), "it begins anew")
+	g.Expect(tested.countRequests(fleet.Refused, 10*time.Second)).To(BeNumerically("<=", 18))
+	g.Expect(tested.countRequests(fleet.Answered, 2*time.Second)).To(BeNumerically(">=", 100))
+	g.Expect(tested.countRequests(fleet.Refused, 300*time.Millisecond)).To(BeNumerically(">=", 2), "the retry delay starts again at its minimum after an answer")
 }
 
-// TestAServerThatTurnsConnectionsAwayGetsFewer for a while: it may still hold
-// those of a node that lost power. (variant3 trouble-1 --seed 949182802527)
+// TestAServerThatTurnsConnectionsAwayGetsFewer: a server that rejects connections gets fewer
+// requests at a time for a while, since it may still hold the connections of a node that lost
+// power.
 func TestAServerThatTurnsConnectionsAwayGetsFewer(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	tested := fleet.New(fleet.Settings{Local: fleet.Place{Zone: "z"}, Random: rand.New(rand.NewPCG(1, 1))})
 	tested.Apply(fleet.Server{ID: "only", Service: "s", Address: "a", Zone: "z", Slots: 5}, now)
 	tested.SetConnections(map[string]int{"s": 20})
-	takeAll := func() []*fleet.Lease {
-		var taken []*fleet.Lease
+	acquireAll := func() []*fleet.Lease {
+		var acquired []*fleet.Lease
 		for {
 			lease, _ := tested.Acquire(choice, now)
 			if lease == nil {
-				return taken
+				return acquired
 			}
-			taken = append(taken, lease)
+			acquired = append(acquired, lease)
 		}
 	}
-	before := takeAll()
+	before := acquireAll()
 	g.Expect(len(before)).To(BeNumerically(">=", 4))
 	for _, lease := range before {
 		tested.Finish(lease, fleet.TurnedAway, 0, now)
 	}
 	now = now.Add(100 * time.Millisecond)
-	narrowed := takeAll()
+	narrowed := acquireAll()
 	g.Expect(len(narrowed)).To(BeNumerically("<=", len(before)/2))
 	g.Expect(narrowed).NotTo(BeEmpty())
 	for _, lease := range narrowed {
 		tested.Finish(lease, fleet.Answered, 0, now)
 	}
 	now = now.Add(2 * time.Second)
-	g.Expect(takeAll()).To(HaveLen(len(before)))
+	g.Expect(acquireAll()).To(HaveLen(len(before)))
 }
 
-// TestAFullServerIsBusyWhileItIsNotAsked: a part waits for it, rather than being
-// left out as one without servers.
-func TestAFullServerIsBusyWhileItIsNotAsked(t *testing.T) {
+// TestAFullServerIsBusyDuringItsRetryDelay: a sub-request waits for a full server, and is not left
+// out as if the service had no servers.
+func TestAFullServerIsBusyDuringItsRetryDelay(t *testing.T) {
 	for result, expected := range map[fleet.Result]fleet.Availability{
 		fleet.Refused: fleet.Busy, fleet.TurnedAway: fleet.Busy, fleet.Unreachable: fleet.Absent,
 	} {
@@ -322,11 +327,12 @@
 	}
 }
 
-// TestAServerThatTurnsConnectionsAwayIsTriedSeldom: it spends its time on what it
-// turns away. (valgsok-grown fresh-fa94: 70,000 connections in six seconds)
+// TestAServerThatTurnsConnectionsAwayIsTriedSeldom: rejecting connections costs a server time, so
+// connections to it are retried at growing intervals. Without that, 70,000 connections were opened
+// in six seconds.
 func TestAServerThatTurnsConnectionsAwayIsTriedSeldom(t *testing.T) {
 	g := NewWithT(t)
-	tries := newSingleServer().tries(fleet.TurnedAway, 10*time.Second)
+	tries := newSingleServer().countRequests(fleet.TurnedAway, 10*time.Second)
 	g.Expect(tries).To(And(BeNumerically(">=", 6), BeNumerically("<=", 20)))
 }
 
@@ -344,9 +350,9 @@
 	return single
 }
 
-// tries asks for the server each 10 ms, lets every request end with a result,
-// and returns how many there were.
-func (s *singleServer) tries(result fleet.Result, span time.Duration) int {
+// countRequests tries to acquire a lease every 10 ms, ends each with the given result, and returns
+// how many it acquired.
+func (s *singleServer) countRequests(result fleet.Result, span time.Duration) int {
 	count := 0
 	for end := s.now.Add(span); s.now.Before(end); s.now = s.now.Add(10 * time.Millisecond) {
 		if lease, _ := s.Acquire(choice, s.now); lease != nil {
--- a/pkg/fleet/idle_test.go
+++ b/pkg/fleet/idle_test.go
@@ -15,11 +15,10 @@
 	"github.com/bramblemast/bramblemast/pkg/fleet"
 )
 
-// idleNodes are nodes that share the three servers of one service, one in
-// each zone.
+// idleNodes are nodes that share the three servers of one service, one in each zone.
 type idleNodes struct {
 	fleets []*fleet.Fleet
-	// pools are those that were used, by server.
+	// pools are the pools that have been used, by server.
 	pools map[string]map[*exchange.Pool]bool
 }
 
@@ -51,14 +50,14 @@
 	return nodes
 }
 
-// ask sends one request of a node, and now and then a hedge to another server.
-func (n *idleNodes) ask(g *WithT, index int, hedged bool) {
-	asked := choice
-	first, _ := n.fleets[index].Acquire(asked, time.Now())
+// sendRequest sends one request of a node and, if hedged, a hedge to another server.
+func (n *idleNodes) sendRequest(g *WithT, index int, hedged bool) {
+	request := choice
+	first, _ := n.fleets[index].Acquire(request, time.Now())
 	leases := []*fleet.Lease{first}
 	if hedged {
-		asked.Excluded = leases
-		second, _ := n.fleets[index].Acquire(asked, time.Now())
+		request.Excluded = leases
+		second, _ := n.fleets[index].Acquire(request, time.Now())
 		leases = append(leases, second)
 	}
 	for _, lease := range leases {
@@ -72,25 +71,24 @@
 	}
 }
 
-// mostIdle returns the idle connections of the server with the most.
-func (n *idleNodes) mostIdle() int {
-	most := 0
+// maxIdle returns the number of idle connections of the server that has the most.
+func (n *idleNodes) maxIdle() int {
+	highest := 0
 	for _, pools := range n.pools {
 		idle := 0
 		for pool := range pools {
 			idle += pool.Idle()
 		}
-		most = max(most, idle)
+		highest = max(highest, idle)
 	}
-	return most
+	return highest
 }
 
-// work lets every node send two requests a second for a while, one in sixteen of
-// them hedged.
-func (n *idleNodes) work(g *WithT, span time.Duration) {
+// sendLoad lets every node send two requests per second, one in sixteen of them hedged.
+func (n *idleNodes) sendLoad(g *WithT, span time.Duration) {
 	for sent := range int(span / (500 * time.Millisecond)) {
 		for index := range n.fleets {
-			n.ask(g, index, (sent+index)%16 == 0)
+			n.sendRequest(g, index, (sent+index)%16 == 0)
 		}
 		time.Sleep(500 * time.Millisecond)
 		for _, each := range n.fleets {
@@ -106,57 +104,56 @@
 	}
 }
 
-// TestIdleConnectionsLeaveRoom: where nodes outnumber the connections of a
-// server, the idle ones leave half of them to nodes that lose their power and
-// come back, whose old connections the server still counts. (valgsok-grown
-// fresh-fa94)
+// TestIdleConnectionsLeaveRoom: where there are more nodes than connections to a server, the idle
+// connections leave half of them free for nodes that lose power and come back, whose old
+// connections the server still counts.
 func TestIdleConnectionsLeaveRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const connections = 68
 		many := newIdleNodes(72, connections)
-		many.work(g, 12*time.Second)
-		g.Expect(many.mostIdle()).To(BeNumerically("<=", connections/2))
+		many.sendLoad(g, 12*time.Second)
+		g.Expect(many.maxIdle()).To(BeNumerically("<=", connections/2))
 		many.close()
 	})
 }
 
-// TestIdleConnectionsAreKeptForFewNodes: where there is room, a connection that was used
-// once is kept for as long as the server allows.
+// TestIdleConnectionsAreKeptForFewNodes: where there are enough connections, one that was used once
+// is kept for as long as the server allows.
 func TestIdleConnectionsAreKeptForFewNodes(t *testing.T) {
 	for _, connections := range []int{0, 41} {
 		t.Run(fmt.Sprint(connections, " connections"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				few := newIdleNodes(9, connections)
-				few.ask(g, 0, true)
+				few.sendRequest(g, 0, true)
 				time.Sleep(10 * time.Second)
 				few.fleets[0].Sweep(time.Now())
-				g.Expect(few.mostIdle()).To(Equal(1))
+				g.Expect(few.maxIdle()).To(Equal(1))
 				few.close()
 			})
 		})
 	}
 }
 
-// TestIdleConnectionsLeaveEachNodeOneMore: where nodes are few, what all of them
-// keep idle at a server leaves room for a new connection of each, since all may
-// lose their power at once. (skipulag-leit trouble-2: 906 connections turned away)
+// TestIdleConnectionsLeaveEachNodeOneMore: where there are few nodes, the idle connections of all
+// of them to a server leave one new connection for each node, since all may lose power at once.
+// Without that, servers rejected 906 connections.
 func TestIdleConnectionsLeaveEachNodeOneMore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const nodes, connections = 9, 31
 		few := newIdleNodes(nodes, connections)
 		for range 3 {
-			few.crowd(g)
+			few.saturate(g)
 		}
-		g.Expect(few.mostIdle()).To(BeNumerically("<=", connections-nodes))
+		g.Expect(few.maxIdle()).To(BeNumerically("<=", connections-nodes))
 		few.close()
 	})
 }
 
-// crowd lets every node send as many requests at once as servers have room for.
-func (n *idleNodes) crowd(g *WithT) {
+// saturate lets every node send as many concurrent requests as its limits allow.
+func (n *idleNodes) saturate(g *WithT) {
 	var requests sync.WaitGroup
 	for _, node := range n.fleets {
 		for {
@@ -178,7 +175,7 @@
 	requests.Wait()
 }
 
-// newAttempt returns the sending of a request to the server of a lease.
+// newAttempt returns an attempt to send a request to the server of a lease.
 func newAttempt(lease *fleet.Lease) *exchange.Attempt {
 	return &exchange.Attempt{
 		Dialect: &exchangetest.Dialect, Pool: lease.Pool, Request: &exchange.Request{Method: "GET", Target: "/", ID: "r"},
@@ -186,17 +183,18 @@
 	}
 }
 
-// TestNoIdleConnectionIsUsedAfterASuspension of the machine: the other side may have closed it.
+// TestNoIdleConnectionIsUsedAfterASuspension: after a suspension of the machine no idle connection
+// is used, since the other side may have closed it.
 func TestNoIdleConnectionIsUsedAfterASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		nodes := newIdleNodes(3, 41)
-		nodes.work(g, 2*time.Second)
-		g.Expect(nodes.mostIdle()).To(BeNumerically(">", 0))
+		nodes.sendLoad(g, 2*time.Second)
+		g.Expect(nodes.maxIdle()).To(BeNumerically(">", 0))
 		for _, each := range nodes.fleets {
 			each.DropIdle()
 		}
-		g.Expect(nodes.mostIdle()).To(BeZero())
+		g.Expect(nodes.maxIdle()).To(BeZero())
 		nodes.close()
 	})
 }
--- a/pkg/fleet/incarnation_test.go
+++ b/pkg/fleet/incarnation_test.go
@@ -11,24 +11,25 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// newRestarting has one server near and one far, which have told their starts.
-func newRestarting(now time.Time) *fleet.Fleet {
+// newFleetWithStarts returns a fleet with one near and one far server, both with a start.
+func newFleetWithStarts(now time.Time) *fleet.Fleet {
 	tested := fleet.New(fleet.Settings{
-		Local: fleet.Place{Zone: "near", Region: "here"}, LeaveGrace: leaveWithin,
+		Local: fleet.Place{Zone: "near", Region: "here"}, LeaveGrace: leaveGrace,
 		Regions: map[string]string{"near": "here", "far": "there"}, Random: rand.New(rand.NewPCG(1, 1)),
 	})
-	tested.Apply(started("near", 1000), now)
-	tested.Apply(started("far", 1000), now)
+	tested.Apply(startedServer("near", 1000), now)
+	tested.Apply(startedServer("far", 1000), now)
 	return tested
 }
 
-// started is the entry of a server that tells its start.
-func started(id string, start fleet.Start) fleet.Server {
+// startedServer returns the entry of a server with the given start.
+func startedServer(id string, start fleet.Start) fleet.Server {
 	return fleet.Server{ID: id, Start: start, Service: "s", Address: id, Zone: id, Slots: 4}
 }
 
-// TestNothingOfAnEarlierStartHolds for the next one of the same server: neither what it failed,
-// nor how slow it was, nor that it refused, drained, was silent or had another server's place.
+// TestNothingOfAnEarlierStartHolds: when a server restarts, nothing of its earlier process applies
+// to the new one: neither failures, refusals, slowness and silence, nor that it was draining or
+// that its address belonged to another server.
 func TestNothingOfAnEarlierStartHolds(t *testing.T) {
 	now := time.Unix(0, 0)
 	finish := func(result fleet.Result) func(*fleet.Fleet) {
@@ -38,7 +39,7 @@
 			}
 		}
 	}
-	for name, harm := range map[string]func(*fleet.Fleet){
+	for name, impair := range map[string]func(*fleet.Fleet){
 		"failed": finish(fleet.Failed), "refused": finish(fleet.Refused), "turned away": finish(fleet.TurnedAway),
 		"unreachable": finish(fleet.Unreachable), "wrong instance": finish(fleet.WrongInstance),
 		"slow": func(tested *fleet.Fleet) {
@@ -48,12 +49,12 @@
 			}
 		},
 		"draining": func(tested *fleet.Fleet) {
-			draining := started("near", 1000)
+			draining := startedServer("near", 1000)
 			draining.Draining = true
 			tested.Apply(draining, now)
 		},
 		"warming up": func(tested *fleet.Fleet) {
-			cold := started("near", 1000)
+			cold := startedServer("near", 1000)
 			cold.WarmUp = time.Hour
 			tested.Apply(cold, now)
 		},
@@ -67,10 +68,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			tested := newRestarting(now)
-			harm(tested)
+			tested := newFleetWithStarts(now)
+			impair(tested)
 			later := now.Add(4 * time.Second)
-			g.Expect(tested.Apply(started("near", 2000), later)).To(Equal(fleet.Change{
+			g.Expect(tested.Apply(startedServer("near", 2000), later)).To(Equal(fleet.Change{
 				Kind: fleet.Restarted, Replaced: fleet.Incarnation{ID: "near", Start: 1000},
 			}))
 			lease, _ := tested.Acquire(choice, later)
@@ -79,64 +80,65 @@
 	}
 }
 
-// TestLateNewsOfAnEarlierStartChangesNothing: requests that were sent to it end as failures of a
-// process that is gone, and those that wait to be sent are not sent.
+// TestLateNewsOfAnEarlierStartChangesNothing: results of requests to an earlier process do not
+// affect the new one, and requests to the earlier process that have not been sent yet are not sent.
 func TestLateNewsOfAnEarlierStartChangesNothing(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	tested := newRestarting(now)
+	tested := newFleetWithStarts(now)
 	var leases []*fleet.Lease
 	for range 4 {
 		lease, _ := tested.Acquire(choice, now)
 		g.Expect(lease.Server.ID).To(Equal("near"))
 		leases = append(leases, lease)
 	}
-	tested.Apply(started("near", 2000), now)
+	tested.Apply(startedServer("near", 2000), now)
 	g.Expect(tested.MaySend(leases[0], route.Regions{}, now)).To(BeFalse())
 	later, _ := tested.Acquire(choice, now)
-	g.Expect(later.Pool).NotTo(BeIdenticalTo(leases[0].Pool), "connections of the earlier process are not used")
+	g.Expect(later.Pool).NotTo(BeIdenticalTo(leases[0].Pool), "connections of the earlier process must not be used")
 	tested.Cancel(later)
 	now = now.Add(time.Second)
 	for index, result := range []fleet.Result{fleet.Failed, fleet.Refused, fleet.WrongInstance, fleet.Unreachable} {
 		tested.Finish(leases[index], result, 0, now)
 	}
 	for range 5 {
-		g.Expect(ask(tested, &now, 20*time.Millisecond)).To(Equal("near"))
+		g.Expect(sendRequest(tested, &now, 20*time.Millisecond)).To(Equal("near"))
 	}
 	tested.Sweep(now)
-	g.Expect(ask(tested, &now, 20*time.Millisecond)).To(Equal("near"), "the earlier process is forgotten alone")
+	g.Expect(sendRequest(tested, &now, 20*time.Millisecond)).To(Equal("near"), "only the earlier process is forgotten")
 }
 
-// TestAStartMayLieBeforeTheLast: a clock that was set back does not hide a server. The order of
-// the list tells which start is in force.
+// TestAStartMayLieBeforeTheLast: a server whose clock was set back is not ignored. The order of the
+// list, not the time, tells which start is in force.
 func TestAStartMayLieBeforeTheLast(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	tested := newRestarting(now)
-	g.Expect(tested.Apply(started("near", 400), now).Kind).To(Equal(fleet.Restarted))
+	tested := newFleetWithStarts(now)
+	g.Expect(tested.Apply(startedServer("near", 400), now).Kind).To(Equal(fleet.Restarted))
 	lease, _ := tested.Acquire(choice, now)
 	g.Expect(lease.Server.Start).To(Equal(fleet.Start(400)))
-	g.Expect(tested.Apply(started("near", 400), now)).To(Equal(fleet.Change{}))
+	g.Expect(tested.Apply(startedServer("near", 400), now)).To(Equal(fleet.Change{}))
 }
 
-// TestAKeyThatIsWrittenAgain is the same server if the start is the same, and another process if
-// not; both also while requests of before are under way.
-func TestAKeyThatIsWrittenAgain(t *testing.T) {
+// TestAServerThatIsListedAgain: a server that is listed again is the same process if the start is
+// the same and another one if not, also while earlier requests are in flight.
+func TestAServerThatIsListedAgain(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	tested := newRestarting(now)
+	tested := newFleetWithStarts(now)
 	lease, _ := tested.Acquire(choice, now)
 	tested.Remove("near", time.Time{}, now)
-	g.Expect(tested.Apply(started("near", 1000), now).Kind).To(Equal(fleet.Returned))
+	g.Expect(tested.Apply(startedServer("near", 1000), now).Kind).To(Equal(fleet.Returned))
 	g.Expect(tested.MaySend(lease, route.Regions{}, now)).To(BeTrue())
 	tested.Remove("near", time.Time{}, now)
-	g.Expect(tested.Apply(started("near", 3000), now).Kind).To(Equal(fleet.Restarted))
+	g.Expect(tested.Apply(startedServer("near", 3000), now).Kind).To(Equal(fleet.Restarted))
 	g.Expect(tested.MaySend(lease, route.Regions{}, now)).To(BeFalse())
 	g.Expect(tested.Len()).To(Equal(2))
 }
 
-// TestServersThatTellNoStart are the same process for as long as they are listed.
-func TestServersThatTellNoStart(t *testing.T) {
+// TestServersWithoutAStart: a server that gives no start is the same process when it is listed
+// again.
+func TestServersWithoutAStart(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	tested := newFleet(now)
@@ -146,49 +148,50 @@
 	g.Expect(tested.Apply(entry, now).Kind).To(Equal(fleet.Returned))
 }
 
-// TestAnEntryThatNamesNoServer takes the one that was known under its key away within the bound,
-// until a sound one comes. An entry without the start that the server has told is none of its own,
-// also when the server itself has long been forgotten.
+// TestAnEntryThatNamesNoServer: an invalid entry removes the server that was known under its key,
+// within the grace time and until a valid entry follows. An entry without the start that the server
+// has given is not the server's own, even after the server has been forgotten.
 func TestAnEntryThatNamesNoServer(t *testing.T) {
-	mistaken := started("near", 0)
-	for name, refuse := range map[string]func(*fleet.Fleet, time.Time) bool{
+	withoutStart := startedServer("near", 0)
+	for name, reject := range map[string]func(*fleet.Fleet, time.Time) bool{
 		"unreadable":    func(f *fleet.Fleet, now time.Time) bool { return f.RejectEntry("near", now) },
-		"without start": func(f *fleet.Fleet, now time.Time) bool { return f.Apply(mistaken, now).Kind == fleet.Invalid },
+		"without start": func(f *fleet.Fleet, now time.Time) bool { return f.Apply(withoutStart, now).Kind == fleet.Invalid },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			now := time.Unix(0, 0)
-			tested := newRestarting(now)
-			g.Expect(refuse(tested, now)).To(BeTrue())
-			g.Expect(refuse(tested, now)).To(BeFalse(), "once for each change")
-			g.Expect(ask(tested, &now, 20*time.Millisecond)).To(Equal("far"))
-			g.Expect(tested.HasServersFor([]string{"s"})).To(BeTrue(), "the others hold")
-			g.Expect(tested.Apply(started("near", 1000), now).Kind).To(Equal(fleet.Returned))
-			g.Expect(ask(tested, &now, 20*time.Millisecond)).To(Equal("near"))
+			tested := newFleetWithStarts(now)
+			g.Expect(reject(tested, now)).To(BeTrue())
+			g.Expect(reject(tested, now)).To(BeFalse(), "only the first rejection is a change")
+			g.Expect(sendRequest(tested, &now, 20*time.Millisecond)).To(Equal("far"))
+			g.Expect(tested.HasServersFor([]string{"s"})).To(BeTrue(), "the other server remains")
+			g.Expect(tested.Apply(startedServer("near", 1000), now).Kind).To(Equal(fleet.Returned))
+			g.Expect(sendRequest(tested, &now, 20*time.Millisecond)).To(Equal("near"))
 
-			refuse(tested, now)
-			now = now.Add(leaveWithin + time.Second)
+			reject(tested, now)
+			now = now.Add(leaveGrace + time.Second)
 			tested.Sweep(now)
-			g.Expect(tested.Apply(mistaken, now)).To(Equal(fleet.Change{Kind: fleet.StillInvalid}))
+			g.Expect(tested.Apply(withoutStart, now)).To(Equal(fleet.Change{Kind: fleet.StillInvalid}))
 			g.Expect(tested.Len()).To(Equal(1))
-			g.Expect(tested.Apply(started("near", 1000), now).Kind).To(Equal(fleet.Added))
+			g.Expect(tested.Apply(startedServer("near", 1000), now).Kind).To(Equal(fleet.Added))
 			tested.Remove("near", time.Time{}, now)
-			tested.Sweep(now.Add(leaveWithin + time.Second))
-			g.Expect(tested.Apply(mistaken, now.Add(time.Minute)).Kind).To(Equal(fleet.Added), "the key was gone meanwhile")
+			tested.Sweep(now.Add(leaveGrace + time.Second))
+			g.Expect(tested.Apply(withoutStart, now.Add(time.Minute)).Kind).To(Equal(fleet.Added), "the key was removed in the meantime")
 		})
 	}
 }
 
-// TestEachEntryWithoutAStartIsTold, as a mistake, for as long as its server's own is missing.
+// TestEachEntryWithoutAStartIsTold: each entry without a start is reported as invalid for as long
+// as the server's own entry is missing.
 func TestEachEntryWithoutAStartIsTold(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	tested := newRestarting(now)
-	g.Expect(tested.Apply(started("near", 0), now).Kind).To(Equal(fleet.Invalid))
-	g.Expect(tested.Apply(started("near", 0), now).Kind).To(Equal(fleet.StillInvalid), "its server is left already")
-	now = now.Add(leaveWithin + time.Second)
+	tested := newFleetWithStarts(now)
+	g.Expect(tested.Apply(startedServer("near", 0), now).Kind).To(Equal(fleet.Invalid))
+	g.Expect(tested.Apply(startedServer("near", 0), now).Kind).To(Equal(fleet.StillInvalid), "the server is already unlisted")
+	now = now.Add(leaveGrace + time.Second)
 	tested.Sweep(now)
-	g.Expect(tested.Apply(started("near", 0), now).Kind).To(Equal(fleet.StillInvalid), "its server is forgotten")
-	g.Expect(tested.Apply(started("near", 1000), now).Kind).To(Equal(fleet.Added))
-	g.Expect(tested.Apply(started("near", 0), now).Kind).To(Equal(fleet.Invalid))
+	g.Expect(tested.Apply(startedServer("near", 0), now).Kind).To(Equal(fleet.StillInvalid), "the server is already forgotten")
+	g.Expect(tested.Apply(startedServer("near", 1000), now).Kind).To(Equal(fleet.Added))
+	g.Expect(tested.Apply(startedServer("near", 0), now).Kind).To(Equal(fleet.Invalid))
 }
--- a/pkg/fleet/partial_test.go
+++ b/pkg/fleet/partial_test.go
@@ -10,33 +10,33 @@
 	"github.com/bramblemast/bramblemast/pkg/fleet"
 )
 
-// partial is a service whose servers refuse a share of their requests at any load, while
-// their health is good.
-type partial struct {
-	fleet   *fleet.Fleet
-	random  *rand.Rand
-	refuses map[string]float64
-	// first and refused count first tries and those that were refused, waited those that
-	// found no server to ask.
-	first, refused, waited int
+// partialRefusals is a service whose servers refuse a share of their requests at any load, while
+// their health checks succeed.
+type partialRefusals struct {
+	fleet         *fleet.Fleet
+	random        *rand.Rand
+	refusedShares map[string]float64
+	// sent counts the requests that were sent, refused those of them that were refused, and
+	// unserved the requests that found no server.
+	sent, refused, unserved int
 }
 
-func newPartial(refuses map[string]float64) *partial {
-	return &partial{fleet: newFleet(time.Unix(0, 0)), random: rand.New(rand.NewPCG(3, 3)), refuses: refuses}
+func newPartialRefusals(refusedShares map[string]float64) *partialRefusals {
+	return &partialRefusals{fleet: newFleet(time.Unix(0, 0)), random: rand.New(rand.NewPCG(3, 3)), refusedShares: refusedShares}
 }
 
-// offer sends requests at a rate of an owner's share of a busy shard.
-func (p *partial) offer(began time.Time, span time.Duration) {
+// sendLoad sends requests at the rate of an owner's share of a busy shard.
+func (p *partialRefusals) sendLoad(began time.Time, span time.Duration) {
 	const interval = 25 * time.Millisecond
 	for now := began; now.Before(began.Add(span)); now = now.Add(interval) {
 		lease, _ := p.fleet.Acquire(choice, now)
 		if lease == nil {
-			p.waited++
+			p.unserved++
 			continue
 		}
-		p.first++
+		p.sent++
 		result := fleet.Answered
-		if p.random.Float64() < p.refuses[lease.Server.ID] {
+		if p.random.Float64() < p.refusedShares[lease.Server.ID] {
 			result = fleet.Refused
 			p.refused++
 		}
@@ -44,23 +44,23 @@
 	}
 }
 
-// TestAShardWhoseServersAllRefuseAPartIsServed: where no server is better, one that
-// answers some requests is asked instead of none: waiting for its penalty to end costs the
-// requests that it would have answered.
-func TestAShardWhoseServersAllRefuseAPartIsServed(t *testing.T) {
+// TestAShardIsServedWhenAllItsServersRefuseSomeRequests: where no server is better, one that
+// answers some requests is used. Waiting for the end of its penalty would lose the requests that it
+// would have answered.
+func TestAShardIsServedWhenAllItsServersRefuseSomeRequests(t *testing.T) {
 	g := NewWithT(t)
-	tested := newPartial(map[string]float64{"near": 0.6, "far": 0.6, "farther": 0.6})
-	tested.offer(time.Unix(10, 0), 9*time.Second)
-	g.Expect(float64(tested.waited)).To(BeNumerically("<", 0.1*float64(tested.first+tested.waited)))
-	g.Expect(float64(tested.refused) / float64(tested.first)).To(BeNumerically("~", 0.6, 0.1))
+	tested := newPartialRefusals(map[string]float64{"near": 0.6, "far": 0.6, "farther": 0.6})
+	tested.sendLoad(time.Unix(10, 0), 9*time.Second)
+	g.Expect(float64(tested.unserved)).To(BeNumerically("<", 0.1*float64(tested.sent+tested.unserved)))
+	g.Expect(float64(tested.refused) / float64(tested.sent)).To(BeNumerically("~", 0.6, 0.1))
 }
 
-// TestAServerThatRefusesAPartIsLeftToOthers: with a sound server, also in another region,
-// nearly all requests are served by their first try.
-func TestAServerThatRefusesAPartIsLeftToOthers(t *testing.T) {
+// TestAServerThatRefusesSomeRequestsIsAvoided: if there is a healthy server, even in another
+// region, nearly all requests are served at the first attempt.
+func TestAServerThatRefusesSomeRequestsIsAvoided(t *testing.T) {
 	g := NewWithT(t)
-	tested := newPartial(map[string]float64{"near": 0.6, "farther": 0.6})
-	tested.offer(time.Unix(10, 0), 9*time.Second)
-	g.Expect(tested.waited).To(BeZero())
-	g.Expect(float64(tested.refused) / float64(tested.first)).To(BeNumerically("<", 0.06))
+	tested := newPartialRefusals(map[string]float64{"near": 0.6, "farther": 0.6})
+	tested.sendLoad(time.Unix(10, 0), 9*time.Second)
+	g.Expect(tested.unserved).To(BeZero())
+	g.Expect(float64(tested.refused) / float64(tested.sent)).To(BeNumerically("<", 0.06))
 }
--- a/pkg/fleet/pauses_test.go
+++ b/pkg/fleet/pauses_test.go
@@ -10,12 +10,12 @@
 	"github.com/bramblemast/bramblemast/pkg/fleet"
 )
 
-// pausePeriod is how often the server near pauses in these tests.
+// pausePeriod is the period at which the near server pauses in these tests.
 const pausePeriod = 7 * time.Second
 
-// letPause sends three requests to the server near, 300 ms and less before a moment at which
-// all are answered.
-func letPause(g *WithT, tested *fleet.Fleet, until time.Time) {
+// simulatePause sends three requests to the near server, 300 ms and less before until, and has all
+// of them answered at until.
+func simulatePause(g *WithT, tested *fleet.Fleet, until time.Time) {
 	var leases []*fleet.Lease
 	for _, before := range []time.Duration{300, 285, 270} {
 		lease, _ := tested.Acquire(choice, until.Add(-before*time.Millisecond))
@@ -27,69 +27,71 @@
 	}
 }
 
-// letPauseOften lets the server near pause three times, and returns when it is foreseen to
-// have paused again. Before each pause it answers as usual.
-func letPauseOften(g *WithT, tested *fleet.Fleet, now time.Time) time.Time {
+// simulatePauses lets the near server pause three times, with normal answers before each pause, and
+// returns the predicted end of the next pause.
+func simulatePauses(g *WithT, tested *fleet.Fleet, now time.Time) time.Time {
 	for range 3 {
 		at := now.Add(-time.Second)
 		for range 5 {
-			g.Expect(ask(tested, &at, 20*time.Millisecond)).To(Equal("near"))
+			g.Expect(sendRequest(tested, &at, 20*time.Millisecond)).To(Equal("near"))
 		}
-		letPause(g, tested, now)
+		simulatePause(g, tested, now)
 		now = now.Add(pausePeriod)
 	}
 	return now
 }
 
-// TestAServerIsPassedOverWhileItIsForeseenToPause, and asked again right after.
-func TestAServerIsPassedOverWhileItIsForeseenToPause(t *testing.T) {
+// TestAServerIsAvoidedDuringAPredictedPause: no requests are sent to a server during a predicted
+// pause, and it is used again right after.
+func TestAServerIsAvoidedDuringAPredictedPause(t *testing.T) {
 	g := NewWithT(t)
-	tested := newRestarting(time.Unix(0, 0))
-	until := letPauseOften(g, tested, time.Unix(10, 0))
+	tested := newFleetWithStarts(time.Unix(0, 0))
+	until := simulatePauses(g, tested, time.Unix(10, 0))
 	for _, each := range []struct {
 		before time.Duration
 		wanted string
 	}{{time.Second, "near"}, {200 * time.Millisecond, "far"}, {100 * time.Millisecond, "far"}, {-30 * time.Millisecond, "near"}} {
 		lease, _ := tested.Acquire(choice, until.Add(-each.before))
-		g.Expect(lease.Server.ID).To(Equal(each.wanted), "%s before the end", each.before)
+		g.Expect(lease.Server.ID).To(Equal(each.wanted), "%s before the end of the predicted pause", each.before)
 		tested.Cancel(lease)
 	}
 	g.Expect(tested.CountPredictedPauses(until)).To(Equal(1))
-	g.Expect(tested.CountPredictedPauses(until.Add(time.Minute))).To(BeZero(), "not seen for long")
+	g.Expect(tested.CountPredictedPauses(until.Add(time.Minute))).To(BeZero(), "no pause seen for a minute")
 }
 
-// TestTheLastServerIsAskedWhileItIsForeseenToPause: nothing waits for the end of a pause that is
-// only foreseen.
-func TestTheLastServerIsAskedWhileItIsForeseenToPause(t *testing.T) {
+// TestTheOnlyServerIsUsedDuringAPredictedPause: if there is no other server, requests do not wait
+// for the end of a pause that is only predicted.
+func TestTheOnlyServerIsUsedDuringAPredictedPause(t *testing.T) {
 	g := NewWithT(t)
 	tested := fleet.New(fleet.Settings{
-		Local: fleet.Place{Zone: "near", Region: "here"}, LeaveGrace: leaveWithin,
+		Local: fleet.Place{Zone: "near", Region: "here"}, LeaveGrace: leaveGrace,
 		Regions: map[string]string{"near": "here"}, Random: rand.New(rand.NewPCG(1, 1)),
 	})
-	tested.Apply(started("near", 1000), time.Unix(0, 0))
-	until := letPauseOften(g, tested, time.Unix(10, 0))
+	tested.Apply(startedServer("near", 1000), time.Unix(0, 0))
+	until := simulatePauses(g, tested, time.Unix(10, 0))
 	for before := 290 * time.Millisecond; before > 0; before -= 50 * time.Millisecond {
 		lease, _ := tested.Acquire(choice, until.Add(-before))
-		g.Expect(lease).NotTo(BeNil(), "%s before the end", before)
+		g.Expect(lease).NotTo(BeNil(), "%s before the end of the predicted pause", before)
 		tested.Cancel(lease)
 	}
 }
 
-// TestPausesOfAnEarlierStartAreForgotten: the next process has a clock of its own.
-func TestPausesOfAnEarlierStartAreForgotten(t *testing.T) {
+// TestPausesOfAnEarlierIncarnationAreForgotten: pauses of an earlier process are not predicted for
+// the next one, which has its own rhythm.
+func TestPausesOfAnEarlierIncarnationAreForgotten(t *testing.T) {
 	g := NewWithT(t)
-	tested := newRestarting(time.Unix(0, 0))
-	until := letPauseOften(g, tested, time.Unix(10, 0))
-	tested.Apply(started("near", 2000), until.Add(-time.Second))
+	tested := newFleetWithStarts(time.Unix(0, 0))
+	until := simulatePauses(g, tested, time.Unix(10, 0))
+	tested.Apply(startedServer("near", 2000), until.Add(-time.Second))
 	lease, _ := tested.Acquire(choice, until.Add(-200*time.Millisecond))
 	g.Expect(lease.Server.Incarnation()).To(Equal(fleet.Incarnation{ID: "near", Start: 2000}))
 }
 
-// BenchmarkAcquire is the choice among the three servers of a shard.
+// BenchmarkAcquire measures the choice among the servers of a shard.
 func BenchmarkAcquire(b *testing.B) {
 	g := NewWithT(b)
-	tested := newRestarting(time.Unix(0, 0))
-	now := letPauseOften(g, tested, time.Unix(10, 0))
+	tested := newFleetWithStarts(time.Unix(0, 0))
+	now := simulatePauses(g, tested, time.Unix(10, 0))
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
--- a/pkg/fleet/regions_test.go
+++ b/pkg/fleet/regions_test.go
@@ -11,56 +11,56 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// bound is a choice of a request that may be served in some regions only.
-func bound(regions ...string) fleet.Choice {
+// boundTo returns a choice for a request that may be served in the given regions only.
+func boundTo(regions ...string) fleet.Choice {
 	limited := choice
 	limited.Regions = route.OnlyRegions(regions)
 	return limited
 }
 
-// TestABoundRequestStaysInItsRegions, also as the last resort: when the only server there
-// leaves, has no room, or none stands there.
+// TestABoundRequestStaysInItsRegions: a request that is bound to regions is never served elsewhere,
+// also when the only server there leaves or is full, or when there is none.
 func TestABoundRequestStaysInItsRegions(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	tested := newFleet(now)
 	tested.Apply(fleet.Server{ID: "lost", Service: "s", Address: "lost", Zone: "unmapped", Slots: 5}, now)
 	for range 50 {
-		lease, _ := tested.Acquire(bound("there"), now)
+		lease, _ := tested.Acquire(boundTo("there"), now)
 		g.Expect(lease.Server.ID).To(Equal("far"))
 		now = now.Add(20 * time.Millisecond)
 		tested.Finish(lease, fleet.Answered, 0, now)
 	}
 	g.Expect(tested.CountServable([]string{"s"}, route.OnlyRegions([]string{"there"}), now)).To(Equal(1))
-	_, availability := tested.Acquire(bound("nowhere"), now)
+	_, availability := tested.Acquire(boundTo("nowhere"), now)
 	g.Expect(availability).To(Equal(fleet.Absent))
-	_, availability = tested.Acquire(bound(""), now)
-	g.Expect(availability).To(Equal(fleet.Absent), "a zone without a known region is in none")
+	_, availability = tested.Acquire(boundTo(""), now)
+	g.Expect(availability).To(Equal(fleet.Absent), "a zone without a known region belongs to no region")
 	g.Expect(tested.CountServable([]string{"s"}, route.OnlyRegions([]string{"nowhere"}), now)).To(BeZero())
 	g.Expect(tested.CountServable([]string{"unknown"}, route.OnlyRegions([]string{"nowhere"}), now)).To(Equal(1), "its servers may start")
 	tested.Remove("far", time.Time{}, now)
-	now = now.Add(2 * leaveWithin)
-	_, availability = tested.Acquire(bound("there"), now)
+	now = now.Add(2 * leaveGrace)
+	_, availability = tested.Acquire(boundTo("there"), now)
 	g.Expect(availability).To(Equal(fleet.Absent))
-	lease, _ := tested.Acquire(bound("there", "elsewhere"), now)
+	lease, _ := tested.Acquire(boundTo("there", "elsewhere"), now)
 	g.Expect(lease.Server.ID).To(Equal("farther"))
 }
 
-// TestALeaseIsCheckedBeforeTheRequestIsSent: opening a connection can take longer than a
-// change of the regions or the end of the server.
+// TestALeaseIsCheckedBeforeTheRequestIsSent: while a connection is being opened, the allowed
+// regions can change or the server can end.
 func TestALeaseIsCheckedBeforeTheRequestIsSent(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	tested := newFleet(now)
-	lease, _ := tested.Acquire(bound("there"), now)
+	lease, _ := tested.Acquire(boundTo("there"), now)
 	g.Expect(tested.MaySend(lease, route.OnlyRegions([]string{"there"}), now)).To(BeTrue())
 	g.Expect(tested.MaySend(lease, route.OnlyRegions([]string{"here"}), now)).To(BeFalse())
 	tested.Remove("far", time.Time{}, now)
-	g.Expect(tested.MaySend(lease, route.Regions{}, now.Add(2*leaveWithin))).To(BeFalse())
+	g.Expect(tested.MaySend(lease, route.Regions{}, now.Add(2*leaveGrace))).To(BeFalse())
 }
 
-// TestABoundRequestIsNotWokenByAServerElsewhere, and one that waits does not keep a server
-// from others that it may not use itself.
+// TestABoundRequestIsNotWokenByAServerElsewhere: a waiting request is not woken by a server that it
+// may not use, and does not reserve that server against others.
 func TestABoundRequestIsNotWokenByAServerElsewhere(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
@@ -69,24 +69,24 @@
 	first, _ := tested.Acquire(choice, now)
 	g.Expect(first.Server.ID).To(Equal("near"))
 	woken := false
-	waiting := bound("there")
+	waiting := boundTo("there")
 	waiting.Rank = fleet.Rank{Needed: true, QueueOrder: 9}
 	tested.Await(&fleet.Waiter{Choice: waiting, Wake: func() { woken = true }})
 	tested.Finish(first, fleet.Answered, 0, now)
 	g.Expect(woken).To(BeFalse())
-	lease, _ := tested.Acquire(bound("here"), now)
+	lease, _ := tested.Acquire(boundTo("here"), now)
 	g.Expect(lease).NotTo(BeNil(), "the waiter cannot use this server")
 }
 
-// TestTheLoadOfBoundRequestsIsTheirOwn: the servers of one region may have too much to do
-// while the others have not.
-func TestTheLoadOfBoundRequestsIsTheirOwn(t *testing.T) {
+// TestBoundRequestsHaveTheirOwnBacklog: the servers of one region may be overloaded while the
+// others are not.
+func TestBoundRequestsHaveTheirOwnBacklog(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	tested := newFleet(now)
 	there := loadshed.Key{Service: "s", Regions: route.OnlyRegions([]string{"there"}).Key()}
 	for range 20 {
-		waiting := bound("there")
+		waiting := boundTo("there")
 		waiting.Target, waiting.Rank = time.Second, fleet.Rank{Needed: true}
 		tested.Await(&fleet.Waiter{Choice: waiting, Wake: func() {}})
 	}
@@ -94,9 +94,9 @@
 	g.Expect(tested.Backlog(loadshed.Key{Service: "s"}, now).Waiting).To(BeZero())
 }
 
-// TestServersInReachAreCounted: without those that ended, that refused the last connection, that
-// left the list, or that stand in another region.
-func TestServersInReachAreCounted(t *testing.T) {
+// TestReachableServersAreCounted: servers that have ended, whose last connection attempt failed,
+// that have left the list, or that are in another region do not count as reachable.
+func TestReachableServersAreCounted(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	tested := newFleet(now)
@@ -108,11 +108,11 @@
 	g.Expect(count(route.Regions{})).To(Equal([2]int{all, all}))
 	g.Expect(count(route.Regions{}, fleet.Incarnation{ID: "far"})).To(Equal([2]int{all - 1, all}))
 	g.Expect(count(route.OnlyRegions([]string{"there"}))).To(Equal([2]int{1, 1}))
-	lease, _ := tested.Acquire(bound("there"), now)
+	lease, _ := tested.Acquire(boundTo("there"), now)
 	tested.Finish(lease, fleet.Unreachable, 0, now)
 	g.Expect(count(route.OnlyRegions([]string{"there"}))).To(Equal([2]int{0, 1}))
 	tested.Remove("far", time.Time{}, now)
-	now = now.Add(2 * leaveWithin)
+	now = now.Add(2 * leaveGrace)
 	g.Expect(count(route.OnlyRegions([]string{"there"}))).To(Equal([2]int{0, 0}))
 	g.Expect(count(route.Regions{})).To(Equal([2]int{all - 1, all - 1}))
 }
