--- a/pkg/owner/announcer_test.go
+++ b/pkg/owner/announcer_test.go
@@ -16,52 +16,52 @@
 	"github.com/bramblemast/bramblemast/pkg/peer"
 )
 
-// crowdedQueues has more waiting than can be served while it is set.
-type crowdedQueues struct{ waiting int }
+// overloadedQueues has more waiting than can be served while it is set.
+type overloadedQueues struct{ waiting int }
 
-func (q *crowdedQueues) Backlog(loadshed.Key, time.Time) loadshed.Backlog {
+func (q *overloadedQueues) Backlog(loadshed.Key, time.Time) loadshed.Backlog {
 	return loadshed.Backlog{Waiting: q.waiting, Target: 200 * time.Millisecond}
 }
 
-// roomNode is a node that measures and is told.
-type roomNode struct {
+// measuringNode is a node that measures and is told.
+type measuringNode struct {
 	announcer *owner.Announcer
-	board     *loadshed.Admitter
-	known     *fanout.AdmissionControl
-	queues    *crowdedQueues
-	told      atomic.Int64
+	admitter  *loadshed.Admitter
+	admission *fanout.AdmissionControl
+	queues    *overloadedQueues
+	published atomic.Int64
 }
 
 // inRegion runs a test with three nodes, two of them in one region.
-func inRegion(t *testing.T, test func(g *WithT, network *peer.Network, nodes map[string]*roomNode)) {
+func inRegion(t *testing.T, test func(g *WithT, network *peer.Network, nodes map[string]*measuringNode)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		network := peer.NewNetwork(1)
 		network.SetLatency(func(_, _ peer.Address) time.Duration { return time.Millisecond })
-		known := []directory.Node{
+		members := []directory.Node{
 			{Name: "owner", Zone: "z", PeerAddress: "owner"}, {Name: "near", Zone: "y", PeerAddress: "near"},
 			{Name: "far", Zone: "x", PeerAddress: "far"},
 		}
-		nodes := make(map[string]*roomNode)
-		done := make(chan struct{}, len(known))
-		for _, each := range known {
-			created := &roomNode{queues: &crowdedQueues{}}
-			created.known = fanout.NewAdmissionControl(created.queues)
-			created.board = created.known.Admitter
-			roster := owner.NewRoster(each, map[string]string{"z": "r", "y": "r", "x": "q"}, noServers{})
-			roster.SetNodes(known)
+		nodes := make(map[string]*measuringNode)
+		done := make(chan struct{}, len(members))
+		for _, member := range members {
+			created := &measuringNode{queues: &overloadedQueues{}}
+			created.admission = fanout.NewAdmissionControl(created.queues)
+			created.admitter = created.admission.Admitter
+			roster := owner.NewRoster(member, map[string]string{"z": "r", "y": "r", "x": "q"}, noServers{})
+			roster.SetNodes(members)
 			announcer := owner.NewAnnouncer(owner.AnnouncerOptions{
-				Admission: created.known, Roster: roster,
-				Transport: network.Transport(peer.Address(each.Name)), OnPublish: func([]loadshed.Measurement) { created.told.Add(1) },
+				Admission: created.admission, Roster: roster,
+				Transport: network.Transport(peer.Address(member.Name)), OnPublish: func([]loadshed.Measurement) { created.published.Add(1) },
 			})
 			created.announcer = announcer
 			go func() { _ = announcer.Run(ctx); done <- struct{}{} }()
-			nodes[each.Name] = created
+			nodes[member.Name] = created
 		}
 		test(NewWithT(t), network, nodes)
 		cancel()
-		for range known {
+		for range members {
 			<-done
 		}
 		time.Sleep(time.Minute)
@@ -77,84 +77,84 @@
 func (noServers) HasServersFor([]string) bool      { return true }
 
 // load offers requests of a service to a node for a while.
-func (n *roomNode) load(span time.Duration) {
+func (n *measuringNode) offerLoad(span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		n.known.Meters.RecordAdmitted(loadshed.Key{Service: "s"}, loadshed.AdmittedRequest{Work: 20 * time.Millisecond, Share: 1, ForPeers: true}, time.Now())
+		n.admission.Meters.RecordAdmitted(loadshed.Key{Service: "s"}, loadshed.AdmittedRequest{Work: 20 * time.Millisecond, Share: 1, ForPeers: true}, time.Now())
 	}
 }
 
-// TestNodesOfTheRegionLearnWithinTenthsOfASecond that a service is short of room, and within a
+// TestRegionLearnsOfShortageWithinTenthsOfASecond that a service is short of room, and within a
 // second that it is not any more; messages do not grow with the load.
-func TestNodesOfTheRegionLearnWithinTenthsOfASecond(t *testing.T) {
-	inRegion(t, func(g *WithT, _ *peer.Network, nodes map[string]*roomNode) {
-		owning, near := nodes["owner"], nodes["near"]
-		owning.load(time.Second)
-		g.Expect(owning.told.Load()).To(BeZero(), "nothing is told without overload")
-		owning.queues.waiting = 50
-		owning.load(500 * time.Millisecond)
-		g.Expect(near.board.ShareOf(loadshed.Key{Service: "s"}, loadshed.Class{}, time.Now())).To(BeNumerically("<", 0.5))
-		g.Expect(nodes["far"].board.AdmitsAll()).To(BeTrue(), "other regions have owners of their own")
-		owning.load(2 * time.Second)
-		g.Expect(owning.told.Load()).To(BeNumerically("<=", 2500/200+1))
-		owning.queues.waiting = 0
+func TestRegionLearnsOfShortageWithinTenthsOfASecond(t *testing.T) {
+	inRegion(t, func(g *WithT, _ *peer.Network, nodes map[string]*measuringNode) {
+		ownerNode, near := nodes["owner"], nodes["near"]
+		ownerNode.offerLoad(time.Second)
+		g.Expect(ownerNode.published.Load()).To(BeZero(), "nothing is told without overload")
+		ownerNode.queues.waiting = 50
+		ownerNode.offerLoad(500 * time.Millisecond)
+		g.Expect(near.admitter.ShareOf(loadshed.Key{Service: "s"}, loadshed.Class{}, time.Now())).To(BeNumerically("<", 0.5))
+		g.Expect(nodes["far"].admitter.AdmitsAll()).To(BeTrue(), "other regions have owners of their own")
+		ownerNode.offerLoad(2 * time.Second)
+		g.Expect(ownerNode.published.Load()).To(BeNumerically("<=", 2500/200+1))
+		ownerNode.queues.waiting = 0
 		for range 100 {
-			owning.known.Meters.RecordAdmitted(loadshed.Key{Service: "s"}, loadshed.AdmittedRequest{Work: 20 * time.Millisecond, Share: 1, ForPeers: true}, time.Now())
-			owning.known.Meters.RecordServed(loadshed.Key{Service: "s"}, 20*time.Millisecond)
+			ownerNode.admission.Meters.RecordAdmitted(loadshed.Key{Service: "s"}, loadshed.AdmittedRequest{Work: 20 * time.Millisecond, Share: 1, ForPeers: true}, time.Now())
+			ownerNode.admission.Meters.RecordServed(loadshed.Key{Service: "s"}, 20*time.Millisecond)
 			time.Sleep(15 * time.Millisecond)
 		}
-		g.Expect(near.board.ShareOf(loadshed.Key{Service: "s"}, loadshed.Class{}, time.Now())).To(Equal(1.0))
+		g.Expect(near.admitter.ShareOf(loadshed.Key{Service: "s"}, loadshed.Class{}, time.Now())).To(Equal(1.0))
 	})
 }
 
-// TestANodeThatIsCutOffForgets what it was told while nothing comes.
-func TestANodeThatIsCutOffForgets(t *testing.T) {
-	inRegion(t, func(g *WithT, network *peer.Network, nodes map[string]*roomNode) {
-		owning, near := nodes["owner"], nodes["near"]
-		owning.queues.waiting = 50
-		owning.load(time.Second)
-		g.Expect(near.board.AdmitsAll()).To(BeFalse())
+// TestCutOffNodeForgetsReceivedShares what it was told while nothing comes.
+func TestCutOffNodeForgetsReceivedShares(t *testing.T) {
+	inRegion(t, func(g *WithT, network *peer.Network, nodes map[string]*measuringNode) {
+		ownerNode, near := nodes["owner"], nodes["near"]
+		ownerNode.queues.waiting = 50
+		ownerNode.offerLoad(time.Second)
+		g.Expect(near.admitter.AdmitsAll()).To(BeFalse())
 		network.Cut([]peer.Address{"near"}, []peer.Address{"owner", "far"})
-		owning.load(2 * time.Second)
-		g.Expect(near.board.ShareOf(loadshed.Key{Service: "s"}, loadshed.Class{}, time.Now())).To(Equal(1.0))
-		near.known.Sweep(time.Now())
-		g.Expect(near.board.AdmitsAll()).To(BeTrue())
+		ownerNode.offerLoad(2 * time.Second)
+		g.Expect(near.admitter.ShareOf(loadshed.Key{Service: "s"}, loadshed.Class{}, time.Now())).To(Equal(1.0))
+		near.admission.Sweep(time.Now())
+		g.Expect(near.admitter.AdmitsAll()).To(BeTrue())
 	})
 }
 
-// TestALostOwnerIsForgotten: its shares end with it, and the next owner measures anew.
-func TestALostOwnerIsForgotten(t *testing.T) {
-	inRegion(t, func(g *WithT, _ *peer.Network, nodes map[string]*roomNode) {
-		owning, near := nodes["owner"], nodes["near"]
-		owning.queues.waiting = 50
-		owning.load(time.Second)
-		g.Expect(near.board.ShareOf(loadshed.Key{Service: "s"}, loadshed.Class{}, time.Now())).To(BeNumerically("<", 1))
-		near.load(2 * time.Second)
-		g.Expect(near.board.ShareOf(loadshed.Key{Service: "s"}, loadshed.Class{}, time.Now())).To(Equal(1.0))
+// TestSharesOfLostOwnerExpire: its shares end with it, and the next owner measures anew.
+func TestSharesOfLostOwnerExpire(t *testing.T) {
+	inRegion(t, func(g *WithT, _ *peer.Network, nodes map[string]*measuringNode) {
+		ownerNode, near := nodes["owner"], nodes["near"]
+		ownerNode.queues.waiting = 50
+		ownerNode.offerLoad(time.Second)
+		g.Expect(near.admitter.ShareOf(loadshed.Key{Service: "s"}, loadshed.Class{}, time.Now())).To(BeNumerically("<", 1))
+		near.offerLoad(2 * time.Second)
+		g.Expect(near.admitter.ShareOf(loadshed.Key{Service: "s"}, loadshed.Class{}, time.Now())).To(Equal(1.0))
 	})
 }
 
 // TestWhatWaitsToBeToldIsKept while the message before is on its way: that one service has room
 // again is told although another's shares change meanwhile.
 func TestWhatWaitsToBeToldIsKept(t *testing.T) {
-	inRegion(t, func(g *WithT, _ *peer.Network, nodes map[string]*roomNode) {
-		owning, near := nodes["owner"], nodes["near"]
+	inRegion(t, func(g *WithT, _ *peer.Network, nodes map[string]*measuringNode) {
+		ownerNode, near := nodes["owner"], nodes["near"]
 		first, second := loadshed.Key{Service: "first"}, loadshed.Key{Service: "second"}
 		now := time.Now()
 		for _, each := range [][]loadshed.Measurement{
-			{{Key: first, Shares: roomShare(0.5), MeasuredAt: now}},
+			{{Key: first, Shares: sharesOf(0.5), MeasuredAt: now}},
 			{{Key: first, MeasuredAt: now}},
-			{{Key: second, Shares: roomShare(0.5), MeasuredAt: now}},
+			{{Key: second, Shares: sharesOf(0.5), MeasuredAt: now}},
 		} {
-			owning.announcer.Put(each)
+			ownerNode.announcer.Put(each)
 			// The first message is on its way when the others come.
 			synctest.Wait()
 		}
 		time.Sleep(100 * time.Millisecond)
-		g.Expect(near.board.ShareOf(second, loadshed.Class{}, time.Now())).To(Equal(0.5))
-		g.Expect(near.board.ShareOf(first, loadshed.Class{}, time.Now())).To(Equal(1.0))
+		g.Expect(near.admitter.ShareOf(second, loadshed.Class{}, time.Now())).To(Equal(0.5))
+		g.Expect(near.admitter.ShareOf(first, loadshed.Class{}, time.Now())).To(Equal(1.0))
 	})
 }
 
-func roomShare(part float64) loadshed.Shares {
-	return loadshed.Shares{Ranks: []loadshed.RankShare{{Share: part}}}
+func sharesOf(share float64) loadshed.Shares {
+	return loadshed.Shares{Ranks: []loadshed.RankShare{{Share: share}}}
 }
--- a/pkg/owner/client.go
+++ b/pkg/owner/client.go
@@ -26,8 +26,8 @@
 	kindPing     peer.Kind = "owner.ping"
 )
 
-// trialTimeout bounds a trial: an owner that takes as long is of no use to any request.
-const trialTimeout = 500 * time.Millisecond
+// probeTimeout bounds a trial: an owner that takes as long is of no use to any request.
+const probeTimeout = 500 * time.Millisecond
 
 // Client asks owners. It implements fanout.Owners.
 type Client struct {
@@ -35,7 +35,7 @@
 	transport peer.Streamer
 	events    Events
 	// board takes what owners tell of the room at their services.
-	board *loadshed.Admitter
+	admitter *loadshed.Admitter
 	// wake tells Run that a trial may be due at another time.
 	wake chan struct{}
 }
@@ -52,8 +52,8 @@
 
 // NewClient returns a client that asks the nodes of a roster. The board takes what they tell
 // of the room at services.
-func NewClient(roster *Roster, transport peer.Streamer, board *loadshed.Admitter, events Events) *Client {
-	return &Client{roster: roster, transport: transport, events: events, board: board, wake: make(chan struct{}, 1)}
+func NewClient(roster *Roster, transport peer.Streamer, admitter *loadshed.Admitter, events Events) *Client {
+	return &Client{roster: roster, transport: transport, events: events, admitter: admitter, wake: make(chan struct{}, 1)}
 }
 
 // Divide implements fanout.Owners.
@@ -66,13 +66,13 @@
 	peer.Stream
 	client *Client
 	node   directory.Node
-	// askedAt is when the question was asked.
-	askedAt time.Time
+	// sentAt is when the question was asked.
+	sentAt time.Time
 	// leeway is in which time the way there and back, and the delays of both processes, must be
 	// over.
 	leeway time.Duration
-	// isLate says that the owner was silent for too long.
-	isLate atomic.Bool
+	// isSilent says that the owner was silent for too long.
+	isSilent atomic.Bool
 }
 
 // Grant implements fanout.Pending.
@@ -89,17 +89,17 @@
 
 // MarkSilent implements fanout.Pending.
 func (p *pending) MarkSilent() {
-	p.isLate.Store(true)
+	p.isSilent.Store(true)
 	p.NoteSilence()
-	p.lose(p.leeway, errSilent)
+	p.exclude(p.leeway, errSilent)
 }
 
 // unsent is a question whose owner is not known any more.
-type unsent struct{}
+type unsentQuestion struct{}
 
-func (unsent) Cancel()     {}
-func (unsent) MarkSilent() {}
-func (unsent) Grant([]int) {}
+func (unsentQuestion) Cancel()     {}
+func (unsentQuestion) MarkSilent() {}
+func (unsentQuestion) Grant([]int) {}
 
 // Ask implements fanout.Owners.
 func (c *Client) Ask(question fanout.Question, report func(fanout.Report)) fanout.Pending {
@@ -108,14 +108,14 @@
 		report(fanout.Report{Err: &outcome.Error{
 			Step: "ask owner", Peer: question.Owner, Outcome: outcome.NotRun, Reason: outcome.ReasonUnreachable,
 		}})
-		return unsent{}
+		return unsentQuestion{}
 	}
 	now := time.Now()
-	asked := &pending{client: c, node: node, askedAt: now, leeway: question.Leeway()}
-	receive := func(body []byte, err error) { asked.receive(body, err, report) }
-	asked.Stream = c.transport.Open(
+	sent := &pending{client: c, node: node, sentAt: now, leeway: question.Leeway()}
+	receive := func(body []byte, err error) { sent.receive(body, err, report) }
+	sent.Stream = c.transport.Open(
 		peer.Address(node.PeerAddress), kindQuestion, encodeQuestion(question, now), question.Plan.Deadline.Sub(now), receive)
-	return asked
+	return sent
 }
 
 // receive hands on one message of the owner, or the end of its answer.
@@ -126,35 +126,35 @@
 	case err != nil:
 		// A question whose time was over tells nothing of its owner.
 		if outcome.ReasonOf(err) != outcome.ReasonDeadline {
-			p.lose(0, err)
+			p.exclude(0, err)
 		}
 		report(fanout.Report{Err: err})
 		return
 	}
-	decoded, room, err := decodeReport(body)
+	decoded, measurements, err := decodeReport(body)
 	if err != nil {
 		err = &outcome.Error{Step: "decode report", Peer: p.node.Name, Reason: outcome.ReasonCorruptResponse, Cause: err}
-		p.lose(0, err)
+		p.exclude(0, err)
 		decoded = fanout.Report{Err: err}
 	}
 	if decoded.Err == nil {
-		p.client.noteReport(p.node.Name, p.isLate.Load())
-		takeRooms(p.client.board, room, time.Now())
+		p.client.recordReport(p.node.Name, p.isSilent.Load())
+		applyMeasurements(p.client.admitter, measurements, time.Now())
 	}
 	report(decoded)
 }
 
-// noteReport takes that a node has reported, late or not.
-func (c *Client) noteReport(name string, isLate bool) {
-	if lost, isBack := c.roster.reported(name, isLate, time.Now()); isBack {
-		c.events.OwnerRegained(name, lost)
+// recordReport takes that a node has reported, late or not.
+func (c *Client) recordReport(name string, isLate bool) {
+	if excludedFor, isReadmitted := c.roster.recordReport(name, isLate, time.Now()); isReadmitted {
+		c.events.OwnerRegained(name, excludedFor)
 	}
 }
 
 // lose leaves the owner out until it has returned. leeway is in which time a trial must be
 // answered; zero if it was not late.
-func (p *pending) lose(leeway time.Duration, cause error) {
-	if p.client.roster.leave(p.node, leeway, p.askedAt, time.Now()) {
+func (p *pending) exclude(leeway time.Duration, cause error) {
+	if p.client.roster.exclude(p.node, leeway, p.sentAt, time.Now()) {
 		p.client.events.OwnerLost(p.node.Name, cause)
 		p.client.wakeUp()
 	}
@@ -170,13 +170,13 @@
 
 // Run tries the owners that are left out, until ctx ends.
 func (c *Client) Run(ctx context.Context) error {
-	timer := time.AfterFunc(greatestRest, c.wakeUp)
+	timer := time.AfterFunc(maxProbeDelay, c.wakeUp)
 	defer timer.Stop()
 	for {
 		now := time.Now()
-		trials, next := c.roster.dueTrials(now)
-		for _, each := range trials {
-			go c.try(ctx, each)
+		probes, next := c.roster.dueProbes(now)
+		for _, each := range probes {
+			go c.probe(ctx, each)
 		}
 		if !next.IsZero() {
 			timer.Reset(next.Sub(now))
@@ -191,14 +191,14 @@
 
 // try asks a node whether it would answer questions, and measures how long its answer takes. The
 // first ping may have to wait for a connection: if it is answered too late, a second one counts.
-func (c *Client) try(ctx context.Context, each trial) {
-	isAnswered, took := c.ping(ctx, each.node)
-	if isAnswered && each.leeway > 0 && took > each.leeway {
-		isAnswered, took = c.ping(ctx, each.node)
+func (c *Client) probe(ctx context.Context, target probe) {
+	isAnswered, took := c.ping(ctx, target.node)
+	if isAnswered && target.leeway > 0 && took > target.leeway {
+		isAnswered, took = c.ping(ctx, target.node)
 	}
-	lost, isBack := c.roster.tried(each.node, isAnswered, took, time.Now())
-	if isBack {
-		c.events.OwnerRegained(each.node.Name, lost)
+	excludedFor, isReadmitted := c.roster.recordProbe(target.node, isAnswered, took, time.Now())
+	if isReadmitted {
+		c.events.OwnerRegained(target.node.Name, excludedFor)
 	}
 	c.wakeUp()
 }
@@ -206,11 +206,11 @@
 // ping reports whether a node answers, and after which time. Its error goes into no log: the node
 // stays left out, which was logged when it was lost.
 func (c *Client) ping(ctx context.Context, node directory.Node) (bool, time.Duration) {
-	limited, cancel := context.WithTimeout(ctx, trialTimeout)
+	limited, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	err := c.transport.Call(limited, peer.Address(node.PeerAddress), kindPing, &ownerpb.Ping{}, &ownerpb.Ping{})
-	return err == nil, time.Since(began)
+	return err == nil, time.Since(start)
 }
 
 // encodeQuestion returns the message of a question, with its moments as spans from now: clocks of
@@ -221,8 +221,8 @@
 		RequestId: request.ID, Method: request.Method, Target: request.Target, Host: request.Host, Body: request.Body,
 		HasBody: request.HasBody, Kind: plan.Kind, Services: question.Services, Required: uint32(question.Required),
 		MaxAttempts: uint32(plan.MaxAttempts), TopRecords: uint32(plan.TopRecords),
-		DeadlineUs: microseconds(plan.Deadline.Sub(now)), AssumedUs: microseconds(plan.Assumed),
-		ReportUs: microseconds(question.ReportInterval), Version: plan.Version,
+		DeadlineUs: toMicroseconds(plan.Deadline.Sub(now)), AssumedUs: toMicroseconds(plan.Assumed),
+		ReportUs: toMicroseconds(question.ReportInterval), Version: plan.Version,
 		Tenant: plan.Tenant, Priority: int32(plan.Priority), Lot: question.SamplingValue, AdmittedShares: question.AdmittedShares,
 	}
 	for _, position := range question.Skipped {
@@ -232,7 +232,7 @@
 		encoded.Regions = plan.Regions().Names()
 	}
 	if !plan.Target.IsZero() {
-		encoded.TargetUs = microseconds(plan.Target.Sub(now))
+		encoded.TargetUs = toMicroseconds(plan.Target.Sub(now))
 	}
 	for name, values := range request.Header {
 		for _, value := range values {
@@ -243,7 +243,7 @@
 }
 
 // microseconds returns a span as messages carry it; zero for one that is over.
-func microseconds(span time.Duration) uint64 { return uint64(max(0, span.Microseconds())) }
+func toMicroseconds(duration time.Duration) uint64 { return uint64(max(0, duration.Microseconds())) }
 
 // decodeReport reads a report, and what it tells of the room at services. The records of all its
 // parts stand in the answer of one of them, since they are merged.
--- a/pkg/owner/client_test.go
+++ b/pkg/owner/client_test.go
@@ -18,42 +18,44 @@
 	"github.com/bramblemast/bramblemast/pkg/peer"
 )
 
-// slowPings is a transport whose pings are answered after a while, and whose streams
+// fakeTransport is a transport whose pings are answered after a while, and whose streams
 // the test feeds itself.
-type slowPings struct {
+type fakeTransport struct {
 	peer.Streamer
 	delay   time.Duration
 	opened  []peer.Receive
 	pending peer.Stream
 }
 
-func (s *slowPings) Call(context.Context, peer.Address, peer.Kind, proto.Message, proto.Message) error {
+func (s *fakeTransport) Call(context.Context, peer.Address, peer.Kind, proto.Message, proto.Message) error {
 	time.Sleep(s.delay)
 	return nil
 }
 
-func (s *slowPings) Open(_ peer.Address, _ peer.Kind, _ proto.Message, _ time.Duration, receive peer.Receive) peer.Stream {
+func (s *fakeTransport) Open(_ peer.Address, _ peer.Kind, _ proto.Message, _ time.Duration, receive peer.Receive) peer.Stream {
 	s.opened = append(s.opened, receive)
 	return s.pending
 }
 
 // returns keeps which owners were lost, and for how long those were that are asked again.
-type returns struct {
-	gone []string
-	lost []time.Duration
+type ownerEvents struct {
+	lostOwners  []string
+	excludedFor []time.Duration
 }
 
-func (r *returns) OwnerLost(name string, _ error) { r.gone = append(r.gone, name) }
+func (r *ownerEvents) OwnerLost(name string, _ error) { r.lostOwners = append(r.lostOwners, name) }
 
-func (r *returns) OwnerRegained(_ string, lost time.Duration) { r.lost = append(r.lost, lost) }
+func (r *ownerEvents) OwnerRegained(_ string, excludedFor time.Duration) {
+	r.excludedFor = append(r.excludedFor, excludedFor)
+}
 
-// TestAnOwnerReturnsOnce, although both a late report and a ping show that it answers.
-func TestAnOwnerReturnsOnce(t *testing.T) {
+// TestOwnerIsRegainedOnce, although both a late report and a ping show that it answers.
+func TestOwnerIsRegainedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		_, known, nodes := deployment(4, 2)
-		transport, told := &slowPings{delay: 400 * time.Millisecond}, &returns{}
-		client := owner.NewClient(rosterOf(nodes[0], known, nodes), transport, loadshed.NewAdmitter(), told)
+		transport, events := &fakeTransport{delay: 400 * time.Millisecond}, &ownerEvents{}
+		client := owner.NewClient(rosterOf(nodes[0], known, nodes), transport, loadshed.NewAdmitter(), events)
 		plan := &fanout.Plan{Deadline: time.Now().Add(time.Minute)}
 		for range 2 {
 			client.Ask(fanout.Question{Owner: nodes[1].Name, Plan: plan, Request: &exchange.Request{}}, func(fanout.Report) {})
@@ -68,7 +70,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		transport.opened[1](report, nil)
 		time.Sleep(time.Second)
-		g.Expect(told.lost).To(Equal([]time.Duration{300 * time.Millisecond}))
+		g.Expect(events.excludedFor).To(Equal([]time.Duration{300 * time.Millisecond}))
 		cancel()
 		g.Expect(<-ended).To(Succeed())
 	})
--- a/pkg/owner/cluster_test.go
+++ b/pkg/owner/cluster_test.go
@@ -129,7 +129,7 @@
 }
 
 // in runs a test with nodes in virtual time.
-func in(t *testing.T, test func(g *WithT, c *cluster)) {
+func inCluster(t *testing.T, test func(g *WithT, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -178,10 +178,10 @@
 // addServer puts a server into a shard; each holds one record of its own.
 func (c *cluster) addServer(shard int, place string) {
 	name := serverName(shard, place)
-	quick := exchangetest.Whole(fmt.Sprintf("record-of-shard%d", shard))
-	quick.Delay = 10 * time.Millisecond
-	quick.Header = map[string]string{"Mark": "mark of " + name}
-	c.answers[name] = quick
+	answer := exchangetest.Whole(fmt.Sprintf("record-of-shard%d", shard))
+	answer.Delay = 10 * time.Millisecond
+	answer.Header = map[string]string{"Mark": "mark of " + name}
+	c.answers[name] = answer
 	c.byName[name] = c.servers.Add(name, func(exchangetest.Request) exchangetest.Answer {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
@@ -230,11 +230,11 @@
 	owner.NewServer(owner.ServerOptions{
 		Transport: created.transport, Runner: &collector, Servers: created.fleet, Draining: func() bool { return created.draining },
 		Policies: func(string, string) (policy.HedgePolicy, float64) { return hedge, 1 }, Recorder: created.record,
-		Regions: func(asked owner.RequestScope) route.Regions {
+		Regions: func(scope owner.RequestScope) route.Regions {
 			if newer := created.regions.Load(); newer != nil {
 				return *newer
 			}
-			return asked.Regions
+			return scope.Regions
 		},
 	})
 	c.stopped.Go(func() { _ = created.client.Run(ctx) })
@@ -250,11 +250,11 @@
 }()
 
 // ask sends a request through a node.
-func (c *cluster) ask(ctx context.Context, through *node) (fanout.Result, time.Duration) {
-	began := time.Now()
+func (c *cluster) ask(ctx context.Context, entry *node) (fanout.Result, time.Duration) {
+	start := time.Now()
 	plan := fanout.Plan{
 		Kind: "k", Services: c.services, Required: c.required, Repeatable: true, MaxAttempts: maxAttempts, TopRecords: 2 * shardCount,
-		Target: began.Add(200 * time.Millisecond), Deadline: began.Add(time.Second), Assumed: 10 * time.Millisecond,
+		Target: start.Add(200 * time.Millisecond), Deadline: start.Add(time.Second), Assumed: 10 * time.Millisecond,
 		MaxServerWait: time.Second, Hedge: hedge, ExtraShare: 1,
 	}
 	request := &exchange.Request{Method: "GET", Target: "/", ID: "r", Header: http.Header{"Name": {"value"}}}
@@ -262,12 +262,12 @@
 	if bound := c.regions; bound.IsBound() {
 		plan.Regions = func() route.Regions { return bound }
 	}
-	result := through.runner.Run(ctx, plan, request)
-	return result, time.Since(began)
+	result := entry.runner.Run(ctx, plan, request)
+	return result, time.Since(start)
 }
 
 // outsider returns a node that owns nothing, and the names of the owners.
-func (c *cluster) outsider() (*node, []string) {
+func (c *cluster) nonOwner() (*node, []string) {
 	c.t.Helper()
 	for _, each := range c.nodes {
 		groups := each.roster.Divide(c.services, route.Regions{})
@@ -295,11 +295,11 @@
 }
 
 // executions returns the greatest number of servers of a shard that got the request.
-func (c *cluster) executions() int {
-	most := 0
+func (c *cluster) maxExecutions() int {
+	highest := 0
 	for number := range shardCount {
 		count := len(c.byName[serverName(number, "near")].Requests()) + len(c.byName[serverName(number, "far")].Requests())
-		most = max(most, count)
+		highest = max(highest, count)
 	}
-	return most
+	return highest
 }
--- a/pkg/owner/deadly_test.go
+++ b/pkg/owner/crash_test.go
@@ -38,8 +38,8 @@
 func (*claims) StateChanged(exchange.Fingerprint, quarantine.State, []fleet.Incarnation) {}
 func (*claims) LedgerFailed(string, error)                                               {}
 
-// endAll lets every server end with the first request that it runs.
-func (c *cluster) endAll() {
+// crashAll lets every server end with the first request that it runs.
+func (c *cluster) crashAll() {
 	for name, each := range c.byName {
 		each.Respond = func(exchangetest.Request) exchangetest.Answer {
 			c.servers.Remove(name)
@@ -51,31 +51,31 @@
 // TestOwnersTellWhichServersEnded, so that the asking node does not send a deadly request to
 // the other servers itself; later tries at any node of it are trials.
 func TestOwnersTellWhichServersEnded(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
-		asker, owners := c.outsider()
-		c.endAll()
-		result, took := c.ask(c.t.Context(), asker)
+	inCluster(t, func(g *WithT, c *cluster) {
+		requester, owners := c.nonOwner()
+		c.crashAll()
+		result, took := c.ask(c.t.Context(), requester)
 		g.Expect(result.AnsweredCount).To(BeZero())
 		g.Expect(result.Outcome).To(Equal(outcome.Unknown))
 		g.Expect(took).To(BeNumerically("<", 200*time.Millisecond))
-		ended := c.arrivals("near") + c.arrivals("far")
-		g.Expect(ended).To(BeNumerically("<=", shardCount+groupCount*2), "two ends of each owner are retried at once")
-		for _, name := range append(owners, asker.Name) {
+		crashed := c.arrivals("near") + c.arrivals("far")
+		g.Expect(crashed).To(BeNumerically("<=", shardCount+groupCount*2), "two ends of each owner are retried at once")
+		for _, name := range append(owners, requester.Name) {
 			for range 2 {
 				result, _ = c.ask(c.t.Context(), c.node(name))
 				g.Expect(result.Reason).To(Equal(fanout.StopQuarantined))
 			}
 			g.Expect(result.Outcome).To(Equal(outcome.NotRun))
 		}
-		g.Expect(c.arrivals("near")+c.arrivals("far")-ended).To(BeNumerically("<=", 2), "two trials of all nodes")
+		g.Expect(c.arrivals("near")+c.arrivals("far")-crashed).To(BeNumerically("<=", 2), "two trials of all nodes")
 	})
 }
 
 // TestAnOwnerKeepsARequestFromTheShardWhoseServersItEnds and leaves its trials to the asking node;
 // the other shards answer.
 func TestAnOwnerKeepsARequestFromTheShardWhoseServersItEnds(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
-		asker, owners := c.outsider()
+	inCluster(t, func(g *WithT, c *cluster) {
+		requester, owners := c.nonOwner()
 		c.required = shardCount - 1
 		places := []string{"near", "far"}
 		for _, place := range places {
@@ -83,27 +83,27 @@
 				return exchangetest.Answer{Delay: 10 * time.Millisecond}
 			}
 		}
-		arrived := func() int {
+		arrivals := func() int {
 			return len(c.byName[serverName(0, places[0])].Requests()) + len(c.byName[serverName(0, places[1])].Requests())
 		}
 		request := &exchange.Request{Method: "GET", Target: "/", Header: http.Header{"Name": {"value"}}}
-		for _, name := range append(owners, asker.Name) {
-			knowing := c.node(name).runner
-			here := request.Fingerprint(knowing.Dialect).At(c.services[0])
-			knowing.Quarantine.RecordCrashes(here, []fleet.Incarnation{{ID: "x"}, {ID: "y"}, {ID: "z"}}, time.Now())
+		for _, name := range append(owners, requester.Name) {
+			runner := c.node(name).runner
+			shardFingerprint := request.Fingerprint(runner.Dialect).At(c.services[0])
+			runner.Quarantine.RecordCrashes(shardFingerprint, []fleet.Incarnation{{ID: "x"}, {ID: "y"}, {ID: "z"}}, time.Now())
 		}
 		for range 4 {
-			result, _ := c.ask(c.t.Context(), asker)
+			result, _ := c.ask(c.t.Context(), requester)
 			g.Expect(result.AnsweredCount).To(Equal(shardCount - 1))
 			g.Expect(result.Parts[0]).To(BeNil())
 		}
-		g.Expect(arrived()).To(Equal(quarantine.ImmediateTrials), "two trials of the asking node")
+		g.Expect(arrivals()).To(Equal(quarantine.ImmediateTrials), "two trials of the asking node")
 		// A node that knows nothing of it asks the owners, which send it nowhere.
 		for _, each := range c.nodes {
 			if runner := each.runner; runner.Quarantine.IsIdle() {
 				result, _ := c.ask(c.t.Context(), each)
 				g.Expect(result.AnsweredCount).To(BeNumerically(">=", shardCount-1))
-				g.Expect(arrived()-quarantine.ImmediateTrials).To(BeNumerically("<=", maxAttempts), "what it asks itself")
+				g.Expect(arrivals()-quarantine.ImmediateTrials).To(BeNumerically("<=", maxAttempts), "what it asks itself")
 				return
 			}
 		}
--- a/pkg/owner/deadline_test.go
+++ b/pkg/owner/deadline_test.go
@@ -19,8 +19,8 @@
 // milliseconds, ends before its servers answer. Its owners are asked by the next one as before, and
 // nothing is sent twice in its last moment.
 func TestAShortRequestLosesNoOwner(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
-		asker, owners := c.outsider()
+	inCluster(t, func(g *WithT, c *cluster) {
+		requester, owners := c.nonOwner()
 		for number := range shardCount {
 			c.hang(serverName(number, "near"))
 			c.hang(serverName(number, "far"))
@@ -30,32 +30,32 @@
 			Kind: "k", Services: c.services, Required: c.required, Repeatable: true, MaxAttempts: maxAttempts,
 			Deadline: began.Add(4900 * time.Microsecond), Assumed: 10 * time.Millisecond, MaxServerWait: time.Second, Hedge: hedge, ExtraShare: 1,
 		}
-		result := asker.runner.Run(c.t.Context(), plan, &exchange.Request{Method: "GET", Target: "/", ID: "r"})
+		result := requester.runner.Run(c.t.Context(), plan, &exchange.Request{Method: "GET", Target: "/", ID: "r"})
 		g.Expect(result.Reason).To(Equal(fanout.StopDeadline))
 		g.Expect(time.Since(began)).To(Equal(4900 * time.Microsecond))
 		time.Sleep(time.Millisecond)
 		for _, name := range owners {
-			g.Expect(asker.hasLost(name)).To(BeFalse(), name)
+			g.Expect(requester.hasLost(name)).To(BeFalse(), name)
 		}
-		g.Expect(c.executions()).To(Equal(1))
+		g.Expect(c.maxExecutions()).To(Equal(1))
 	})
 }
 
-// TestAConnectionThatTookTooLongForAShortRequestLosesNoOwner: the question ended before it was sent.
-func TestAConnectionThatTookTooLongForAShortRequestLosesNoOwner(t *testing.T) {
+// TestConnectTimeoutOfShortRequestLosesNoOwner: the question ended before it was sent.
+func TestConnectTimeoutOfShortRequestLosesNoOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		_, known, nodes := deployment(4, 2)
-		transport, told := &slowPings{}, &returns{}
-		client := owner.NewClient(rosterOf(nodes[0], known, nodes), transport, loadshed.NewAdmitter(), told)
+		transport, events := &fakeTransport{}, &ownerEvents{}
+		client := owner.NewClient(rosterOf(nodes[0], known, nodes), transport, loadshed.NewAdmitter(), events)
 		plan := &fanout.Plan{Deadline: time.Now().Add(5 * time.Millisecond)}
-		var got []error
+		var reported []error
 		client.Ask(fanout.Question{Owner: nodes[1].Name, Plan: plan, Request: &exchange.Request{}}, func(report fanout.Report) {
-			got = append(got, report.Err)
+			reported = append(reported, report.Err)
 		})
 		ended := &outcome.Error{Step: "connect", Outcome: outcome.NotRun, Reason: outcome.ReasonDeadline, Cause: context.DeadlineExceeded}
 		transport.opened[0](nil, ended)
-		g.Expect(got).To(Equal([]error{ended}))
-		g.Expect(told.gone).To(BeEmpty())
+		g.Expect(reported).To(Equal([]error{ended}))
+		g.Expect(events.lostOwners).To(BeEmpty())
 	})
 }
--- a/pkg/owner/export_test.go
+++ b/pkg/owner/export_test.go
@@ -8,9 +8,9 @@
 )
 
 // Put hands an Announcer a message as its meters do.
-func (a *Announcer) Put(message []loadshed.Measurement) { a.waiting.put(message) }
+func (a *Announcer) Put(message []loadshed.Measurement) { a.outgoing.put(message) }
 
-// RoomOf returns what a report to a question tells.
-func (a *Announcer) RoomOf(question *ownerpb.Question, now time.Time) []*ownerpb.Room {
-	return a.roomOf(question, "", now)
+// MeasurementsFor returns what a report to a question tells.
+func (a *Announcer) MeasurementsFor(question *ownerpb.Question, now time.Time) []*ownerpb.Room {
+	return a.measurementsFor(question, "", now)
 }
--- a/pkg/owner/fuzz_test.go
+++ b/pkg/owner/fuzz_test.go
@@ -14,7 +14,7 @@
 // Bounds of the memory that is taken, in all, to read a message: a part without content has two
 // bytes on the wire.
 const (
-	leastFuzzMemory   = 256 << 10
+	minFuzzMemory     = 256 << 10
 	fuzzMemoryPerByte = 1 << 9
 )
 
@@ -42,21 +42,21 @@
 	f.Add(bytes.Repeat([]byte{0x4b}, 1<<20))
 	server := &Server{options: ServerOptions{
 		Policies: func(string, string) (policy.HedgePolicy, float64) { return nil, 1 },
-		Regions:  func(asked RequestScope) route.Regions { return asked.Regions },
+		Regions:  func(scope RequestScope) route.Regions { return scope.Regions },
 	}}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		before := allocated()
 		if decoded, _, err := decodeReport(body); err == nil && len(decoded.CrashedServers) > len(body) {
 			t.Fatalf("%d servers from %d bytes", len(decoded.CrashedServers), len(body))
 		}
-		asked := &ownerpb.Question{}
-		if asked.UnmarshalVT(body) == nil {
-			server.plan(asked, time.Now()).Regions()
-			requestOf(asked)
+		decodedQuestion := &ownerpb.Question{}
+		if decodedQuestion.UnmarshalVT(body) == nil {
+			server.plan(decodedQuestion, time.Now()).Regions()
+			decodeRequest(decodedQuestion)
 		}
 		// A grant that can not be read grants nothing.
 		_ = (&ownerpb.Grant{}).UnmarshalVT(body)
-		if taken := allocated() - before; taken > leastFuzzMemory+fuzzMemoryPerByte*uint64(len(body)) {
+		if taken := allocated() - before; taken > minFuzzMemory+fuzzMemoryPerByte*uint64(len(body)) {
 			t.Fatalf("%d bytes for a message of %d", taken, len(body))
 		}
 	})
--- a/pkg/owner/outbox.go
+++ b/pkg/owner/outbox.go
@@ -14,10 +14,10 @@
 type outbox struct {
 	// mutex is held by put.
 	mutex   sync.Mutex
-	waiting chan []loadshed.Measurement
+	pending chan []loadshed.Measurement
 }
 
-func newOutbox() *outbox { return &outbox{waiting: make(chan []loadshed.Measurement, 1)} }
+func newOutbox() *outbox { return &outbox{pending: make(chan []loadshed.Measurement, 1)} }
 
 // put keeps a message until it is told, with what one that still waits tells of other services:
 // their change counts as told. It does not block.
@@ -25,22 +25,22 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	select {
-	case earlier := <-o.waiting:
+	case earlier := <-o.pending:
 		message = merge(earlier, message)
 	default:
 	}
-	o.waiting <- message
+	o.pending <- message
 }
 
 // run hands on what was put, one message after the other with a pause after each, until ctx ends.
-func (o *outbox) run(ctx context.Context, span time.Duration, tell func(context.Context, []loadshed.Measurement)) {
+func (o *outbox) run(ctx context.Context, interval time.Duration, send func(context.Context, []loadshed.Measurement)) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case message := <-o.waiting:
-			tell(ctx, message)
-			pause.For(ctx, span)
+		case message := <-o.pending:
+			send(ctx, message)
+			pause.For(ctx, interval)
 		}
 	}
 }
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -21,14 +21,14 @@
 )
 
 func TestOwnersAnswerForTheirShards(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
-		asker, _ := c.outsider()
-		result, took := c.ask(c.t.Context(), asker)
+	inCluster(t, func(g *WithT, c *cluster) {
+		requester, _ := c.nonOwner()
+		result, took := c.ask(c.t.Context(), requester)
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 		g.Expect(result.OwnersAsked).To(Equal(groupCount))
 		g.Expect(took).To(BeNumerically("<", 20*time.Millisecond))
-		g.Expect(c.executions()).To(Equal(1))
-		g.Expect(asker.budget.earned).To(BeZero(), "owners pay for what they send")
+		g.Expect(c.maxExecutions()).To(Equal(1))
+		g.Expect(requester.budget.earned).To(BeZero(), "owners pay for what they send")
 		var bodies [][]byte
 		for number, part := range result.Parts {
 			g.Expect(part.Evidence).To(Equal("mark of " + serverName(number, "near")))
@@ -39,65 +39,65 @@
 }
 
 func TestAnOwnerAsksForItselfToo(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
-		_, owners := c.outsider()
+	inCluster(t, func(g *WithT, c *cluster) {
+		_, owners := c.nonOwner()
 		result, _ := c.ask(c.t.Context(), c.node(owners[0]))
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 		g.Expect(result.OwnersAsked).To(BeNumerically("<", groupCount))
-		g.Expect(c.executions()).To(Equal(1))
+		g.Expect(c.maxExecutions()).To(Equal(1))
 	})
 }
 
 func TestFewNodesNeedNoOwners(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
-		asker, _ := c.outsider()
-		asker.fleet.SetCallers(fleet.Callers{Total: 2, ByZone: map[string]int{"z": 2}})
-		result, _ := c.ask(c.t.Context(), asker)
+	inCluster(t, func(g *WithT, c *cluster) {
+		requester, _ := c.nonOwner()
+		requester.fleet.SetCallers(fleet.Callers{Total: 2, ByZone: map[string]int{"z": 2}})
+		result, _ := c.ask(c.t.Context(), requester)
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 		g.Expect(result.OwnersAsked).To(BeZero())
-		g.Expect(asker.budget.earned).To(Equal(shardCount))
+		g.Expect(requester.budget.earned).To(Equal(shardCount))
 	})
 }
 
 func TestAnOwnerThatRefusesConnectionsIsReplacedAtOnce(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
-		asker, owners := c.outsider()
+	inCluster(t, func(g *WithT, c *cluster) {
+		requester, owners := c.nonOwner()
 		c.node(owners[0]).transport.Close()
-		result, took := c.ask(c.t.Context(), asker)
+		result, took := c.ask(c.t.Context(), requester)
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 		g.Expect(took).To(BeNumerically("<", 20*time.Millisecond))
-		g.Expect(c.executions()).To(Equal(1))
-		g.Expect(asker.budget.spent).To(BeZero(), "nothing was sent to the owner")
-		result, _ = c.ask(c.t.Context(), asker)
+		g.Expect(c.maxExecutions()).To(Equal(1))
+		g.Expect(requester.budget.spent).To(BeZero(), "nothing was sent to the owner")
+		result, _ = c.ask(c.t.Context(), requester)
 		g.Expect(result.OwnerRecords).To(BeEmpty(), "the next in rank has taken its place")
 	})
 }
 
 func TestASilentOwnerIsReplacedWithinTheTarget(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
-		asker, owners := c.outsider()
+	inCluster(t, func(g *WithT, c *cluster) {
+		requester, owners := c.nonOwner()
 		lost := peer.Address(owners[0])
-		c.network.Cut([]peer.Address{asker.transport.Address()}, []peer.Address{lost})
-		result, took := c.ask(c.t.Context(), asker)
+		c.network.Cut([]peer.Address{requester.transport.Address()}, []peer.Address{lost})
+		result, took := c.ask(c.t.Context(), requester)
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 		g.Expect(took).To(BeNumerically("<", 150*time.Millisecond))
-		g.Expect(asker.budget.spent).To(Equal(shardCount/groupCount), "the owner may have sent the same")
-		g.Expect(asker.hasLost(owners[0])).To(BeTrue())
-		result, took = c.ask(c.t.Context(), asker)
+		g.Expect(requester.budget.spent).To(Equal(shardCount/groupCount), "the owner may have sent the same")
+		g.Expect(requester.hasLost(owners[0])).To(BeTrue())
+		result, took = c.ask(c.t.Context(), requester)
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 		g.Expect(took).To(BeNumerically("<", 20*time.Millisecond))
 
 		c.network.Heal()
 		time.Sleep(3 * time.Second)
-		g.Expect(asker.hasLost(owners[0])).To(BeFalse())
+		g.Expect(requester.hasLost(owners[0])).To(BeFalse())
 	})
 }
 
 // TestASlowOwnerIsWaitedForTwice: what goes to an owner and comes from it is on its way for 50 ms,
 // which its pings stand and 20 requests a second do not.
 func TestASlowOwnerIsWaitedForTwice(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
-		asker, owners := c.outsider()
+	inCluster(t, func(g *WithT, c *cluster) {
+		requester, owners := c.nonOwner()
 		slow := peer.Address(owners[0])
 		c.network.SetLatency(func(from, to peer.Address) time.Duration {
 			if from == slow || to == slow {
@@ -107,7 +107,7 @@
 		})
 		waited := 0
 		for range 200 {
-			result, took := c.ask(c.t.Context(), asker)
+			result, took := c.ask(c.t.Context(), requester)
 			g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 			if took > 20*time.Millisecond {
 				waited++
@@ -118,7 +118,7 @@
 
 		c.network.SetLatency(func(_, _ peer.Address) time.Duration { return 200 * time.Microsecond })
 		time.Sleep(1100 * time.Millisecond)
-		g.Expect(asker.hasLost(owners[0])).To(BeFalse())
+		g.Expect(requester.hasLost(owners[0])).To(BeFalse())
 	})
 }
 
@@ -126,9 +126,9 @@
 // says, while the servers that are asked first do not answer: the owner wants to ask
 // others, and so does the asking node.
 func TestLateMessagesRunNothingMoreOftenThanAllowed(t *testing.T) {
-	silences := map[string]func(c *cluster, asker, owner peer.Address){
-		"reports are lost": func(c *cluster, asker, owner peer.Address) {
-			c.network.CutOneWay([]peer.Address{owner}, []peer.Address{asker})
+	silences := map[string]func(c *cluster, requester, owner peer.Address){
+		"reports are lost": func(c *cluster, requester, owner peer.Address) {
+			c.network.CutOneWay([]peer.Address{owner}, []peer.Address{requester})
 		},
 		"questions are late": func(c *cluster, _, owner peer.Address) {
 			c.network.Freeze(owner)
@@ -141,15 +141,15 @@
 	}
 	for name, silence := range silences {
 		t.Run(name, func(t *testing.T) {
-			in(t, func(g *WithT, c *cluster) {
-				asker, owners := c.outsider()
+			inCluster(t, func(g *WithT, c *cluster) {
+				requester, owners := c.nonOwner()
 				for number := range shardCount {
 					c.hang(serverName(number, "near"))
 				}
-				silence(c, asker.transport.Address(), peer.Address(owners[0]))
-				c.ask(c.t.Context(), asker)
+				silence(c, requester.transport.Address(), peer.Address(owners[0]))
+				c.ask(c.t.Context(), requester)
 				time.Sleep(2 * time.Second)
-				g.Expect(c.executions()).To(BeNumerically("<=", maxAttempts))
+				g.Expect(c.maxExecutions()).To(BeNumerically("<=", maxAttempts))
 			})
 		})
 	}
@@ -158,9 +158,9 @@
 // TestALateReportIsTakenWhole: its records are merged, so they stand for all of its
 // parts, those among them that this node has asked for itself meanwhile too.
 func TestALateReportIsTakenWhole(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
+	inCluster(t, func(g *WithT, c *cluster) {
 		c.required = shardCount
-		asker, owners := c.outsider()
+		requester, owners := c.nonOwner()
 		late := c.node(owners[1])
 		c.network.SetLatency(func(from, _ peer.Address) time.Duration {
 			if from == late.transport.Address() {
@@ -170,7 +170,7 @@
 		})
 		// The server of one of the owner's shards answers the owner, but not this node.
 		time.AfterFunc(50*time.Millisecond, func() { c.hang("near4"); c.hang("far4") })
-		result, _ := c.ask(c.t.Context(), asker)
+		result, _ := c.ask(c.t.Context(), requester)
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 		var bodies [][]byte
 		var want string
@@ -183,21 +183,21 @@
 }
 
 func TestAnOwnerAsksAFurtherServerOnceThatIsGranted(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
-		asker, _ := c.outsider()
+	inCluster(t, func(g *WithT, c *cluster) {
+		requester, _ := c.nonOwner()
 		c.hang(serverName(4, "near"))
-		result, took := c.ask(c.t.Context(), asker)
+		result, took := c.ask(c.t.Context(), requester)
 		g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 		g.Expect(result.Parts[4].Evidence).To(Equal("mark of " + serverName(4, "far")))
 		g.Expect(took).To(BeNumerically("<", 120*time.Millisecond))
-		g.Expect(asker.budget.spent).To(BeZero())
-		g.Expect(c.executions()).To(Equal(2))
+		g.Expect(requester.budget.spent).To(BeZero())
+		g.Expect(c.maxExecutions()).To(Equal(2))
 	})
 }
 
 func TestPartsThatCameBeforeAnOwnerIsLostAreKept(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
-		asker, owners := c.outsider()
+	inCluster(t, func(g *WithT, c *cluster) {
+		requester, owners := c.nonOwner()
 		for number := range shardCount {
 			c.hang(serverName(number, "far"))
 		}
@@ -207,7 +207,7 @@
 				c.node(name).transport.Close()
 			}
 		})
-		result, _ := c.ask(c.t.Context(), asker)
+		result, _ := c.ask(c.t.Context(), requester)
 		g.Expect(result.Reason).To(Equal(fanout.StopTarget))
 		g.Expect(result.AnsweredCount).To(Equal(shardCount - 1))
 	})
@@ -217,17 +217,17 @@
 // are required looked for something to do again and again after the target: virtual
 // time goes on only while nothing runs. The end of the request does not reach it.
 func TestAnOwnerIsIdleWhileItWaits(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
+	inCluster(t, func(g *WithT, c *cluster) {
 		c.required = shardCount - groupCount
-		asker, owners := c.outsider()
+		requester, owners := c.nonOwner()
 		c.hang(serverName(4, "near"))
 		c.hang(serverName(4, "far"))
 		time.AfterFunc(150*time.Millisecond, func() {
 			for _, name := range owners {
-				c.network.CutOneWay([]peer.Address{asker.transport.Address()}, []peer.Address{peer.Address(name)})
+				c.network.CutOneWay([]peer.Address{requester.transport.Address()}, []peer.Address{peer.Address(name)})
 			}
 		})
-		result, took := c.ask(c.t.Context(), asker)
+		result, took := c.ask(c.t.Context(), requester)
 		g.Expect(result.Reason).To(Equal(fanout.StopTarget))
 		g.Expect(took).To(Equal(200 * time.Millisecond))
 		time.Sleep(2 * time.Second)
@@ -238,14 +238,14 @@
 }
 
 func TestOwnersEndTheirWorkWhenTheClientHasGone(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
-		asker, owners := c.outsider()
+	inCluster(t, func(g *WithT, c *cluster) {
+		requester, owners := c.nonOwner()
 		for number := range shardCount {
 			c.hang(serverName(number, "near"))
 		}
 		ctx, cancel := context.WithCancel(c.t.Context())
 		time.AfterFunc(5*time.Millisecond, cancel)
-		result, _ := c.ask(ctx, asker)
+		result, _ := c.ask(ctx, requester)
 		g.Expect(result.Reason).To(Equal(fanout.StopCancelled))
 		time.Sleep(10 * time.Millisecond)
 		for _, name := range owners {
@@ -253,11 +253,11 @@
 			g.Expect(c.node(name).recorded()[0].Result.Reason).To(Equal(fanout.StopCancelled))
 		}
 		time.Sleep(2 * time.Second)
-		g.Expect(c.executions()).To(Equal(1), "nothing more is sent")
+		g.Expect(c.maxExecutions()).To(Equal(1), "nothing more is sent")
 	})
 }
 
-func TestAnOwnerThatStopsOrKnowsNoServersRefuses(t *testing.T) {
+func TestDrainingOrServerlessOwnerRefuses(t *testing.T) {
 	unable := map[string]func(*node){
 		"stops": func(n *node) { n.draining = true },
 		"knows no servers": func(n *node) {
@@ -265,16 +265,16 @@
 			n.fleet.Remove("far0", time.Time{}, time.Now())
 		},
 	}
-	for name, make := range unable {
+	for name, disable := range unable {
 		t.Run(name, func(t *testing.T) {
-			in(t, func(g *WithT, c *cluster) {
-				asker, owners := c.outsider()
-				make(c.node(owners[0]))
-				result, took := c.ask(c.t.Context(), asker)
+			inCluster(t, func(g *WithT, c *cluster) {
+				requester, owners := c.nonOwner()
+				disable(c.node(owners[0]))
+				result, took := c.ask(c.t.Context(), requester)
 				g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 				g.Expect(took).To(BeNumerically("<", 20*time.Millisecond))
-				g.Expect(c.executions()).To(Equal(1))
-				g.Expect(asker.budget.spent).To(BeZero())
+				g.Expect(c.maxExecutions()).To(Equal(1))
+				g.Expect(requester.budget.spent).To(BeZero())
 			})
 		})
 	}
@@ -292,13 +292,13 @@
 	}
 	for name, report := range reports {
 		t.Run(name, func(t *testing.T) {
-			in(t, func(g *WithT, c *cluster) {
-				asker, owners := c.outsider()
+			inCluster(t, func(g *WithT, c *cluster) {
+				requester, owners := c.nonOwner()
 				c.node(owners[0]).transport.HandleStream("owner.question",
 					func(_ context.Context, _ target.NodeID, _ []byte, exchange peer.Exchange) error {
 						return exchange.Send(proto.Message(report))
 					})
-				result, _ := c.ask(c.t.Context(), asker)
+				result, _ := c.ask(c.t.Context(), requester)
 				g.Expect(result.Reason).To(Equal(fanout.StopComplete))
 				for number, part := range result.Parts {
 					g.Expect(part.Evidence).To(Equal("mark of " + serverName(number, "near")))
@@ -308,14 +308,14 @@
 	}
 }
 
-func TestWhatNoServerRanIsNotRun(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
-		asker, _ := c.outsider()
+func TestRefusedRequestIsNotCompleted(t *testing.T) {
+	inCluster(t, func(g *WithT, c *cluster) {
+		requester, _ := c.nonOwner()
 		refused := exchangetest.Answer{Status: http.StatusServiceUnavailable, Header: map[string]string{"Refused": "yes"}, Cut: -1}
 		for name := range c.answers {
 			c.answers[name] = refused
 		}
-		result, _ := c.ask(c.t.Context(), asker)
+		result, _ := c.ask(c.t.Context(), requester)
 		g.Expect(result.Reason).To(Equal(fanout.StopDeadline))
 		g.Expect(result.Outcome).NotTo(Equal(outcome.Completed))
 	})
--- a/pkg/owner/regions_test.go
+++ b/pkg/owner/regions_test.go
@@ -20,10 +20,10 @@
 // TestARequestIsNotSentOnOutsideItsRegions: a node outside them asks the servers inside
 // itself, since other nodes of its region may not get the request.
 func TestARequestIsNotSentOnOutsideItsRegions(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
-		asker, _ := c.outsider()
+	inCluster(t, func(g *WithT, c *cluster) {
+		requester, _ := c.nonOwner()
 		c.regions = route.OnlyRegions([]string{"q"})
-		result, _ := c.ask(c.t.Context(), asker)
+		result, _ := c.ask(c.t.Context(), requester)
 		g.Expect(result.OwnersAsked).To(BeZero(), "no owner")
 		g.Expect(result.AnsweredCount).To(Equal(shardCount))
 		g.Expect(c.arrivals("near")).To(BeZero())
@@ -34,13 +34,13 @@
 // TestAnOwnerKeepsToTheRegions, those that it was told and those of its own configuration
 // where that is newer; no hedge goes elsewhere.
 func TestAnOwnerKeepsToTheRegions(t *testing.T) {
-	in(t, func(g *WithT, c *cluster) {
-		asker, owners := c.outsider()
+	inCluster(t, func(g *WithT, c *cluster) {
+		requester, owners := c.nonOwner()
 		for number := range shardCount {
 			c.hang(serverName(number, "near"))
 		}
 		c.regions = route.OnlyRegions([]string{"r"})
-		result, _ := c.ask(c.t.Context(), asker)
+		result, _ := c.ask(c.t.Context(), requester)
 		g.Expect(result.OwnersAsked).To(Equal(groupCount))
 		g.Expect(result.AnsweredCount).To(BeZero())
 		g.Expect(c.arrivals("far")).To(BeZero())
@@ -51,7 +51,7 @@
 			c.node(name).regions.Store(&narrowed)
 		}
 		asked := c.arrivals("far")
-		c.ask(c.t.Context(), asker)
+		c.ask(c.t.Context(), requester)
 		g.Expect(c.arrivals("far")-asked).To(BeZero(), "the owners know a newer configuration")
 	})
 }
--- a/pkg/owner/parts.go
+++ b/pkg/owner/relays.go
@@ -7,13 +7,13 @@
 	"github.com/bramblemast/bramblemast/pkg/peer"
 )
 
-// mostParts bounds the parts into which the nodes of a region are divided, and so the nodes that an
+// maxSegments bounds the parts into which the nodes of a region are divided, and so the nodes that an
 // owner tells itself: the connections to them stay open.
-const mostParts = 40
+const maxSegments = 40
 
 // parts returns the other nodes of the region in parts of about even size, alike at all nodes that
 // know the same ones, and the index of this node's own part.
-func (r *Roster) parts() ([][]peer.Address, int) {
+func (r *Roster) segments() ([][]peer.Address, int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var names []string
@@ -23,46 +23,46 @@
 		}
 	}
 	slices.Sort(names)
-	count, own := min(mostParts, len(names)), 0
-	parts := make([][]peer.Address, count)
-	for index := range parts {
+	count, own := min(maxSegments, len(names)), 0
+	segments := make([][]peer.Address, count)
+	for index := range segments {
 		for _, name := range names[index*len(names)/count : (index+1)*len(names)/count] {
 			if name == r.local.Name {
 				own = index
 				continue
 			}
-			parts[index] = append(parts[index], peer.Address(r.byName[name].PeerAddress))
+			segments[index] = append(segments[index], peer.Address(r.byName[name].PeerAddress))
 		}
 	}
-	return parts, own
+	return segments, own
 }
 
 // heads chooses the node of each part that is told first and tells the others. The same ones are
 // chosen until they do not answer, so that few connections are used.
-type heads struct {
+type relays struct {
 	// silent are the nodes that did not answer.
 	silent map[peer.Address]bool
 }
 
 // choose returns one node of each part.
-func (h *heads) choose(parts [][]peer.Address) []peer.Address {
+func (h *relays) choose(segments [][]peer.Address) []peer.Address {
 	var chosen []peer.Address
-	for _, part := range parts {
-		if len(part) == 0 {
+	for _, segment := range segments {
+		if len(segment) == 0 {
 			continue
 		}
-		index := slices.IndexFunc(part, func(address peer.Address) bool { return !h.silent[address] })
-		chosen = append(chosen, part[max(0, index)])
+		index := slices.IndexFunc(segment, func(address peer.Address) bool { return !h.silent[address] })
+		chosen = append(chosen, segment[max(0, index)])
 	}
 	return chosen
 }
 
 // note takes which of the chosen nodes have answered.
-func (h *heads) note(chosen, answered []peer.Address, parts [][]peer.Address) {
+func (h *relays) recordAnswers(chosen, answered []peer.Address, segments [][]peer.Address) {
 	silent := make(map[peer.Address]bool)
-	for _, part := range parts {
+	for _, segment := range segments {
 		count := 0
-		for _, address := range part {
+		for _, address := range segment {
 			isSilent := h.silent[address]
 			if slices.Contains(chosen, address) {
 				isSilent = !slices.Contains(answered, address)
@@ -72,9 +72,9 @@
 				count++
 			}
 		}
-		if count == len(part) {
+		if count == len(segment) {
 			// The whole part is silent: all of it is tried anew.
-			for _, address := range part {
+			for _, address := range segment {
 				delete(silent, address)
 			}
 		}
--- a/pkg/owner/parts_test.go
+++ b/pkg/owner/relays_test.go
@@ -23,27 +23,27 @@
 type largeRegion struct {
 	network    *peer.Network
 	announcers []*owner.Announcer
-	boards     []*loadshed.Admitter
+	admitters  []*loadshed.Admitter
 
 	mutex sync.Mutex
 	// sent counts the messages of each node, and first are the nodes that node0 told itself,
 	// guarded by mutex.
-	sent  map[string]int
-	first map[peer.Address]bool
+	sent   map[string]int
+	relays map[peer.Address]bool
 }
 
 // counted counts the messages of one node.
-type counted struct {
+type countingTransport struct {
 	*peer.MemoryTransport
 	region *largeRegion
 	name   string
 }
 
-func (c counted) Call(ctx context.Context, to peer.Address, kind peer.Kind, message, reply proto.Message) error {
+func (c countingTransport) Call(ctx context.Context, to peer.Address, kind peer.Kind, message, reply proto.Message) error {
 	c.region.mutex.Lock()
 	c.region.sent[c.name]++
 	if c.name == "node0" {
-		c.region.first[to] = true
+		c.region.relays[to] = true
 	}
 	c.region.mutex.Unlock()
 	return c.MemoryTransport.Call(ctx, to, kind, message, reply)
@@ -62,23 +62,23 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		region := &largeRegion{network: peer.NewNetwork(1), sent: make(map[string]int), first: make(map[peer.Address]bool)}
+		region := &largeRegion{network: peer.NewNetwork(1), sent: make(map[string]int), relays: make(map[peer.Address]bool)}
 		region.network.SetLatency(func(_, _ peer.Address) time.Duration { return time.Millisecond })
-		var known []directory.Node
+		var members []directory.Node
 		for number := range count {
 			name := fmt.Sprint("node", number)
-			known = append(known, directory.Node{Name: name, Zone: "z", PeerAddress: name})
+			members = append(members, directory.Node{Name: name, Zone: "z", PeerAddress: name})
 		}
 		var stopped sync.WaitGroup
-		for _, each := range known {
-			roster := owner.NewRoster(each, map[string]string{"z": "r"}, noServers{})
-			roster.SetNodes(known)
-			room := fanout.NewAdmissionControl(&crowdedQueues{})
+		for _, member := range members {
+			roster := owner.NewRoster(member, map[string]string{"z": "r"}, noServers{})
+			roster.SetNodes(members)
+			admission := fanout.NewAdmissionControl(&overloadedQueues{})
 			announcer := owner.NewAnnouncer(owner.AnnouncerOptions{
-				Admission: room, Roster: roster, OnPublish: func([]loadshed.Measurement) {},
-				Transport: counted{region.network.Transport(peer.Address(each.Name)), region, each.Name},
+				Admission: admission, Roster: roster, OnPublish: func([]loadshed.Measurement) {},
+				Transport: countingTransport{region.network.Transport(peer.Address(member.Name)), region, member.Name},
 			})
-			region.boards, region.announcers = append(region.boards, room.Admitter), append(region.announcers, announcer)
+			region.admitters, region.announcers = append(region.admitters, admission.Admitter), append(region.announcers, announcer)
 			stopped.Go(func() { _ = announcer.Run(ctx) })
 		}
 		test(NewWithT(t), region)
@@ -90,24 +90,24 @@
 }
 
 // tell lets the owner tell a share, and returns how many nodes know it a little later.
-func (r *largeRegion) tell(share float64) int {
+func (r *largeRegion) publish(share float64) int {
 	key := loadshed.Key{Service: "s"}
-	r.announcers[0].Put([]loadshed.Measurement{{Key: key, Shares: roomShare(share), MeasuredAt: time.Now()}})
+	r.announcers[0].Put([]loadshed.Measurement{{Key: key, Shares: sharesOf(share), MeasuredAt: time.Now()}})
 	time.Sleep(50 * time.Millisecond)
-	know := 0
-	for _, board := range r.boards[1:] {
-		if board.ShareOf(key, loadshed.Class{}, time.Now()) == share {
-			know++
+	informed := 0
+	for _, admitter := range r.admitters[1:] {
+		if admitter.ShareOf(key, loadshed.Class{}, time.Now()) == share {
+			informed++
 		}
 	}
-	return know
+	return informed
 }
 
-// TestAllNodesOfALargeRegionLearn of a shortage within two round trips, by one message each, of
+// TestAllNodesOfLargeRegionAreInformed of a shortage within two round trips, by one message each, of
 // which the owner sends a bounded number.
-func TestAllNodesOfALargeRegionLearn(t *testing.T) {
+func TestAllNodesOfLargeRegionAreInformed(t *testing.T) {
 	inLargeRegion(t, func(g *WithT, region *largeRegion) {
-		g.Expect(region.tell(0.5)).To(Equal(largeRegionNodes - 1))
+		g.Expect(region.publish(0.5)).To(Equal(largeRegionNodes - 1))
 		total := 0
 		for name, sent := range region.sent {
 			total += sent
@@ -117,17 +117,17 @@
 		}
 		g.Expect(region.sent["node0"]).To(BeNumerically("<=", 40))
 		g.Expect(total).To(BeNumerically("<=", largeRegionNodes))
-		g.Expect(region.tell(0.4)).To(Equal(largeRegionNodes - 1))
-		g.Expect(region.first).To(HaveLen(region.sent["node0"]/2), "the same nodes are told first")
+		g.Expect(region.publish(0.4)).To(Equal(largeRegionNodes - 1))
+		g.Expect(region.relays).To(HaveLen(region.sent["node0"]/2), "the same nodes are told first")
 	})
 }
 
-// TestALostNodeKeepsNewsFromItsPartOnce: the next message goes to another node of the part.
-func TestALostNodeKeepsNewsFromItsPartOnce(t *testing.T) {
+// TestLostRelayDelaysItsSegmentOnce: the next message goes to another node of the part.
+func TestLostRelayDelaysItsSegmentOnce(t *testing.T) {
 	inLargeRegion(t, func(g *WithT, region *largeRegion) {
-		region.tell(0.5)
+		region.publish(0.5)
 		var lost []peer.Address
-		for address := range region.first {
+		for address := range region.relays {
 			if len(lost) < 5 {
 				lost = append(lost, address)
 			}
@@ -135,28 +135,28 @@
 		for _, address := range lost {
 			region.network.Freeze(address)
 		}
-		g.Expect(region.tell(0.4)).To(BeNumerically(">=", largeRegionNodes-1-3*len(lost)))
+		g.Expect(region.publish(0.4)).To(BeNumerically(">=", largeRegionNodes-1-3*len(lost)))
 		time.Sleep(400 * time.Millisecond)
-		g.Expect(region.tell(0.3)).To(Equal(largeRegionNodes - 1 - len(lost)))
+		g.Expect(region.publish(0.3)).To(Equal(largeRegionNodes - 1 - len(lost)))
 		for _, address := range lost {
 			region.network.Thaw(address)
 		}
 		time.Sleep(400 * time.Millisecond)
-		g.Expect(region.tell(0.2)).To(Equal(largeRegionNodes-1), "those that were lost are told by others")
+		g.Expect(region.publish(0.2)).To(Equal(largeRegionNodes-1), "those that were lost are told by others")
 	})
 }
 
-// TestWhatIsToldOnDoesNotGrowWithTheOwners: what comes while a message is on its way goes with the
+// TestForwardedMessagesDoNotGrowWithOwners: what comes while a message is on its way goes with the
 // next one.
-func TestWhatIsToldOnDoesNotGrowWithTheOwners(t *testing.T) {
+func TestForwardedMessagesDoNotGrowWithOwners(t *testing.T) {
 	inLargeRegion(t, func(g *WithT, region *largeRegion) {
 		for number := range 40 {
 			key := loadshed.Key{Service: fmt.Sprint("s", number)}
-			region.announcers[number].Put([]loadshed.Measurement{{Key: key, Shares: roomShare(0.5), MeasuredAt: time.Now()}})
+			region.announcers[number].Put([]loadshed.Measurement{{Key: key, Shares: sharesOf(0.5), MeasuredAt: time.Now()}})
 		}
 		time.Sleep(50 * time.Millisecond)
-		for _, board := range region.boards {
-			g.Expect(board.LimitedServices()).To(BeNumerically(">=", 39))
+		for _, admitter := range region.admitters {
+			g.Expect(admitter.LimitedServices()).To(BeNumerically(">=", 39))
 		}
 		for _, sent := range region.sent {
 			g.Expect(sent).To(BeNumerically("<=", 40+2*6))
@@ -164,9 +164,9 @@
 	})
 }
 
-// TestNodesThatDoNotAnswerKeepNewsFromNoOthers: of forty nodes most are cut off, among them those that come first by
+// TestUnresponsiveNodesDelayNoOthers: of forty nodes most are cut off, among them those that come first by
 // name. The others hear at once.
-func TestNodesThatDoNotAnswerKeepNewsFromNoOthers(t *testing.T) {
+func TestUnresponsiveNodesDelayNoOthers(t *testing.T) {
 	const count, lost = 40, 33
 	inRegionOf(t, count, func(g *WithT, region *largeRegion) {
 		var names []string
@@ -177,37 +177,37 @@
 		for _, name := range names[:lost] {
 			region.network.Freeze(peer.Address(name))
 		}
-		g.Expect(region.tell(0.5)).To(Equal(count - 1 - lost))
+		g.Expect(region.publish(0.5)).To(Equal(count - 1 - lost))
 	})
 }
 
-// TestWhatIsToldOnIsBoundInTime: all nodes are owners that tell something five times a second, each at another moment.
-func TestWhatIsToldOnIsBoundInTime(t *testing.T) {
-	const rounds, between = 10, 2 * time.Millisecond
+// TestForwardingRateIsBounded: all nodes are owners that tell something five times a second, each at another moment.
+func TestForwardingRateIsBounded(t *testing.T) {
+	const rounds, interval = 10, 2 * time.Millisecond
 	inLargeRegion(t, func(g *WithT, region *largeRegion) {
 		for round := range rounds {
 			for number, announcer := range region.announcers {
 				key := loadshed.Key{Service: fmt.Sprint("s", number)}
-				announcer.Put([]loadshed.Measurement{{Key: key, Shares: roomShare(0.9 - float64(round)/20), MeasuredAt: time.Now()}})
-				time.Sleep(between)
+				announcer.Put([]loadshed.Measurement{{Key: key, Shares: sharesOf(0.9 - float64(round)/20), MeasuredAt: time.Now()}})
+				time.Sleep(interval)
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
-		for index, board := range region.boards {
+		for index, admitter := range region.admitters {
 			for number := range largeRegionNodes {
-				if share := board.ShareOf(loadshed.Key{Service: fmt.Sprint("s", number)}, loadshed.Class{}, time.Now()); number != index {
+				if share := admitter.ShareOf(loadshed.Key{Service: fmt.Sprint("s", number)}, loadshed.Class{}, time.Now()); number != index {
 					g.Expect(share).To(Equal(0.9 - float64(rounds-1)/20))
 				}
 			}
 		}
-		most := 0
+		maxSent := 0
 		for _, sent := range region.sent {
-			most = max(most, sent)
+			maxSent = max(maxSent, sent)
 		}
-		t.Log("most messages of a node:", most)
-		span := rounds*largeRegionNodes*between + 50*time.Millisecond
+		t.Log("most messages of a node:", maxSent)
+		span := rounds*largeRegionNodes*interval + 50*time.Millisecond
 		// A part has two other nodes at most.
-		toldOn := 2 * int(span/(20*time.Millisecond)+1)
-		g.Expect(most).To(BeNumerically("<=", 40*rounds+toldOn))
+		maxForwarded := 2 * int(span/(20*time.Millisecond)+1)
+		g.Expect(maxSent).To(BeNumerically("<=", 40*rounds+maxForwarded))
 	})
 }
--- a/pkg/owner/roster.go
+++ b/pkg/owner/roster.go
@@ -57,7 +57,7 @@
 	layouts    map[serviceList]layout
 	generation uint64
 	// absences are the nodes that do not answer in time, or did not a while ago.
-	absences absences
+	exclusions exclusions
 }
 
 // serviceList identifies a list of services; the lists of a configuration do not
@@ -81,7 +81,7 @@
 func NewRoster(local directory.Node, regions map[string]string, servers Servers) *Roster {
 	created := &Roster{
 		local: local, regions: regions, servers: servers, layouts: make(map[serviceList]layout),
-		absences: make(absences),
+		exclusions: make(exclusions),
 	}
 	created.SetNodes(nil)
 	return created
@@ -100,7 +100,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.byName, r.byZone = byName, byZone
-	r.absences.forgetReplaced(byName)
+	r.exclusions.removeReplaced(byName)
 	clear(r.layouts)
 }
 
@@ -117,7 +117,7 @@
 	var groups []fanout.Group
 	for _, group := range r.layout(services) {
 		for _, candidate := range group.candidates {
-			if !r.absences.admit(candidate.Name, now) {
+			if !r.exclusions.admit(candidate.Name, now) {
 				continue
 			}
 			name := candidate.Name
@@ -210,33 +210,33 @@
 // leave leaves a node out of the owners until it has returned, and reports whether that is new.
 // leeway is in which time a trial must be answered; zero if the node was not late. asked is when
 // the question was asked to which it was lost.
-func (r *Roster) leave(node directory.Node, leeway time.Duration, asked, now time.Time) bool {
+func (r *Roster) exclude(node directory.Node, leeway time.Duration, askedAt, now time.Time) bool {
 	if node.Name == r.local.Name {
 		return false
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.absences.leave(node, leeway, asked, now)
+	return r.exclusions.exclude(node, leeway, askedAt, now)
 }
 
 // reported takes that a node has reported, late or not. It returns for how long the node was left
 // out, if it was and is no longer.
-func (r *Roster) reported(name string, isLate bool, now time.Time) (time.Duration, bool) {
+func (r *Roster) recordReport(name string, isLate bool, now time.Time) (time.Duration, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.absences.reported(name, isLate, now)
+	return r.exclusions.recordReport(name, isLate, now)
 }
 
 // tried takes how a trial went, and returns the same as reported.
-func (r *Roster) tried(node directory.Node, isAnswered bool, took time.Duration, now time.Time) (time.Duration, bool) {
+func (r *Roster) recordProbe(node directory.Node, isAnswered bool, took time.Duration, now time.Time) (time.Duration, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.absences.tried(node, isAnswered, took, now)
+	return r.exclusions.recordProbe(node, isAnswered, took, now)
 }
 
-// dueTrials returns the nodes to try now, and when the next one is due; zero for none.
-func (r *Roster) dueTrials(now time.Time) ([]trial, time.Time) {
+// dueProbes returns the nodes to try now, and when the next one is due; zero for none.
+func (r *Roster) dueProbes(now time.Time) ([]probe, time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.absences.due(r.byName, now)
+	return r.exclusions.dueProbes(r.byName, now)
 }
--- a/pkg/owner/roster_test.go
+++ b/pkg/owner/roster_test.go
@@ -95,10 +95,10 @@
 // TestARequestAsksFewOwners: about as many as each owner asks servers.
 func TestARequestAsksFewOwners(t *testing.T) {
 	g := NewWithT(t)
-	for services, most := range map[int]int{1: 1, 4: 3, 35: 7, 90: 11, 135: 13, 220: 16} {
+	for services, maxGroups := range map[int]int{1: 1, 4: 3, 35: 7, 90: 11, 135: 13, 220: 16} {
 		names, known, nodes := deployment(services, 20)
 		groups := rosterOf(nodes[0], known, nodes).Divide(names, route.Regions{})
-		g.Expect(len(groups)).To(BeNumerically("<=", most), "%d services", services)
+		g.Expect(len(groups)).To(BeNumerically("<=", maxGroups), "%d services", services)
 	}
 }
 
@@ -142,9 +142,9 @@
 	}
 }
 
-// TestTheCostOfADivision is bounded: it is made once for each change, and read for
+// TestDivisionAllocations is bounded: it is made once for each change, and read for
 // each request.
-func TestTheCostOfADivision(t *testing.T) {
+func TestDivisionAllocations(t *testing.T) {
 	g := NewWithT(t)
 	services, known, nodes := deployment(220, 80)
 	roster := rosterOf(nodes[0], known, nodes)
--- a/pkg/owner/server.go
+++ b/pkg/owner/server.go
@@ -32,7 +32,7 @@
 	Policies func(kind, requestID string) (policy.HedgePolicy, float64)
 	// Regions returns where a request may be served now, by this node's configuration or by
 	// what the asking node told, whichever is newer.
-	Regions func(asked RequestScope) route.Regions
+	Regions func(scope RequestScope) route.Regions
 	// Announcer adds to reports what this node measures of the room at services; nil for
 	// nothing.
 	Announcer *Announcer
@@ -91,33 +91,33 @@
 	if len(question.Services) == 0 || !s.options.Servers.HasServersFor(question.Services) {
 		return refusal(outcome.ReasonNoReplica)
 	}
-	began := time.Now()
-	plan := s.plan(question, began)
-	told := make(map[int]bool, len(question.Services))
+	start := time.Now()
+	plan := s.plan(question, start)
+	reported := make(map[int]bool, len(question.Services))
 	plan.Collect.Report = func(answers map[int]*exchange.Response, wanted []int) error {
 		for index := range answers {
-			told[index] = true
+			reported[index] = true
 		}
-		report := reportOf(answers, int(question.TopRecords))
+		report := buildReport(answers, int(question.TopRecords))
 		for _, index := range wanted {
 			report.Wanted = append(report.Wanted, uint32(index))
 		}
-		report.Room = s.options.Announcer.roomOf(question, plan.Regions().Key(), time.Now())
+		report.Room = s.options.Announcer.measurementsFor(question, plan.Regions().Key(), time.Now())
 		return open.Send(report)
 	}
 	plan.Collect.Granted = listenForGrants(open, len(question.Services))
 	awaited, done := untilCancelled(ctx)
 	defer done()
-	result := s.options.Runner.Run(awaited, plan, requestOf(question))
+	result := s.options.Runner.Run(awaited, plan, decodeRequest(question))
 	s.options.Recorder(Record{
 		RequestID: question.RequestId, Kind: question.Kind, AskedBy: string(from), Services: question.Services,
-		Took: time.Since(began), Result: result,
+		Took: time.Since(start), Result: result,
 	})
 	if result.Reason == fanout.StopCancelled {
 		return context.Canceled
 	}
-	report := lastReport(result, told, int(question.TopRecords))
-	report.Room = s.options.Announcer.roomOf(question, plan.Regions().Key(), time.Now())
+	report := finalReport(result, reported, int(question.TopRecords))
+	report.Room = s.options.Announcer.measurementsFor(question, plan.Regions().Key(), time.Now())
 	return open.Send(report)
 }
 
@@ -168,21 +168,21 @@
 }
 
 // plan is what is done for a question.
-func (s *Server) plan(question *ownerpb.Question, began time.Time) fanout.Plan {
+func (s *Server) plan(question *ownerpb.Question, start time.Time) fanout.Plan {
 	hedge, share := s.options.Policies(question.Kind, question.RequestId)
-	left := span(question.DeadlineUs)
+	left := fromMicroseconds(question.DeadlineUs)
 	plan := fanout.Plan{
 		Kind: question.Kind, Tenant: question.Tenant, Priority: int(question.Priority),
 		Services: question.Services, Required: int(question.Required), Repeatable: true,
-		MaxAttempts: int(question.MaxAttempts), Deadline: began.Add(left), Assumed: span(question.AssumedUs),
+		MaxAttempts: int(question.MaxAttempts), Deadline: start.Add(left), Assumed: fromMicroseconds(question.AssumedUs),
 		MaxServerWait: left, Hedge: hedge, ExtraShare: share,
-		Collect: &fanout.Collect{ReportInterval: span(question.ReportUs), SamplingValue: question.Lot},
+		Collect: &fanout.Collect{ReportInterval: fromMicroseconds(question.ReportUs), SamplingValue: question.Lot},
 	}
-	asked := RequestScope{
+	scope := RequestScope{
 		Host: question.Host, Target: question.Target, Version: question.Version, Tenant: question.Tenant,
 		Regions: route.OnlyRegions(question.Regions),
 	}
-	plan.Regions = func() route.Regions { return s.options.Regions(asked) }
+	plan.Regions = func() route.Regions { return s.options.Regions(scope) }
 	for _, position := range question.Spared {
 		plan.Collect.Skipped = append(plan.Collect.Skipped, int(position))
 	}
@@ -190,16 +190,18 @@
 		plan.Collect.AdmittedShares = question.AdmittedShares
 	}
 	if question.TargetUs > 0 {
-		plan.Target = began.Add(span(question.TargetUs))
+		plan.Target = start.Add(fromMicroseconds(question.TargetUs))
 	}
 	return plan
 }
 
 // span returns a time as messages carry it.
-func span(microseconds uint64) time.Duration { return time.Duration(microseconds) * time.Microsecond }
+func fromMicroseconds(microseconds uint64) time.Duration {
+	return time.Duration(microseconds) * time.Microsecond
+}
 
-// requestOf returns the client's request as a question carries it.
-func requestOf(question *ownerpb.Question) *exchange.Request {
+// decodeRequest returns the client's request as a question carries it.
+func decodeRequest(question *ownerpb.Question) *exchange.Request {
 	request := &exchange.Request{
 		Method: question.Method, Target: question.Target, Host: question.Host, ID: question.RequestId,
 		Header: make(http.Header, len(question.Headers)), HasBody: question.HasBody, Body: question.Body,
@@ -210,8 +212,8 @@
 	return request
 }
 
-// reportOf merges answers into one report.
-func reportOf(answers map[int]*exchange.Response, topRecords int) *ownerpb.Report {
+// buildReport merges answers into one report.
+func buildReport(answers map[int]*exchange.Response, topRecords int) *ownerpb.Report {
 	report := &ownerpb.Report{}
 	bodies := make([][]byte, 0, len(answers))
 	for index, answer := range answers {
@@ -224,15 +226,15 @@
 	return report
 }
 
-// lastReport tells what has not been told, and why there is no more.
-func lastReport(result fanout.Result, told map[int]bool, topRecords int) *ownerpb.Report {
+// finalReport tells what has not been told, and why there is no more.
+func finalReport(result fanout.Result, reported map[int]bool, topRecords int) *ownerpb.Report {
 	rest := make(map[int]*exchange.Response)
 	for index, answer := range result.Parts {
-		if answer != nil && !told[index] {
+		if answer != nil && !reported[index] {
 			rest[index] = answer
 		}
 	}
-	report := reportOf(rest, topRecords)
+	report := buildReport(rest, topRecords)
 	report.Ended = true
 	report.Sent, report.Hedges = uint32(result.Sent), uint32(result.Hedges)
 	report.Retries, report.Denied = uint32(result.Retries), uint32(result.Denied)
