--- a/pkg/fanout/fanout.go
+++ b/pkg/fanout/fanout.go
@@ -91,9 +91,9 @@
 type Budget interface {
 	// Earn counts the first sub-request of a part.
 	Earn(service string, now time.Time)
-	// TrySpend takes one extra sub-request and reports whether the budget allows it. keep is the
-	// share of the budget, 0 to 1, that is reserved for more valuable sub-requests.
-	TrySpend(service string, keep float64, now time.Time) bool
+	// TrySpend takes one extra sub-request and reports whether the budget allows it. reserve is the
+	// share of the budget, 0 to 1, that is left for more valuable sub-requests.
+	TrySpend(service string, reserve float64, now time.Time) bool
 }
 
 // StopReason is the reason why Run ended.
--- a/pkg/fanout/fanout_test.go
+++ b/pkg/fanout/fanout_test.go
@@ -40,10 +40,10 @@
 	c.earned++
 }
 
-func (c *countingBudget) TrySpend(_ string, keep float64, _ time.Time) bool {
+func (c *countingBudget) TrySpend(_ string, reserve float64, _ time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.reserves = append(c.reserves, keep)
+	c.reserves = append(c.reserves, reserve)
 	if c.spent >= c.allowed {
 		return false
 	}
--- a/pkg/fanout/launch.go
+++ b/pkg/fanout/launch.go
@@ -106,15 +106,15 @@
 		return time.Time{}
 	}
 	profile := r.runner.Fleet.Profile(r.plan.Kind, r.plan.Assumed)
-	observed := policy.HedgeObservation{
+	observation := policy.HedgeObservation{
 		Quantile: profile.Quantile, Remaining: r.plan.Deadline.Sub(now),
 		Typical: profile.Mean, Network: lease.Network,
 	}
 	if !r.plan.Target.IsZero() {
-		observed.Useful = max(r.plan.Target.Sub(now), time.Nanosecond)
-		observed.Alternative, _ = r.runner.Fleet.Estimate(r.choice(part), now)
+		observation.Useful = max(r.plan.Target.Sub(now), time.Nanosecond)
+		observation.Alternative, _ = r.runner.Fleet.Estimate(r.choice(part), now)
 	}
-	wait, ok := r.plan.Hedge.Delay(observed)
+	wait, ok := r.plan.Hedge.Delay(observation)
 	if !ok {
 		return time.Time{}
 	}
@@ -153,8 +153,8 @@
 // spend takes an extra sub-request from the budget, within the share that the plan allows. Late
 // requests may use the same share as others: they lack only their last parts.
 func (r *run) spend(part *part, now time.Time) bool {
-	keep := 1 - r.plan.ExtraShare
-	if r.runner.Budget.TrySpend(part.service, keep, now) {
+	reserve := 1 - r.plan.ExtraShare
+	if r.runner.Budget.TrySpend(part.service, reserve, now) {
 		return true
 	}
 	r.denied++
--- a/pkg/fanout/owners.go
+++ b/pkg/fanout/owners.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// askOwners sends questions to the owners of the plan's services. A run for another node queries
-// all servers itself; so does one whose request is withheld, without its owners.
+// askOwners sends questions to the owners of the plan's services. A run for another node, and one
+// whose request is withheld, queries all servers itself.
 func (r *run) askOwners(now time.Time) {
 	if r.plan.Collect != nil {
 		if r.plan.Collect.SamplingValue != 0 {
@@ -327,8 +327,8 @@
 	}
 }
 
-// endQuestion handles a part that its owner did not get: a question that was never executed starts
-// over, others are retried.
+// endQuestion handles a part that its owner did not get. If the owner's error says that no server
+// has executed it, the part starts over as if it had not been sent; otherwise it is retried.
 func (r *run) endQuestion(index int, report Report, failure OwnerFailure, now time.Time) {
 	part := &r.parts[index]
 	part.question = nil
@@ -379,9 +379,9 @@
 	if !r.isReportDue(now) {
 		return nil
 	}
-	fresh, wants := r.unreported, r.wantedParts
+	answers, wanted := r.unreported, r.wantedParts
 	r.unreported, r.wantedParts, r.hasReported, r.reportAt = make(map[int]*exchange.Response), nil, true, now.Add(collect.ReportInterval)
-	return collect.Report(fresh, wants)
+	return collect.Report(answers, wanted)
 }
 
 // isReportDue reports whether a report must be sent now: at the report time, at once if a grant is
--- a/pkg/fanout/quarantine_shard.go
+++ b/pkg/fanout/quarantine_shard.go
@@ -127,7 +127,7 @@
 }
 
 // countParts counts the parts for which holds returns true. It returns 0 without calling holds
-// while the guard has no records.
+// while the guard has no records, and for requests to a single service.
 func (r *run) countParts(holds func(*part) bool) int {
 	count, guard := 0, r.runner.Quarantine
 	if guard == nil || guard.IsIdle() || !r.isGathered() {
--- a/pkg/fanout/run.go
+++ b/pkg/fanout/run.go
@@ -40,8 +40,8 @@
 	// endedAt and result are set by the event loop when the attempt has ended.
 	endedAt time.Time
 	result  string
-	// trial is the trial that the attempt uses; nil if the request needs none. isForShard says that it
-	// is for the part alone.
+	// trial is the trial that the attempt uses; nil if the request needs none. isForShard says that
+	// it is for the part alone.
 	trial      *quarantine.Trial
 	isForShard bool
 }
