--- a/pkg/fleet/choose.go
+++ b/pkg/fleet/choose.go
@@ -13,10 +13,10 @@
 	// and to that of one whose retry time has not come.
 	avoidedServerCost = 2 * time.Second
 	// sameZoneShare and otherZoneShare are the parts of a server's connections that the nodes of
-	// its own zone and all other nodes use.
+	// its own zone and all other nodes may use, respectively.
 	sameZoneShare  = 0.3
 	otherZoneShare = 0.5
-	// minLimit is the minimum of the limit on a node's concurrent requests at one server.
+	// minLimit is the smallest limit on a node's concurrent requests at one server.
 	minLimit = 1
 	// jitterShare is the random part of the cost, relative to the typical time. It spreads requests
 	// over servers of about equal cost.
--- a/pkg/fleet/cold.go
+++ b/pkg/fleet/cold.go
@@ -85,12 +85,12 @@
 	if f.warmUps[server.Service].PerSecond <= 0 {
 		return true
 	}
-	if server.coldBudget.generation != f.callersGeneration || server.coldBudget.generation == 0 {
-		server.coldBudget = f.newColdQuota(server)
+	if server.quota.generation != f.callersGeneration || server.quota.generation == 0 {
+		server.quota = f.newColdQuota(server)
 	}
-	allowed := server.coldBudget.general
+	allowed := server.quota.general
 	if f.isOwner(server, now) {
-		allowed += server.coldBudget.owner
+		allowed += server.quota.owner
 	}
 	server.coldSends = slices.DeleteFunc(server.coldSends, func(at time.Time) bool { return now.Sub(at) >= coldWindow })
 	return len(server.coldSends) < allowed
--- a/pkg/fleet/idle.go
+++ b/pkg/fleet/idle.go
@@ -6,15 +6,15 @@
 	"github.com/bramblemast/bramblemast/pkg/exchange"
 )
 
-// Constants of idle connections. After a power failure of some nodes a server still counts their old
-// connections while the same nodes come back and open new ones. The idle connections of all nodes
-// together must leave room for that.
+// Constants of idle connections. After a power failure of some nodes a server still counts their
+// old connections while the same nodes come back and open new ones. The idle connections of all
+// nodes together must leave capacity for that.
 const (
 	// sameZoneIdleShare and otherZoneIdleShare are the parts of a server's connections that the
-	// nodes of its own zone and all other nodes keep idle. Nodes of the same zone use theirs all
-	// the time; the others are for hedges and for the loss of a nearby server. With 0.3 and 0.5,
-	// the shares that apply to connections in use, servers rejected 2,900 and 4,100 connections
-	// after a power failure; with these shares 26 to 55 (two and three runs).
+	// nodes of its own zone and all other nodes may keep idle, respectively. Nodes of the same zone
+	// use theirs all the time; the others are for hedges and for the loss of a nearby server. With
+	// 0.3 and 0.5, the shares that apply to connections in use, servers rejected 2,900 and 4,100
+	// connections after a power failure; with these shares 26 to 55 (two and three runs).
 	sameZoneIdleShare  = 0.3
 	otherZoneIdleShare = 0.25
 	// maxIdleShare is the part of a server's connections that may be idle where there are too many
--- a/pkg/fleet/lease.go
+++ b/pkg/fleet/lease.go
@@ -164,7 +164,8 @@
 // hasEnded reports whether the server may no longer be used.
 func (m *member) hasEnded(now time.Time) bool { return !m.endsAt.IsZero() && !now.Before(m.endsAt) }
 
-// reduceLimit halves this node's limit of concurrent requests at the server for reducedSpan.
+// reduceLimit limits this node's concurrent requests at the server to half of those in flight, at
+// least one, for reducedSpan. It avoids the server for reducedPenalty.
 func (m *member) reduceLimit(now time.Time) {
 	m.reducedLimit = max(1, len(m.active)/2)
 	m.reducedUntil = now.Add(reducedSpan)
--- a/pkg/fleet/profile.go
+++ b/pkg/fleet/profile.go
@@ -42,8 +42,10 @@
 	return &Profile{mean: max(assumedMean, time.Millisecond), deviation: max(assumedMean, time.Millisecond) / 3}
 }
 
+// typical returns the mean, but at least 100 µs.
 func (p *Profile) typical() time.Duration { return max(p.mean, 100*time.Microsecond) }
 
+// observe adds a sample to the averages.
 func (p *Profile) observe(sample time.Duration) {
 	sample = min(sample, maxSampleRatio*p.mean+time.Millisecond)
 	p.samples++
--- a/pkg/fleet/regions_test.go
+++ b/pkg/fleet/regions_test.go
@@ -46,8 +46,9 @@
 	g.Expect(lease.Server.ID).To(Equal("farther"))
 }
 
-// TestALeaseIsCheckedBeforeTheRequestIsSent: while a connection is being opened, the allowed
-// regions can change or the server can end.
+// TestALeaseIsCheckedBeforeTheRequestIsSent: a lease may not be used any more if the allowed
+// regions have changed or the server has ended since, as can happen while a connection is being
+// opened.
 func TestALeaseIsCheckedBeforeTheRequestIsSent(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
@@ -101,8 +102,8 @@
 	now := time.Unix(0, 0)
 	tested := newFleet(now)
 	count := func(regions route.Regions, ended ...fleet.Incarnation) [2]int {
-		inReach, all := tested.CountReachable("s", regions, ended, now)
-		return [2]int{inReach, all}
+		reachable, all := tested.CountReachable("s", regions, ended, now)
+		return [2]int{reachable, all}
 	}
 	_, all := tested.CountReachable("s", route.Regions{}, nil, now)
 	g.Expect(count(route.Regions{})).To(Equal([2]int{all, all}))
--- a/pkg/fleet/server.go
+++ b/pkg/fleet/server.go
@@ -119,15 +119,17 @@
 	rhythm rhythm.Server
 	// unreachable says that the last request could not open a connection.
 	unreachable bool
-	avoidUntil  time.Time
+	// avoidUntil is until when avoidedServerCost is added to the server's cost, after a request
+	// failed or was refused or a connection was rejected.
+	avoidUntil time.Time
 	// retryAt is the time before which the server is not tried again after it could not be reached,
 	// refused a request or rejected a connection.
 	retryAt   time.Time
 	warmUntil time.Time
-	// coldBudget is this node's part of what the server can take while it is cold. coldSends are
-	// the times of the requests that were sent to it within the last coldWindow.
-	coldBudget coldQuota
-	coldSends  []time.Time
+	// quota is this node's part of what the server can take while it is cold. coldSends are the
+	// times of the requests that were sent to it within the last coldWindow.
+	quota     coldQuota
+	coldSends []time.Time
 	// reducedLimit bounds the concurrent requests at the server until reducedUntil, because it has
 	// rejected connections.
 	reducedLimit int
--- a/pkg/fleet/places.go
+++ b/pkg/fleet/serving.go
@@ -73,11 +73,11 @@
 }
 
 // CountReachable returns how many servers of a service may be used in the regions (all), and how
-// many of them seem to be reachable (inReach): those that are not among the ended processes and
+// many of them seem to be reachable (reachable): those that are not among the ended processes and
 // whose last connection attempt did not fail.
 func (f *Fleet) CountReachable(
 	service string, regions route.Regions, ended []Incarnation, now time.Time,
-) (inReach, all int) {
+) (reachable, all int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, each := range f.services[service] {
@@ -86,10 +86,10 @@
 		}
 		all++
 		if !each.unreachable && !slices.Contains(ended, each.Incarnation()) {
-			inReach++
+			reachable++
 		}
 	}
-	return inReach, all
+	return reachable, all
 }
 
 // HasScarceConnections reports whether there are more nodes than a server of a service can keep a
--- a/pkg/fleet/zone.go
+++ b/pkg/fleet/zone.go
@@ -22,6 +22,7 @@
 	connect time.Duration
 }
 
+// observeConnect adds the time that opening a connection took.
 func (z *zoneTimes) observeConnect(elapsed time.Duration) {
 	if !z.measured || elapsed < z.roundTrip {
 		z.roundTrip, z.measured = elapsed, true
