--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -24,44 +24,44 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// Times and bounds of a node.
+// Timeouts and limits of a node.
 const (
 	connectTimeout = time.Second
-	// maxPeerFrame bounds a message between nodes, which may hold all entries.
+	// maxPeerFrame is the maximum size in bytes of a message between nodes, which may contain all
+	// entries.
 	maxPeerFrame = 16 << 20
-	// maxPeerConnections bounds the connections to other nodes; one that was
-	// unused for longest gives way to a new one. A gathered request needs one for each
-	// group of its shards: 15 for 220 shards, and those of two sets while the shards
-	// are being cut anew.
+	// maxPeerConnections is the maximum number of connections to other nodes; the least recently
+	// used one is closed to open another. A gathered request needs one per group of its shards: 15
+	// for 220 shards, and those of two sets while the shards are being repartitioned.
 	maxPeerConnections = 48
-	// quotaPeerConnections is how many more there may be where limits of tenants are held, since their
-	// coordinators tell all nodes when a tenant is at its limit: 256 in all, what pkg/peer keeps by
-	// default.
+	// quotaPeerConnections is added to maxPeerConnections if tenant limits are enforced, because
+	// their coordinators notify all nodes when a tenant reaches its limit. The total, 256, is the
+	// default of pkg/peer.
 	quotaPeerConnections = 208
-	// maxPeerInbound bounds the connections of other nodes: all nodes of a region ask
-	// an owner, 680 at the size to design for.
+	// maxPeerInbound is the maximum number of connections from other nodes: all nodes of a region
+	// send requests to an owner, 680 at the size that the system is designed for.
 	maxPeerInbound = 1024
-	// maxPeerHandlers bounds the questions that are answered at once; one beyond it is
-	// refused, and the asking node turns to the servers.
+	// maxPeerHandlers is the maximum number of peer requests that are handled at once. Further
+	// requests are refused, and their sender falls back to the servers.
 	maxPeerHandlers = 512
 	maxInFlight     = 2000
 	sweepInterval   = time.Second
-	// contactReserve is kept of the time in which the platform holds nodes to no
-	// bounds, since a request takes its time to arrive.
+	// contactReserve is subtracted from the time during which the platform holds nodes to no
+	// bounds, because requests take time to arrive.
 	contactReserve = 700 * time.Millisecond
-	// leaveGraceDivisor is the share of the time in which a leaving server may be asked
-	// that a node uses: news of it may arrive late.
+	// leaveGraceDivisor divides the time during which a leaving server may still receive requests.
+	// A node uses only that fraction, because it may learn late that the server is leaving.
 	leaveGraceDivisor = 4
 )
 
-// Platform is what the node asks of the platform's store.
+// Platform is the access to the platform's store that a node needs.
 type Platform interface {
 	directory.Source
 	Registry
 	Restorer
 	quarantine.Ledger
-	// SetObserver lets a function take each call by its name and its error; it does
-	// not block. It is called before the first call.
+	// SetObserver sets a function that is called with the name and the error of each call and must
+	// not block. SetObserver is called before the first call to the store.
 	SetObserver(observe func(call string, err error))
 }
 
@@ -74,10 +74,10 @@
 	ReadyPath string
 	// Reload reads the settings again; nil if they cannot change.
 	Reload func() (*Settings, error)
-	// Suspended tells for how long the machine has been suspended so far; nil to ask its
-	// clocks.
+	// Suspended returns the total time for which the machine has been suspended; nil to derive it
+	// from the clocks of the machine.
 	Suspended func() time.Duration
-	// Hangup tells that the settings have changed; it may be nil.
+	// ReloadSignals delivers a signal when the settings have changed; it may be nil.
 	ReloadSignals SignalChannel
 }
 
@@ -85,37 +85,38 @@
 type Node struct {
 	options Options
 	logger  hclog.Logger
-	// settings are those in force; see reload.go.
+	// settings are the settings in force; see reload.go.
 	settings atomic.Pointer[Settings]
-	// lastReloadError is the last fault of the settings; only watchSettings uses it.
+	// lastReloadError is the text of the last error of a reload, empty after a successful one. Only
+	// watchSettings uses it.
 	lastReloadError string
-	// keysLapsed says that requests with keys were refused when last looked at; only
-	// sweepServers uses it.
+	// keysLapsed says whether requests with keys were refused at the last check; only sweepServers
+	// uses it.
 	keysLapsed  bool
 	state       *state
 	quarantine  *quarantine.Guard
 	listener    *front.Listener
 	readyServer *http.Server
-	// readyListener takes the platform's questions about readiness.
+	// readyListener accepts the readiness probes of the platform.
 	readyListener net.Listener
 	follower      *directory.Follower
-	metrics       *metrics
-	// metrics and metricsListener are nil if no port is set.
+	metrics       *metricSet
+	// metricsServer and metricsListener are nil if no port is set.
 	metricsServer   *http.Server
 	metricsListener net.Listener
 	nodeEntry       *registration
 	writeBack       *writeBack
-	// transport, peers and owners are nil if the node has no address for its peers.
+	// transport, peers and owners are nil if the node has no peer address.
 	transport *peer.TCP
 	peers     *directory.Peers
 	owners    *owner.Client
-	// limits is nil if limits of tenants are not held.
+	// limits is nil if tenant limits are not enforced.
 	limits *limits
-	// known is what this node knows of the room at services; announcer tells others of it and
-	// is nil if the node has no address for its peers.
+	// admission holds what this node knows of the capacity of overloaded services. announcer sends
+	// it to other nodes and is nil if the node has no peer address.
 	admission *fanout.AdmissionControl
 	announcer *owner.Announcer
-	// teller tells other nodes of suspect requests; nil if the node has no address for its peers.
+	// gossiper notifies other nodes of suspect requests; nil if the node has no peer address.
 	gossiper *quarantine.Gossiper
 }
 
@@ -174,12 +175,12 @@
 	})
 }
 
-// newServerDialer returns what opens connections to servers.
+// newServerDialer returns a dialer for connections to servers.
 func newServerDialer() *net.Dialer { return &net.Dialer{Timeout: connectTimeout, KeepAlive: -1} }
 
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// openClients opens the address for clients.
+// openClients opens the listener for clients.
 func (n *Node) openClients(rules *policies, recorder *requestRecorder) error {
 	options := front.Options{
 		Dialect: n.options.Dialect, State: n.state, Fleet: n.state.fleet, Budget: n.state.budgets, Policies: rules,
@@ -206,17 +207,18 @@
 	return nil
 }
 
-// ClientAddress returns where clients connect.
+// ClientAddress returns the address that clients connect to.
 func (n *Node) ClientAddress() string { return n.listener.Address() }
 
-// ReadyAddress returns where the platform asks for readiness.
+// ReadyAddress returns the address of the readiness endpoint.
 func (n *Node) ReadyAddress() string { return n.readyListener.Addr().String() }
 
-// Metrics serves the node's figures and limits, for programs that embed it.
+// Metrics returns the handler of the metrics and of the limits page, for programs that embed the
+// node.
 func (n *Node) Metrics() http.Handler { return n.metricsHandler() }
 
-// openPeers opens the address for other nodes, if there is one, and notes it in
-// the node's entry.
+// openPeers opens the listener for other nodes, if one is configured, and sets its address in the
+// node's entry.
 func (n *Node) openPeers(settings *Settings, local *directory.Node) error {
 	if settings.Listen.Peers == "" {
 		return nil
@@ -235,9 +237,9 @@
 	n.peers = directory.NewPeers(directory.PeersOptions{
 		Follower: n.follower, Transport: n.transport, Local: *local, Nodes: n.state.knownNodes,
 		Seeds: settings.Peers, Regions: settings.Zones,
-		RoleChanged: func(role directory.Role) { n.logger.Info("reading of the store divided", "role", role.String()) },
+		RoleChanged: func(role directory.Role) { n.logger.Info("store reader role changed", "role", role.String()) },
 		ReaderEjected: func(name string, cause error) {
-			n.logger.Warn("reader of the store left out", "reader", name, "error", cause.Error())
+			n.logger.Warn("store reader ejected", "reader", name, "error", cause.Error())
 		},
 	})
 	n.state.roster = owner.NewRoster(*local, settings.Zones, n.state.fleet)
@@ -251,7 +253,7 @@
 	return nil
 }
 
-// peerConnections returns the bound on the connections to other nodes.
+// peerConnections returns the maximum number of connections to other nodes.
 func peerConnections(settings *Settings) int {
 	if settings.Bounds.QuotaWindowSeconds > 0 {
 		return maxPeerConnections + quotaPeerConnections
@@ -259,8 +261,8 @@
 	return maxPeerConnections
 }
 
-// Run serves until ctx ends, and then stops as planned: no request in flight
-// is cut off within the grace time.
+// Run serves until ctx ends and then drains the node: no request in flight is aborted within the
+// grace time.
 func (n *Node) Run(ctx context.Context) error {
 	n.logger.Info("started", "zone", n.options.Settings.Node.Zone, "release", version.Version)
 	inner, cancel := context.WithCancel(context.Background())
@@ -270,7 +272,7 @@
 		group.Add(func() error { return execute(inner) }, func(error) { cancel() })
 	}
 	group.Add(n.listener.Serve, func(error) { n.listener.Close() })
-	// Close fails only on listeners that are closed already, so that its errors are dropped here.
+	// Close fails only for listeners that are already closed, so its errors are ignored.
 	group.Add(func() error { return n.readyServer.Serve(n.readyListener) }, func(error) { _ = n.readyServer.Close() })
 	if n.metricsServer != nil {
 		group.Add(func() error { return n.metricsServer.Serve(n.metricsListener) }, func(error) { _ = n.metricsServer.Close() })
@@ -321,8 +323,8 @@
 	}
 }
 
-// resume makes up for a suspension of the machine: what was known is old, and connections that
-// seem to have rested for a moment may be dead.
+// resume handles the end of a suspension of the machine: known state is outdated, and connections
+// that seem to have been idle for a moment may be dead.
 func (n *Node) resume(span time.Duration) {
 	n.logger.Warn("machine was suspended", "span_ms", span.Milliseconds())
 	n.state.fleet.DropIdle()
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -23,7 +23,7 @@
 	"github.com/bramblemast/bramblemast/pkg/template"
 )
 
-// TestSettingsNameEveryFault in one error.
+// TestSettingsNameEveryFault: one error names every invalid field.
 func TestSettingsNameEveryFault(t *testing.T) {
 	g := NewWithT(t)
 	_, err := ParseSettings([]byte(`{"node": {"zone": ""}, "listen": {"clients": "here", "metrics_port": 70000},
@@ -41,7 +41,7 @@
 	g.Expect(err).To(MatchError(ContainSubstring("read settings")))
 }
 
-// blocked is an output whose reader has stopped reading.
+// blockedWriter blocks each write until release is closed, like a pipe whose reader has stopped.
 type blockedWriter struct{ release chan struct{} }
 
 func (b blockedWriter) Write(line []byte) (int, error) {
@@ -49,8 +49,8 @@
 	return len(line), nil
 }
 
-// TestLogDropsLinesInsteadOfBlocking: lines beyond the backlog are dropped and
-// counted.
+// TestLogDropsLinesInsteadOfBlocking: if nobody reads the log, lines beyond the backlog are dropped
+// and counted, and no writer blocks.
 func TestLogDropsLinesInsteadOfBlocking(t *testing.T) {
 	g := NewWithT(t)
 	output := blockedWriter{release: make(chan struct{})}
@@ -63,7 +63,8 @@
 	close(output.release)
 }
 
-// TestFailuresAreLoggedAndSuccessesSampled, both within a bound for each second.
+// TestFailuresAreLoggedAndSuccessesSampled: failed requests are logged up to the rate limit, of
+// complete successes one in sampleEvery.
 func TestFailuresAreLoggedAndSuccessesSampled(t *testing.T) {
 	g := NewWithT(t)
 	var output bytes.Buffer
@@ -82,7 +83,7 @@
 	g.Expect(strings.Count(output.String(), "served")).To(Equal(1))
 }
 
-// TestOverloadIsLoggedOncePerInterval for a while, however many requests fail for it.
+// TestOverloadIsLoggedOncePerInterval, however many requests fail because of it.
 func TestOverloadIsLoggedOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -106,8 +107,8 @@
 
 var _ io.Writer = writerFunc(nil)
 
-// TestTheExtraLoadOfAllNodesStaysWithinItsBound while traffic is steady, however
-// many nodes share it.
+// TestTheExtraLoadOfAllNodesStaysWithinItsBound: under steady traffic the extra requests of all nodes
+// together stay within the bound, whatever the number of nodes.
 func TestTheExtraLoadOfAllNodesStaysWithinItsBound(t *testing.T) {
 	g := NewWithT(t)
 	bounds := BoundSettings{ExtraRatio: 0.2, Extra: 58, ExtraWindowSeconds: 10}
@@ -134,8 +135,8 @@
 	}
 }
 
-// TestTemplateLookupOrder: the route's own template, else that of its kind, else the
-// built-in policies; a request keeps its arm; a tombstone ends a template.
+// TestTemplateLookupOrder: a route uses its own template, else the template of its kind, else the
+// built-in policies. A request keeps its arm, and a tombstone removes a template.
 func TestTemplateLookupOrder(t *testing.T) {
 	g := NewWithT(t)
 	tested, err := newPolicies()
@@ -181,9 +182,8 @@
 	g.Expect(tested.For(gathered, "r").Template).To(Equal("routes/gathered"))
 }
 
-// TestDeployTemplateMatchesSettings: every name of the deploy template is one of
-// the settings, on deployments that tell all bounds and on those that tell only what each
-// has.
+// TestDeployTemplateMatchesSettings: every field of the deploy template is a field of the settings,
+// on deployments that set all bounds and on those that set only the mandatory ones.
 func TestDeployTemplateMatchesSettings(t *testing.T) {
 	g := NewWithT(t)
 	content, err := os.ReadFile("../../deploy/edge.json")
@@ -200,10 +200,10 @@
 	g.Expect(fewest.Bounds.RefuseUnconfirmedKeys).To(BeFalse())
 }
 
-// section is a part of the template that stands only where the deployment tells a value.
+// section matches a part of the template that is rendered only if the deployment sets a value.
 var section = regexp.MustCompile(`(?s)\{\{#([\w.]+)\}\}(.*?)\{\{/[\w.]+\}\}`)
 
-// fillTemplate fills a template as the platform does, with or without the sections.
+// fillTemplate renders a template as the platform does, with or without the optional sections.
 func fillTemplate(filled string, withSections bool) string {
 	filled = section.ReplaceAllStringFunc(filled, func(found string) string {
 		if !withSections {
@@ -226,9 +226,9 @@
 	return filled
 }
 
-// TestALeavingServerIsAskedInItsTimeOnly: news of it may be as old as the pause
-// between two watches, and a request may be late by half a second. (variant2
-// mix --seed 89342810977, variant3 trouble-3 --seed 838668087619)
+// TestALeavingServerIsAskedInItsTimeOnly: a leaving server must receive no request after its drain
+// time, although the node may learn of it a staleness bound late and a request may be delayed by half
+// a second.
 func TestALeavingServerIsAskedInItsTimeOnly(t *testing.T) {
 	g := NewWithT(t)
 	for _, drain := range []int{3000, 2500, 5000, 6000, 10000} {
@@ -238,8 +238,8 @@
 	}
 }
 
-// TestAnEvacuationIsInForceInItsTime: news of it may be as old as the settings allow, and
-// the load leaves after it.
+// TestAnEvacuationIsInForceInItsTime: the load must have left the zone within the bound, although the
+// node may learn of the evacuation a staleness bound late and only then moves the load away.
 func TestAnEvacuationIsInForceInItsTime(t *testing.T) {
 	g := NewWithT(t)
 	for _, millis := range []int{1500, 3000, 5000, 10000} {
@@ -249,8 +249,8 @@
 	}
 }
 
-// TestRequestsComeBackLaterWhileTheStoreStaysAway: a client that may retry
-// once would otherwise be refused again.
+// TestRequestsComeBackLaterWhileTheStoreStaysAway: Retry-After grows while the node starts and while
+// the store is unavailable. A client that may retry only once would otherwise be refused again.
 func TestRequestsComeBackLaterWhileTheStoreStaysAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -262,11 +262,12 @@
 		time.Sleep(time.Minute)
 		g.Expect(starting.Starting().RetryAfter).To(Equal(maxStartingWait))
 		lost = true
-		g.Expect(starting.Starting()).To(Equal(front.Starting{RetryAfter: storeLostWait}), "at once, and later")
+		g.Expect(starting.Starting()).To(Equal(front.Starting{RetryAfter: storeLostWait}), "refused without waiting, with a longer Retry-After")
 	})
 }
 
-// TestWhatIsFoundAtTheStartIsOneLine, and what comes later has a line each.
+// TestWhatIsFoundAtTheStartIsOneLine: the entries found at the start are logged in one line, later
+// ones in a line each.
 func TestWhatIsFoundAtTheStartIsOneLine(t *testing.T) {
 	g := NewWithT(t)
 	var lines bytes.Buffer
@@ -291,9 +292,9 @@
 	g.Expect(lines.String()).To(And(ContainSubstring("server added"), ContainSubstring("node found")))
 }
 
-// TestALapsedEntryIsTrustedForTwoSecondsAfterTheStoreReturned, and for the time
-// that news of it may take; not for the whole time in which the platform holds
-// nodes to no bounds. (the pages of 2026-12-02)
+// TestALapsedEntryIsTrustedForTwoSecondsAfterTheStoreReturned: a server whose entry expired during an
+// outage of the store stays in use for two seconds after the outage plus the staleness bound, and
+// not for the whole time in which the platform holds nodes to no bounds.
 func TestALapsedEntryIsTrustedForTwoSecondsAfterTheStoreReturned(t *testing.T) {
 	g := NewWithT(t)
 	for contact, expected := range map[float64]time.Duration{
@@ -306,7 +307,7 @@
 	}
 }
 
-// TestWriteBackSpanCoversLapsedEntries, also where a deployment names no bound on being in contact.
+// TestWriteBackSpanCoversLapsedEntries, also if a deployment sets no contact bound.
 func TestWriteBackSpanCoversLapsedEntries(t *testing.T) {
 	g := NewWithT(t)
 	for contact, want := range map[int]time.Duration{0: lapsedEntryReturn, 500: lapsedEntryReturn, 5000: 2800 * time.Millisecond} {
@@ -315,9 +316,9 @@
 	}
 }
 
-// TestStalenessBoundFollowsDeploymentBounds: nodes read the store as seldom as its
-// bounds on configurations and leaving servers allow, with a reserve, and not
-// more often where these are unknown.
+// TestStalenessBoundFollowsDeploymentBounds: nodes read the store as seldom as the deployment's
+// bounds on configurations and leaving servers allow, less a reserve. Without such bounds the
+// minimum staleness bound applies.
 func TestStalenessBoundFollowsDeploymentBounds(t *testing.T) {
 	g := NewWithT(t)
 	for _, each := range []struct {
@@ -331,14 +332,14 @@
 		g.Expect(settings.stalenessBound()).To(Equal(each.expected))
 	}
 	settings := Settings{Bounds: BoundSettings{ApplyMillis: 60000, DrainMillis: 60000, ContactMillis: 5000}}
-	g.Expect(settings.stalenessBound()).To(Equal(2800*time.Millisecond), "notes on deadly requests are known in time")
+	g.Expect(settings.stalenessBound()).To(Equal(2800*time.Millisecond), "notes on requests that crash servers must arrive within the contact bound")
 }
 
-// TestEvacuationsReachTheFleet, also one that was found at the start, and are told in the
-// log.
+// TestEvacuationsReachTheFleet: evacuations are applied and logged, also one that was found at the
+// start.
 func TestEvacuationsReachTheFleet(t *testing.T) {
 	g := NewWithT(t)
-	// The log is written by a goroutine of its own.
+	// A separate goroutine writes the log.
 	lines := make(chan string, 8)
 	servers := fleet.New(fleet.Settings{Random: newRandom()})
 	servers.Apply(fleet.Server{ID: "i", Service: "s", Address: "a", Zone: "z"}, time.Now())
@@ -348,18 +349,18 @@
 	}
 	mayServe := func() bool { return servers.CountServable([]string{"s"}, route.Regions{}, time.Now()) == 1 }
 	tested.Changed(directory.Entry{Key: "k", Revision: 1, EvacuatedZone: "z"})
-	g.Expect(mayServe()).To(BeFalse(), "found at the start, nobody knows how long ago it was told")
+	g.Expect(mayServe()).To(BeFalse(), "an evacuation found at the start takes effect at once")
 	tested.Changed(directory.Entry{Key: "k", Revision: 2, EvacuatedZone: "z", Gone: true})
 	g.Expect(mayServe()).To(BeTrue())
 	tested.Loaded(2)
 	tested.Changed(directory.Entry{Key: "k", Revision: 3, EvacuatedZone: "z"})
-	g.Expect(mayServe()).To(BeTrue(), "the load leaves evenly")
+	g.Expect(mayServe()).To(BeTrue(), "load leaves the zone gradually")
 	tested.evacuationSpan = func() time.Duration { return 0 }
 	tested.Changed(directory.Entry{Key: "k", Revision: 4, EvacuatedZone: "z", Gone: true})
 	tested.Changed(directory.Entry{Key: "k", Revision: 5, EvacuatedZone: "z"})
 	g.Expect(mayServe()).To(BeFalse())
 	for _, want := range []string{
-		"zone evacuated", "zone open again", "state restored", "zone evacuated", "zone open again", "zone evacuated",
+		"zone evacuated", "zone evacuation ended", "state restored", "zone evacuated", "zone evacuation ended", "zone evacuated",
 	} {
 		g.Expect(<-lines).To(ContainSubstring(want))
 	}
--- a/internal/edge/metric_set.go
+++ b/internal/edge/metric_set.go
@@ -19,7 +19,7 @@
 var latencyBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.175, 0.25, 0.5, 1, 2.5, 10}
 
 // figures are the node's metrics; docs/OPERATIONS.md explains each.
-type metrics struct {
+type metricSet struct {
 	registry *prometheus.Registry
 
 	requests          *prometheus.CounterVec
@@ -44,8 +44,8 @@
 	coordinatorsLost *prometheus.CounterVec
 }
 
-func newMetricSet() *metrics {
-	f := &metrics{
+func newMetricSet() *metricSet {
+	f := &metricSet{
 		registry: prometheus.NewRegistry(),
 		requests: counters("requests_total", "Requests by outcome.", "route", "arm", "status", "reason"),
 		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
@@ -92,28 +92,28 @@
 }
 
 // gauge registers a figure that is read when it is asked for.
-func (f *metrics) gauge(name, help string, read func() float64) {
+func (f *metricSet) gauge(name, help string, read func() float64) {
 	f.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: namespace, Name: name, Help: help,
 	}, read))
 }
 
 // counter registers a counter whose value is read at each scrape.
-func (f *metrics) counter(name, help string, read func() uint64) {
+func (f *metricSet) counter(name, help string, read func() uint64) {
 	f.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Namespace: namespace, Name: name, Help: help,
 	}, func() float64 { return float64(read()) }))
 }
 
 // handler serves the figures as text.
-func (f *metrics) handler() *http.ServeMux {
+func (f *metricSet) handler() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+metricsPath, promhttp.HandlerFor(f.registry, promhttp.HandlerOpts{}))
 	return mux
 }
 
 // count takes one request.
-func (f *metrics) count(record front.Record) {
+func (f *metricSet) count(record front.Record) {
 	route, arm := record.Route, record.Policy.Arm
 	f.requests.WithLabelValues(route, arm, strconv.Itoa(record.Status), record.Reason).Inc()
 	if record.Refused {
@@ -133,14 +133,14 @@
 	}
 }
 
-func (f *metrics) countBroken(route string, count int) {
+func (f *metricSet) countBroken(route string, count int) {
 	if count > 0 {
 		f.brokenConnections.WithLabelValues(route).Add(float64(count))
 	}
 }
 
 // countCall takes one call to the store.
-func (f *metrics) countCall(call string, err error) {
+func (f *metricSet) countCall(call string, err error) {
 	result := "ok"
 	if err != nil {
 		result = "error"
@@ -149,7 +149,7 @@
 }
 
 // countOwned takes one question of another node.
-func (f *metrics) countOwned(record owner.Record) {
+func (f *metricSet) countOwned(record owner.Record) {
 	result := record.Result
 	f.countBroken(record.Kind, result.BrokenConnections)
 	f.owned.WithLabelValues(record.Kind, "answered").Add(float64(result.AnsweredCount))
@@ -158,7 +158,7 @@
 	}
 }
 
-func (f *metrics) countSent(route, arm, kind string, count int) {
+func (f *metricSet) countSent(route, arm, kind string, count int) {
 	if count > 0 {
 		f.subRequests.WithLabelValues(route, arm, kind).Add(float64(count))
 	}
--- a/internal/edge/request_recorder.go
+++ b/internal/edge/request_recorder.go
@@ -22,7 +22,7 @@
 // events writes the story of requests. It implements front.Recorder.
 type requestRecorder struct {
 	logger  hclog.Logger
-	metrics *metrics
+	metrics *metricSet
 	// storeAge returns the time since the store last answered.
 	storeAge func() time.Duration
 
@@ -37,7 +37,7 @@
 	leftOut int
 }
 
-func newRequestRecorder(logger hclog.Logger, metrics *metrics, storeAge func() time.Duration) *requestRecorder {
+func newRequestRecorder(logger hclog.Logger, metrics *metricSet, storeAge func() time.Duration) *requestRecorder {
 	return &requestRecorder{logger: logger, metrics: metrics, storeAge: storeAge, overloads: newStateLogLimiter[string](overloadLogInterval)}
 }
 
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -1,5 +1,5 @@
-// Package edge wires the node of a routed deployment: it follows the platform,
-// serves clients through package front, and stops as planned.
+// Package edge assembles the node of a routed deployment: it follows the platform's store, serves
+// clients through package front, and drains before it stops.
 package edge
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/bramblemast/bramblemast/pkg/quota"
 )
 
-// Settings of a node. Times are given in the unit that the name ends with.
+// Settings of a node. The names of durations end in their unit.
 type Settings struct {
 	Node   NodeSettings      `json:"node"`
 	Zones  map[string]string `json:"zones"`
@@ -29,14 +29,14 @@
 	Peers  []string          `json:"peers"`
 }
 
-// NodeSettings say which node this is and where it runs.
+// NodeSettings identify the node and say where it runs.
 type NodeSettings struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
 	Region  string `json:"region"`
 	Address string `json:"address"`
-	// FirstStart says that the whole system starts for the first time, all nodes within
-	// seconds.
+	// FirstStart says that the whole system starts for the first time, with all nodes starting
+	// within seconds of each other.
 	FirstStart bool `json:"first_start"`
 }
 
@@ -44,59 +44,59 @@
 type ListenSettings struct {
 	Clients string `json:"clients"`
 	Ready   string `json:"ready"`
-	// Peers is where other nodes ask; empty for nowhere.
+	// Peers is the address for requests of other nodes; empty for none.
 	Peers string `json:"peers"`
-	// PeersAdvertised is where other nodes reach that address; empty if it is the same.
+	// PeersAdvertised is the address at which other nodes reach Peers; empty if it is the same.
 	PeersAdvertised string `json:"peers_advertised"`
-	// Metrics is the port on the node's address; zero for none.
+	// MetricsPort is the port of the metrics on the node's address; zero for none.
 	MetricsPort int `json:"metrics_port"`
 }
 
-// StoreSettings say where the platform's store is.
+// StoreSettings hold the address (ip:port) of the platform's store.
 type StoreSettings struct {
 	Address string `json:"address"`
 }
 
 // LimitSettings are the machine's limits; zero for none.
 type LimitSettings struct {
-	// MemoryMB is the memory, in MiB, beyond which the platform ends the process.
+	// MemoryMB is the memory in MiB beyond which the platform kills the process.
 	MemoryMB int `json:"memory_mb"`
-	// Descriptors is the number of files and sockets that it may open.
+	// Descriptors is the number of files and sockets that the process may open.
 	Descriptors int `json:"descriptors"`
 }
 
-// BoundSettings are what the deployment promises.
+// BoundSettings are the bounds that the deployment guarantees.
 type BoundSettings struct {
-	// DrainMillis is how long a leaving server may still be asked.
+	// DrainMillis is how long a leaving server may still receive requests.
 	DrainMillis int `json:"drain_ms"`
-	// ApplyMillis is how long after its acknowledgement a configuration may be
-	// out of force; zero if unknown.
+	// ApplyMillis is the maximum time between the acknowledgement of a configuration and its taking
+	// effect; zero if unknown.
 	ApplyMillis int `json:"apply_ms"`
-	// ContactMillis is how long the platform must have answered until a node is
-	// held to the other bounds.
+	// ContactMillis is how long the platform must have been answering before a node is held to the
+	// other bounds.
 	ContactMillis int `json:"contact_ms"`
-	// GraceSeconds is the time between the stop signal and the end.
+	// GraceSeconds is the time between the stop signal and the end of the process.
 	GraceSeconds float64 `json:"grace_s"`
-	// ExtraRatio and Extra bound the requests to a second server, over all
-	// nodes and in each span of ExtraWindowSeconds.
+	// ExtraRatio and Extra bound the requests to a second server, over all nodes and in each window
+	// of ExtraWindowSeconds.
 	ExtraRatio         float64 `json:"extra_ratio"`
 	Extra              float64 `json:"extra"`
 	ExtraWindowSeconds float64 `json:"extra_window_s"`
-	// EvacuateMillis is how long after its acknowledgement an evacuated zone's servers may
-	// still be asked; zero if unknown.
+	// EvacuateMillis is how long after the acknowledgement of an evacuation the servers of the zone
+	// may still receive requests; zero if unknown.
 	EvacuateMillis int `json:"evacuate_ms"`
-	// ColdFactor times what a cold server bears in a second, and ColdExtra requests more, may
-	// reach it; zero if unknown.
+	// ColdFactor and ColdExtra bound the requests to a cold server during warm-up: in a second,
+	// ColdFactor times what it can handle plus ColdExtra requests; zero if unknown.
 	ColdFactor float64 `json:"cold_factor"`
 	ColdExtra  float64 `json:"cold_extra"`
-	// RefuseUnconfirmedKeys asks to refuse requests that need a key while it cannot be
-	// confirmed that what is known of keys is at most RevokeMillis old. Without it nodes
-	// serve on with the keys that they know.
+	// RefuseUnconfirmedKeys makes a node refuse requests that need a key while it cannot confirm
+	// that its copy of the keys is at most RevokeMillis old. Otherwise it continues to serve with
+	// the keys that it knows.
 	RefuseUnconfirmedKeys bool `json:"strict_revoke"`
 	RevokeMillis          int  `json:"revoke_ms"`
-	// QuotaWindowSeconds is the span in which a tenant's requests over all nodes are counted;
-	// zero if limits of tenants are not held. In each span there may be QuotaOvershoot times
-	// more requests than the tenant's limit grants, and QuotaSlack beside.
+	// QuotaWindowSeconds is the window in which a tenant's requests over all nodes are counted; zero
+	// if tenant limits are not enforced. In each window the requests may exceed the tenant's limit
+	// by the factor QuotaOvershoot and by QuotaSlack further requests.
 	QuotaWindowSeconds float64 `json:"quota_window_s"`
 	QuotaOvershoot     float64 `json:"quota_overshoot"`
 	QuotaSlack         float64 `json:"quota_slack"`
@@ -111,8 +111,7 @@
 	return ParseSettings(content)
 }
 
-// ParseSettings checks settings and returns one error that names every field
-// at fault.
+// ParseSettings decodes and checks settings. It returns one error that names every invalid field.
 func ParseSettings(content []byte) (*Settings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(content))
 	decoder.DisallowUnknownFields()
@@ -126,7 +125,7 @@
 	return settings, nil
 }
 
-// problems returns all faults of the settings, in their order.
+// problems returns the texts of all problems of the settings.
 func (s *Settings) problems() []string {
 	problems := append(s.addressProblems(), s.boundProblems()...)
 	if s.Listen.MetricsPort < 0 || s.Listen.MetricsPort > 65535 {
@@ -135,7 +134,7 @@
 	return problems
 }
 
-// addressProblems returns the faults of the names and addresses.
+// addressProblems returns the problems of the names and addresses.
 func (s *Settings) addressProblems() []string {
 	var problems []string
 	requireValue := func(name, value string) {
@@ -164,7 +163,7 @@
 	return problems
 }
 
-// boundProblems returns the faults of the limits and bounds.
+// boundProblems returns the problems of the limits and bounds.
 func (s *Settings) boundProblems() []string {
 	var problems []string
 	rejectNegative := func(name string, value float64) {
@@ -199,27 +198,25 @@
 	return problems
 }
 
-// leaveGrace returns for how long after the news that a server leaves it may
-// still be asked as the last one of its service.
+// leaveGrace returns for how long after the node has learned that a server is leaving the server may
+// still receive requests as the last one of its service.
 func (s *Settings) leaveGrace() time.Duration {
 	return time.Duration(s.Bounds.DrainMillis) * time.Millisecond / leaveGraceDivisor
 }
 
-// Constants of the age of news.
 const (
-	// stalenessReserve is kept of the time within which news must be in force: for a
-	// call that fails and is made again by way of another node, and for requests
-	// on their way.
+	// stalenessReserve is subtracted from the time within which a change must take effect: it covers
+	// a call that fails and is repeated through another node, and requests in flight.
 	stalenessReserve = 2200 * time.Millisecond
-	// maxStalenessBound bounds how old news may be however long the deployment
-	// allows: new servers are to be used soon. Readers hear of changes as they happen;
-	// the age bounds how late a silent loss of them is noticed.
+	// maxStalenessBound limits the staleness bound even if the deployment allows more, so that new
+	// servers are used soon. Readers receive changes as they happen; the bound limits how late a
+	// silent loss of changes is noticed.
 	maxStalenessBound = 4 * time.Second
 )
 
-// stalenessBound returns how old news of the store may be while it answers. A node reads
-// the store itself as soon as what it knows is older, and where the deployment
-// allows older news, few nodes of a zone read for the others (directory.Role).
+// stalenessBound returns how old the node's copy of the store may be while the store answers. A node
+// whose copy is older reads the store itself. If the deployment allows an older copy, a few nodes of
+// a zone read the store for the others (directory.Role).
 func (s *Settings) stalenessBound() time.Duration {
 	shortestMillis := min(s.Bounds.ApplyMillis, s.Bounds.DrainMillis)
 	if s.Bounds.EvacuateMillis > 0 {
@@ -228,7 +225,7 @@
 	if s.Bounds.RefuseUnconfirmedKeys {
 		shortestMillis = min(shortestMillis, s.Bounds.RevokeMillis)
 	}
-	// Notes on requests that end servers are to be known at all nodes within it.
+	// Notes on requests that crash servers must reach all nodes within ContactMillis.
 	if s.Bounds.ContactMillis > 0 {
 		shortestMillis = min(shortestMillis, s.Bounds.ContactMillis)
 	}
@@ -236,49 +233,49 @@
 	return min(max(bound-stalenessReserve, directory.MinStalenessBound), maxStalenessBound)
 }
 
-// evacuationReserve is kept of the time in which a zone is to be evacuated, beside the age
-// of news: for a process that stands still and for requests on their way.
+// evacuationReserve is subtracted, in addition to the staleness bound, from the time within which a
+// zone must be evacuated: it covers a paused process and requests in flight.
 const evacuationReserve = time.Second
 
-// evacuationSpan returns the span in which the load leaves a zone after the news that it is
-// to be evacuated.
+// evacuationSpan returns the span over which load is moved away from a zone after the node has
+// learned of its evacuation.
 func (s *Settings) evacuationSpan() time.Duration {
 	bound := time.Duration(s.Bounds.EvacuateMillis) * time.Millisecond
 	return max(0, bound-s.stalenessBound()-evacuationReserve)
 }
 
-// revocationReserve is kept of the time after which a removed key must be refused: nodes tell
-// each other the age of their news, and a busy process is late to use it.
+// revocationReserve is subtracted from the time after which a removed key must be refused: nodes
+// tell each other how old their copies are, and a busy process uses that late.
 const revocationReserve = 500 * time.Millisecond
 
-// revocationAge returns how old news of keys may be where removed keys must be refused even
-// if the store cannot be asked.
+// revocationAge returns how old the node's copy of the keys may be if removed keys must be refused
+// even while the store is unavailable.
 func (s *Settings) revocationAge() time.Duration {
 	return time.Duration(s.Bounds.RevokeMillis)*time.Millisecond - revocationReserve
 }
 
-// revocationProblem returns what is wrong with the bound on the age of keys where it has an
-// effect; empty if nothing is. Within the reserve that is kept of it no news is new enough, so
-// that each request that needs a key would be refused.
+// revocationProblem returns the problem of the revocation bound if the bound is in use, or an empty
+// text. With a bound no longer than revocationReserve no copy of the keys would be fresh enough, and
+// each request that needs a key would be refused.
 func (s *Settings) revocationProblem() string {
 	switch {
 	case !s.Bounds.RefuseUnconfirmedKeys || s.Bounds.RevokeMillis < 0:
 		return ""
 	case s.Bounds.RevokeMillis == 0:
-		return "bounds.strict_revoke wants bounds.revoke_ms"
+		return "bounds.strict_revoke needs bounds.revoke_ms"
 	case s.revocationAge() <= 0:
 		return fmt.Sprintf("bounds.revoke_ms must be above %d with bounds.strict_revoke: %d would refuse each request that needs a key, "+
-			"since news of keys is never that new", revocationReserve.Milliseconds(), s.Bounds.RevokeMillis)
+			"since no copy of the keys is ever that fresh", revocationReserve.Milliseconds(), s.Bounds.RevokeMillis)
 	}
 	return ""
 }
 
-// warmUpBounds returns how far the requests to a cold server may go beyond what it bears.
+// warmUpBounds returns by how much the requests to a cold server may exceed what it can handle.
 func (s *Settings) warmUpBounds() fleet.WarmUpBounds {
 	return fleet.WarmUpBounds{Factor: s.Bounds.ColdFactor, Extra: s.Bounds.ColdExtra}
 }
 
-// quotaBounds returns how far the requests of a tenant may go beyond its limit.
+// quotaBounds returns by how much the requests of a tenant may exceed its limit.
 func (s *Settings) quotaBounds() quota.Bounds {
 	return quota.Bounds{
 		Window:    time.Duration(s.Bounds.QuotaWindowSeconds * float64(time.Second)),
@@ -286,48 +283,46 @@
 	}
 }
 
-// lapsedEntryReturn is within which time after the store's return the entries are
-// back that lapsed while it was away, as the platform promises; one that is still
-// missing then belongs to a server that is gone. A node hears of it a stalenessBound
-// later at most.
+// lapsedEntryReturn is the time after an outage of the store within which entries that expired
+// during it are written again, as the platform guarantees. An entry that is still missing afterwards
+// belongs to a server that is gone. A node learns of the entries at most a stalenessBound later.
 const lapsedEntryReturn = 2 * time.Second
 
-// absenceUncertainSpan returns for how long after the store has answered again an
-// absence in it proves nothing.
+// absenceUncertainSpan returns for how long after the end of an outage of the store a missing entry
+// does not prove that its server is gone.
 func (s *Settings) absenceUncertainSpan() time.Duration {
 	contact := time.Duration(s.Bounds.ContactMillis)*time.Millisecond - contactReserve
 	return max(0, min(contact, lapsedEntryReturn+s.stalenessBound()))
 }
 
-// writeBackSpan returns how long the operator and the servers may take to write again what the store
-// has lost when it comes back from an older copy.
+// writeBackSpan returns how long the operator and the servers may take to write back what the store
+// lost when it was restored from an older copy.
 func (s *Settings) writeBackSpan() time.Duration {
 	return max(lapsedEntryReturn, s.absenceUncertainSpan())
 }
 
 // Shares of the machine's limits.
 const (
-	// memoryShare of the memory is what the heap may grow to before memory is
-	// collected at any price in processor time.
+	// memoryShare is the share of the memory beyond which garbage is collected whatever it costs in
+	// processor time.
 	memoryShare = 0.7
-	// clientShare of the descriptors is for clients' connections; the rest is
-	// for servers, the store, peers and files.
+	// clientShare is the share of the descriptors for connections of clients; the rest is for
+	// servers, the store, peers and files.
 	clientShare = 0.5
 )
 
-// MemoryBytes returns the memory from which on garbage is collected at once;
-// zero for no bound.
+// MemoryBytes returns the memory limit in bytes beyond which garbage is collected at once; zero for
+// no limit.
 func (s *Settings) MemoryBytes() int64 {
 	return int64(memoryShare * float64(s.Limits.MemoryMB) * (1 << 20))
 }
 
-// clientConnections returns how many connections of clients are kept at once;
-// zero for no bound.
+// clientConnections returns the maximum number of open connections of clients; zero for no limit.
 func (s *Settings) clientConnections() int {
 	return int(clientShare * float64(s.Limits.Descriptors))
 }
 
-// grace returns the time between the stop signal and the end.
+// grace returns the time between the stop signal and the end of the process.
 func (s *Settings) grace() time.Duration {
 	return time.Duration(s.Bounds.GraceSeconds * float64(time.Second))
 }
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -18,44 +18,43 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// state is what the node believes about its deployment. It implements
-// directory.Listener and front.State.
+// state is the node's view of its deployment. It implements directory.Listener and front.State.
 type state struct {
 	logger   hclog.Logger
 	fleet    *fleet.Fleet
 	budgets  *budgets
 	policies *policies
-	metrics  *metrics
-	// refusals limits the rate of lines about entries that were refused; nothing else of it is used.
+	metrics  *metricSet
+	// refusals only limits the rate of log lines about refused entries.
 	refusals *requestRecorder
-	// idle takes the configured time for which clients' connections may rest.
+	// setIdleTimeout sets the idle timeout of clients' connections.
 	setIdleTimeout func(time.Duration)
 	// storeLost reports whether the store did not answer the last call.
 	storeLost func() bool
-	// mayBeOutdated reports whether the node has just started and may know an older configuration than is
-	// in force elsewhere; nil for never.
+	// mayBeOutdated reports whether the node has just started and its configuration may be older than
+	// the one in force on other nodes; nil for never.
 	mayBeOutdated func() bool
 	// uncertainUntil returns until when an absence in the store proves nothing.
 	uncertainUntil func(now time.Time) time.Time
-	// evacuationSpan returns the span in which the load of an evacuated zone leaves it.
+	// evacuationSpan returns the span over which load is moved away from an evacuated zone.
 	evacuationSpan func() time.Duration
 
-	// quarantine is told what other nodes found out about requests that end servers.
+	// quarantine receives the notes of other nodes on requests that crash servers.
 	quarantine *quarantine.Guard
 
-	// roster divides shards among the nodes; nil if the node has no peers.
+	// roster assigns shards to the nodes; nil if the node has no peers.
 	roster *owner.Roster
-	// limits is told which nodes there are; nil if limits of tenants are not held.
+	// limits receives the list of nodes; nil if tenant limits are not enforced.
 	limits *limits
-	// teller tells the nodes of suspect requests; nil if the node has no peers.
+	// teller notifies the nodes of suspect requests; nil if the node has no peers.
 	gossiper *quarantine.Gossiper
-	// member is told of the nodes' entries, and of restores of the store.
+	// member receives the entries of nodes, and is notified of restores of the store.
 	nodeEntry *registration
 
 	startedAt time.Time
 	table     atomic.Pointer[route.Table]
 	draining  atomic.Bool
-	// restored says that what was found at the start has been applied.
+	// restored says that the contents of the store at the start have been applied.
 	loaded atomic.Bool
 
 	mutex sync.Mutex
@@ -63,7 +62,7 @@
 	nodes map[string]directory.Node
 }
 
-// newState returns the beliefs of a node that knows nothing yet.
+// newState returns the state of a node that has not read the store yet.
 func newState(node *Node, servers *fleet.Fleet, rules *policies) *state {
 	return &state{
 		policies: rules, logger: node.logger, fleet: servers, budgets: newBudgets(node.options.Settings.Bounds), metrics: node.metrics,
@@ -89,23 +88,21 @@
 // Draining implements front.State.
 func (s *state) Draining() bool { return s.draining.Load() }
 
-// Times of requests that come before a configuration is known.
+// Times for requests that arrive before a configuration is known.
 const (
-	// startingPatience is how long they wait for it: a node that has just
-	// started knows it within milliseconds.
+	// startingPatience is how long requests wait for the configuration: a node that has just started
+	// knows it within milliseconds.
 	startingPatience = 120 * time.Millisecond
-	// minStartingWait and maxStartingWait bound when they may be retried.
+	// minStartingWait and maxStartingWait bound the Retry-After of refused requests.
 	minStartingWait = 200 * time.Millisecond
 	maxStartingWait = 1200 * time.Millisecond
-	// storeLostWait is when they may be retried while the store does not answer:
-	// its outages last for seconds, and a client that may retry only once
-	// must not come too early.
+	// storeLostWait is the Retry-After while the store does not answer: its outages last for seconds,
+	// and a client that may retry only once must not retry too early.
 	storeLostWait = 2 * time.Second
 )
 
-// Starting implements front.State. While the store does not answer, waiting
-// helps nobody: a request is refused at once, so that its client can turn to
-// another node or retry in time.
+// Starting implements front.State. While the store does not answer, waiting is useless: requests are
+// refused at once, so that their clients can use another node or retry in time.
 func (s *state) Starting() front.Starting {
 	if s.storeLost() {
 		return front.Starting{RetryAfter: storeLostWait}
@@ -115,7 +112,7 @@
 	}
 }
 
-// ready reports whether the node takes new connections.
+// ready reports whether the node accepts new connections.
 func (s *state) ready() bool { return s.Table() != nil && !s.draining.Load() }
 
 // Changed implements directory.Listener.
@@ -143,7 +140,8 @@
 	}
 }
 
-// applyServer takes a server's entry; lines about single servers begin once the first state is restored.
+// applyServer applies the entry of a server. Changes of single servers are logged only after the
+// first load of the store.
 func (s *state) applyServer(entry directory.Entry) {
 	now := time.Now()
 	change := s.fleet.Apply(*entry.Server, now)
@@ -163,7 +161,7 @@
 	s.logger.Info("server "+string(change.Kind), serverFields(entry)...)
 }
 
-// serverFields returns what a line of the log tells of a server's entry.
+// serverFields returns the log fields for the entry of a server.
 func serverFields(entry directory.Entry) []any {
 	list := []any{"server", entry.Server.ID, "service", entry.Server.Service, "address", entry.Server.Address,
 		"zone", entry.Server.Zone, "revision", entry.Revision}
@@ -173,19 +171,18 @@
 	return list
 }
 
-// errStartMissing is why an entry is not taken for that of a server which has told its start.
-var errStartMissing = errors.New("it lacks the start that the server has told before")
+// errStartMissing is the problem of an entry without a start time whose server had one before.
+var errStartMissing = errors.New("entry lacks the start that the server reported before")
 
-// refuse takes an entry that could not be read. It names no server, so that the one which was
-// known under its key is left as if the key had gone; for anything else the last good state stays
-// in force.
+// refuse handles an entry that could not be decoded. It identifies no server, so the server known
+// under its key is treated as if the key had been deleted. For other kinds of entries the last valid
+// state stays in force.
 func (s *state) refuse(entry directory.Entry) {
 	isKnown := entry.ServerID != "" && s.fleet.RejectEntry(entry.ServerID, time.Now())
 	s.logRefusal(entry, isKnown)
 }
 
-// logRefusal counts an entry that was refused and writes a line about it, as far as the rate of
-// lines allows.
+// logRefusal counts a refused entry and logs it within the limit on the rate of log lines.
 func (s *state) logRefusal(entry directory.Entry, serverLeftOut bool) {
 	s.metrics.refused.WithLabelValues("entry").Inc()
 	if s.refusals.mayWrite() {
@@ -194,9 +191,8 @@
 	}
 }
 
-// Loaded implements directory.Listener. One line tells of all servers and
-// nodes that were found at the start: a line for each would take processor time
-// just when clients retry.
+// Loaded implements directory.Listener. It logs one line for all servers and nodes that were found at
+// the start: a line for each would take processor time just when clients retry.
 func (s *state) Loaded(revision uint64) {
 	s.loaded.Store(true)
 	s.logger.Info("state restored", "revision", revision, "servers", s.fleet.Len(), "nodes", len(s.knownNodes()))
@@ -228,8 +224,9 @@
 		"routes", len(offered.Routes), "services", len(offered.Services))
 }
 
-// applyEvacuation takes that nothing more is to be sent to the servers of a zone, or that it
-// may be again. What is found at the start may have been told long ago, so it holds at once.
+// applyEvacuation starts or ends the evacuation of a zone, whose servers receive no requests in the
+// meantime. An evacuation found at the start may have been ordered long ago, so it takes effect at
+// once.
 func (s *state) applyEvacuation(entry directory.Entry) {
 	now, span := time.Now(), s.evacuationSpan()
 	if !s.loaded.Load() {
@@ -238,7 +235,7 @@
 	switch {
 	case entry.Gone && s.fleet.EndEvacuation(entry.EvacuatedZone, now):
 		s.metrics.evacuated.WithLabelValues(entry.EvacuatedZone).Set(0)
-		s.logger.Info("zone open again", "zone", entry.EvacuatedZone, "revision", entry.Revision)
+		s.logger.Info("zone evacuation ended", "zone", entry.EvacuatedZone, "revision", entry.Revision)
 	case !entry.Gone && s.fleet.Evacuate(entry.EvacuatedZone, span, now):
 		s.metrics.evacuated.WithLabelValues(entry.EvacuatedZone).Set(1)
 		s.logger.Info("zone evacuated", "zone", entry.EvacuatedZone, "revision", entry.Revision, "within_ms", span.Milliseconds())
@@ -291,14 +288,15 @@
 	}
 }
 
-// knownNodes returns the nodes that are known.
+// knownNodes returns the known nodes, in no particular order.
 func (s *state) knownNodes() []directory.Node {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return slices.Collect(maps.Values(s.nodes))
 }
 
-// share divides what the nodes have in common among those that are known.
+// updateNodes passes the known nodes to everything that is shared among nodes: shards, tenant
+// limits, gossip, warm-up bounds and the extra-load budget.
 func (s *state) updateNodes() {
 	s.mutex.Lock()
 	callers := fleet.Callers{Total: len(s.nodes), ByZone: make(map[string]int)}
@@ -320,7 +318,7 @@
 	s.budgets.setNodes(callers.Total)
 }
 
-// maxLoggedKeys bounds the keys that the line about a restore names.
+// maxLoggedKeys is the maximum number of keys in the log line about a restore.
 const maxLoggedKeys = 10
 
 // EraChanged implements directory.Listener.
--- a/internal/edge/state_test.go
+++ b/internal/edge/state_test.go
@@ -17,7 +17,8 @@
 	"github.com/bramblemast/bramblemast/pkg/quarantine"
 )
 
-// TestEntriesThatNameNoServerAreToldInBoundedLines, however many come, and each is counted.
+// TestEntriesThatNameNoServerAreToldInBoundedLines: each refused entry is counted, but the rate of
+// log lines about them is limited.
 func TestEntriesThatNameNoServerAreToldInBoundedLines(t *testing.T) {
 	g := NewWithT(t)
 	var lines bytes.Buffer
@@ -29,7 +30,7 @@
 	g.Expect(lines.String()).To(And(ContainSubstring("lacks the start"), ContainSubstring(`"server_left_out":true`)))
 	lines.Reset()
 	tested.Changed(directory.Entry{Key: "servers/i", Revision: 3, ServerID: "i", Server: &fleet.Server{ID: "i", Service: "s", Address: "a"}})
-	g.Expect(lines.String()).To(And(ContainSubstring("lacks the start"), ContainSubstring(`"server_left_out":false`)), "also the second one")
+	g.Expect(lines.String()).To(And(ContainSubstring("lacks the start"), ContainSubstring(`"server_left_out":false`)), "the second refusal must be logged too")
 	for number := range 1000 {
 		tested.Changed(directory.Entry{Key: "servers/i", Revision: uint64(number), ServerID: "i", Problem: io.ErrUnexpectedEOF})
 	}
@@ -42,11 +43,12 @@
 			return
 		}
 	}
-	t.Fatal("no entry was counted")
+	t.Fatal("the metric state_refused_total is missing")
 }
 
-// TestReplacedProcessIsReportedToQuarantine: a connection to its address would not show that it
-// has ended, since the later process takes it.
+// TestReplacedProcessIsReportedToQuarantine: the quarantine must learn from the store that a process
+// was replaced. A connection to its address would not show that it has ended, because the new
+// process accepts it.
 func TestReplacedProcessIsReportedToQuarantine(t *testing.T) {
 	g := NewWithT(t)
 	network := exchangetest.NewNetwork()
