--- a/pkg/fanout/admission_test.go
+++ b/pkg/fanout/admission_test.go
@@ -41,8 +41,8 @@
 	return loadshed.Shares{Ranks: []loadshed.RankShare{{Share: admitted}}}
 }
 
-// TestARequestThatIsNotAdmittedIsRefusedAtOnce checks that a request that is not admitted is refused without
-// delay, with outcome NotRun and the limiting service, and reaches no server.
+// TestARequestThatIsNotAdmittedIsRefusedAtOnce checks that a request that is not admitted is
+// refused without delay, with outcome NotRun and the limiting service, and reaches no server.
 func TestARequestThatIsNotAdmittedIsRefusedAtOnce(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
@@ -90,8 +90,8 @@
 	})
 }
 
-// TestASkippedShardIsQueriedOnceAnotherFails checks that a skipped shard is queried after all when the
-// request can no longer be answered without it.
+// TestASkippedShardIsQueriedOnceAnotherFails checks that a skipped shard is queried after all when
+// the request can no longer be answered without it.
 func TestASkippedShardIsQueriedOnceAnotherFails(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", quick("a"))
--- a/pkg/fanout/fanout_test.go
+++ b/pkg/fanout/fanout_test.go
@@ -340,7 +340,8 @@
 }
 
 // TestAClientThatLeavesEndsTheWorkAtOnce checks that a cancelled run ends at once and leaves the
-// server's slot free.
+// server's slot free. An answered run lets its other attempts finish instead, so that their
+// connections can be reused.
 func TestAClientThatLeavesEndsTheWorkAtOnce(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		w.add("a", "a1", exchangetest.Answer{Hang: true})
--- a/pkg/fanout/quarantine_shard_test.go
+++ b/pkg/fanout/quarantine_shard_test.go
@@ -157,8 +157,8 @@
 	})
 }
 
-// TestAWithheldPartIsNotRunOnlyIfItWasSentNowhere checks the outcome of the failures of a
-// withheld part.
+// TestAWithheldPartIsNotRunOnlyIfItWasSentNowhere checks the outcome of the failures of a withheld
+// part.
 func TestAWithheldPartIsNotRunOnlyIfItWasSentNowhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -184,8 +184,8 @@
 	})
 }
 
-// TestATrialThatIsRefusedAfterTheRunIsReleased checks that a trial is released if the run has
-// ended with the answers of the other shards and the server then says that it has not executed the
+// TestATrialThatIsRefusedAfterTheRunIsReleased checks that a trial is released if the run has ended
+// with the answers of the other shards and the server then says that it has not executed the
 // request.
 func TestATrialThatIsRefusedAfterTheRunIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/pkg/fanout/quarantine_test.go
+++ b/pkg/fanout/quarantine_test.go
@@ -134,8 +134,8 @@
 	})
 }
 
-// TestAPartThatLostItsServerWaitsBriefly checks that a part whose server crashed is
-// retried after a short wait where the other servers are all silent.
+// TestAPartThatLostItsServerWaitsBriefly checks that a part whose server crashed is retried after a
+// short wait where the other servers are all silent.
 func TestAPartThatLostItsServerWaitsBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -180,8 +180,8 @@
 	})
 }
 
-// TestARequestThatSharedCrashedServersIsRetriedAtOnce checks that a request that lost parts with the servers that
-// another request crashed is answered and does not become suspect.
+// TestARequestThatSharedCrashedServersIsRetriedAtOnce checks that a request that lost parts with
+// the servers that another request crashed is answered and does not become suspect.
 func TestARequestThatSharedCrashedServersIsRetriedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
