--- a/pkg/owner/announcer.go
+++ b/pkg/owner/announcer.go
@@ -15,38 +15,40 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// Messages about the room at services. An owner sends kindMeasurements to one node of each part of the
-// region, its head; the head sends kindForwardedMeasurements to the others of its part, who pass it to nobody.
+// Kinds of messages with measured admission shares of services. An owner sends kindMeasurements to
+// one node of each segment of the region, its relay. The relay sends kindForwardedMeasurements to
+// the other nodes of its segment, which do not forward it.
 const (
 	kindMeasurements          peer.Kind = "owner.room"
 	kindForwardedMeasurements peer.Kind = "owner.room.onward"
 )
 
-// Constants of what is told.
+// Timing of messages with measurements.
 const (
-	// sendTimeout bounds one message: meters repeat what still matters about as often.
+	// sendTimeout bounds one message: meters repeat measurements that are still relevant at about
+	// this interval.
 	sendTimeout = 400 * time.Millisecond
-	// forwardInterval is the least time between two messages to this node's part of the region, so
-	// that their number does not grow with the owners; it is short against the time between two
-	// messages of one owner.
+	// forwardInterval is the minimum time between two messages to this node's segment, so that
+	// their number does not grow with the number of owners. It is short compared with the time
+	// between two messages of one owner.
 	forwardInterval = 20 * time.Millisecond
 )
 
-// Announcer tells the nodes of the region what this node measures, as an owner, of the room at
-// services, and takes what other owners tell. It is safe for concurrent use.
+// Announcer publishes the admission shares that this node measures as an owner to the nodes of its
+// region, and applies those that other owners publish. It is safe for concurrent use.
 type Announcer struct {
 	admission *fanout.AdmissionControl
 	roster    *Roster
 	transport peer.Transport
 	onPublish func([]loadshed.Measurement)
-	// waiting is what this node has measured and is to tell, and onward what it was told and is to
-	// tell the nodes of its part.
+	// outgoing holds measurements of this node, forwarded those received from other owners for the
+	// nodes of this node's segment.
 	outgoing, forwarded *outbox
-	// heads are used by Run alone.
+	// relays is used by Run only.
 	relays relays
 }
 
-// AnnouncerOptions are the parts of an Announcer.
+// AnnouncerOptions configures an Announcer.
 type AnnouncerOptions struct {
 	// Admission holds the meters of this node and the measurements received from other owners.
 	Admission *fanout.AdmissionControl
@@ -57,7 +59,7 @@
 	OnPublish func([]loadshed.Measurement)
 }
 
-// NewAnnouncer registers the handler of what other owners tell.
+// NewAnnouncer returns an Announcer and registers its handlers for messages of other owners.
 func NewAnnouncer(options AnnouncerOptions) *Announcer {
 	created := &Announcer{
 		admission: options.Admission, roster: options.Roster, transport: options.Transport, onPublish: options.OnPublish,
@@ -69,18 +71,18 @@
 	return created
 }
 
-// Run tells what has changed, until ctx ends.
+// Run publishes and forwards measurements until ctx ends. It always returns nil.
 func (a *Announcer) Run(ctx context.Context) error {
 	var forwarding sync.WaitGroup
 	forwarding.Go(func() { a.forwarded.run(ctx, forwardInterval, a.forward) })
-	// Meters keep a pause between messages.
+	// The meters limit the rate of their messages themselves.
 	a.outgoing.run(ctx, 0, a.publish)
 	forwarding.Wait()
 	return nil
 }
 
-// spread tells the head of each part of the region, and waits until they have answered or
-// sendTimeout is over.
+// publish sends a message to the relay of each segment and waits until all have answered or
+// sendTimeout has passed.
 func (a *Announcer) publish(ctx context.Context, message []loadshed.Measurement) {
 	a.onPublish(message)
 	segments, _ := a.roster.segments()
@@ -89,14 +91,14 @@
 	a.relays.recordAnswers(chosen, answered, segments)
 }
 
-// forward tells the nodes of this node's part of the region what it was told. One that hears it
-// twice takes the later measurement.
+// forward sends measurements of other owners to the nodes of this node's segment. A node that
+// receives a service's shares twice keeps the later measurement.
 func (a *Announcer) forward(ctx context.Context, message []loadshed.Measurement) {
 	segments, own := a.roster.segments()
 	a.send(ctx, segments[own], kindForwardedMeasurements, message)
 }
 
-// send sends a message to some nodes and returns those that took it in time.
+// send sends a message to several nodes and returns those that acknowledged it in time.
 func (a *Announcer) send(
 	ctx context.Context, addresses []peer.Address, kind peer.Kind, message []loadshed.Measurement,
 ) []peer.Address {
@@ -113,13 +115,13 @@
 	return peer.SpreadAll(limited, a.transport, addresses, kind, rooms, func() proto.Message { return &ownerpb.Ping{} })
 }
 
-// take notes what another owner tells.
+// handleMeasurements applies a message of another owner.
 func (a *Announcer) handleMeasurements(_ context.Context, _ target.NodeID, body []byte) (proto.Message, error) {
 	_, err := a.apply(body)
 	return &ownerpb.Ping{}, err
 }
 
-// handleAndForward notes what another owner tells, and lets the nodes of this node's part know.
+// handleAndForward applies a message of another owner and queues it for this node's segment.
 func (a *Announcer) handleAndForward(_ context.Context, _ target.NodeID, body []byte) (proto.Message, error) {
 	message, err := a.apply(body)
 	if err == nil {
@@ -128,7 +130,7 @@
 	return &ownerpb.Ping{}, err
 }
 
-// note notes a message on this node's board and returns it.
+// apply decodes a message, passes it to this node's admitter and returns it.
 func (a *Announcer) apply(body []byte) ([]loadshed.Measurement, error) {
 	rooms := &ownerpb.Rooms{}
 	if err := rooms.UnmarshalVT(body); err != nil {
@@ -137,8 +139,9 @@
 	return applyMeasurements(a.admission.Admitter, rooms.Rooms, time.Now()), nil
 }
 
-// measurementsFor returns what is told with a report about the services of a question: those that this node
-// has measured to be short of room, or to have room although the asking node let only a part in.
+// measurementsFor returns the measurements that go with a report: those of the question's services
+// that this node has measured to be overloaded, or to admit all requests although the asking node
+// admits only a part. The Announcer may be nil.
 func (a *Announcer) measurementsFor(question *ownerpb.Question, regions string, now time.Time) []*ownerpb.Room {
 	if a == nil {
 		return nil
@@ -154,7 +157,8 @@
 	return rooms
 }
 
-// encodeMeasurement returns the message for one service's shares, judged an age ago.
+// encodeMeasurement returns the message for one service's shares, where age is the time since they
+// were measured.
 func encodeMeasurement(key loadshed.Key, shares loadshed.Shares, age time.Duration) *ownerpb.Room {
 	encoded := &ownerpb.Room{Service: key.Service, Regions: key.Regions, AgeMs: uint32(max(0, age.Milliseconds()))}
 	for _, rank := range shares.Ranks {
@@ -168,8 +172,9 @@
 	return encoded
 }
 
-// applyMeasurements notes what an owner tells and returns it. Of services that it does not name, which it
-// may not have measured, what was told before holds until that is too old.
+// applyMeasurements passes an owner's measurements to the admitter and returns them. For services
+// that are not in the message, which the owner may not have measured, earlier measurements hold
+// until they expire.
 func applyMeasurements(admitter *loadshed.Admitter, received []*ownerpb.Room, now time.Time) []loadshed.Measurement {
 	message := make([]loadshed.Measurement, len(received))
 	for index, each := range received {
@@ -180,7 +185,7 @@
 	return message
 }
 
-// decodeMeasurement reads one service's shares.
+// decodeMeasurement decodes one service's shares; now is the time at which they were received.
 func decodeMeasurement(encoded *ownerpb.Room, now time.Time) loadshed.Measurement {
 	var shares loadshed.Shares
 	for _, rank := range encoded.Ranks {
--- a/pkg/owner/client.go
+++ b/pkg/owner/client.go
@@ -20,38 +20,38 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// The kinds of messages.
+// Kinds of messages.
 const (
 	kindQuestion peer.Kind = "owner.question"
 	kindPing     peer.Kind = "owner.ping"
 )
 
-// probeTimeout bounds a trial: an owner that takes as long is of no use to any request.
+// probeTimeout bounds a probe: an owner that takes longer is of no use to any request.
 const probeTimeout = 500 * time.Millisecond
 
-// Client asks owners. It implements fanout.Owners.
+// Client asks owners. It implements fanout.Owners and is safe for concurrent use.
 type Client struct {
 	roster    *Roster
 	transport peer.Streamer
 	events    Events
-	// board takes what owners tell of the room at their services.
+	// admitter receives the admission shares that owners measure at their services.
 	admitter *loadshed.Admitter
-	// wake tells Run that a trial may be due at another time.
+	// wake makes Run look for due probes again.
 	wake chan struct{}
 }
 
-// Events takes what a Client finds out of other nodes. It does not block.
+// Events receives what a Client finds out about other nodes. Its methods must not block.
 type Events interface {
-	// OwnerLost tells that a node is not asked as an owner for now, and why.
+	// OwnerLost is called when a node is excluded from the owners; cause is the reason.
 	OwnerLost(name string, cause error)
-	// OwnerRegained tells that it is asked again, and for how long it was not.
+	// OwnerRegained is called when a node is readmitted; lost is how long it was excluded.
 	OwnerRegained(name string, lost time.Duration)
 }
 
 var _ fanout.Owners = (*Client)(nil)
 
-// NewClient returns a client that asks the nodes of a roster. The board takes what they tell
-// of the room at services.
+// NewClient returns a client that asks the nodes of a roster. The admitter receives the admission
+// shares that they measure.
 func NewClient(roster *Roster, transport peer.Streamer, admitter *loadshed.Admitter, events Events) *Client {
 	return &Client{roster: roster, transport: transport, events: events, admitter: admitter, wake: make(chan struct{}, 1)}
 }
@@ -68,10 +68,9 @@
 	node   directory.Node
 	// sentAt is when the question was asked.
 	sentAt time.Time
-	// leeway is in which time the way there and back, and the delays of both processes, must be
-	// over.
+	// leeway is the time allowed for the round trip and the delays of both processes.
 	leeway time.Duration
-	// isSilent says that the owner was silent for too long.
+	// isSilent is set once the owner has not reported for too long.
 	isSilent atomic.Bool
 }
 
@@ -84,17 +83,17 @@
 	p.Send(grant)
 }
 
-// errSilent is why an owner that reports nothing is left out.
+// errSilent is the cause given when an owner is excluded because it sent no report.
 var errSilent = errors.New("no report came in time")
 
 // MarkSilent implements fanout.Pending.
 func (p *pending) MarkSilent() {
 	p.isSilent.Store(true)
 	p.NoteSilence()
-	p.exclude(p.leeway, errSilent)
+	p.markLost(p.leeway, errSilent)
 }
 
-// unsent is a question whose owner is not known any more.
+// unsentQuestion is a question whose owner is no longer known.
 type unsentQuestion struct{}
 
 func (unsentQuestion) Cancel()     {}
@@ -118,15 +117,15 @@
 	return sent
 }
 
-// receive hands on one message of the owner, or the end of its answer.
+// receive handles one message of the owner, or the end of its answer.
 func (p *pending) receive(body []byte, err error, report func(fanout.Report)) {
 	switch {
 	case errors.Is(err, io.EOF):
 		return
 	case err != nil:
-		// A question whose time was over tells nothing of its owner.
+		// A question that ran into its deadline says nothing about its owner.
 		if outcome.ReasonOf(err) != outcome.ReasonDeadline {
-			p.exclude(0, err)
+			p.markLost(0, err)
 		}
 		report(fanout.Report{Err: err})
 		return
@@ -134,33 +133,33 @@
 	decoded, measurements, err := decodeReport(body)
 	if err != nil {
 		err = &outcome.Error{Step: "decode report", Peer: p.node.Name, Reason: outcome.ReasonCorruptResponse, Cause: err}
-		p.exclude(0, err)
+		p.markLost(0, err)
 		decoded = fanout.Report{Err: err}
 	}
 	if decoded.Err == nil {
-		p.client.recordReport(p.node.Name, p.isSilent.Load())
+		p.client.handleReport(p.node.Name, p.isSilent.Load())
 		applyMeasurements(p.client.admitter, measurements, time.Now())
 	}
 	report(decoded)
 }
 
-// recordReport takes that a node has reported, late or not.
-func (c *Client) recordReport(name string, isLate bool) {
+// handleReport records that a node has sent a report, late or not.
+func (c *Client) handleReport(name string, isLate bool) {
 	if excludedFor, isReadmitted := c.roster.recordReport(name, isLate, time.Now()); isReadmitted {
 		c.events.OwnerRegained(name, excludedFor)
 	}
 }
 
-// lose leaves the owner out until it has returned. leeway is in which time a trial must be
-// answered; zero if it was not late.
-func (p *pending) exclude(leeway time.Duration, cause error) {
+// markLost excludes the owner until it returns. leeway is the time within which a probe must be
+// answered; zero if the owner was not late.
+func (p *pending) markLost(leeway time.Duration, cause error) {
 	if p.client.roster.exclude(p.node, leeway, p.sentAt, time.Now()) {
 		p.client.events.OwnerLost(p.node.Name, cause)
 		p.client.wakeUp()
 	}
 }
 
-// wakeUp lets Run look at once for trials that are due.
+// wakeUp makes Run look for due probes at once. It does not block.
 func (c *Client) wakeUp() {
 	select {
 	case c.wake <- struct{}{}:
@@ -168,7 +167,7 @@
 	}
 }
 
-// Run tries the owners that are left out, until ctx ends.
+// Run probes the excluded owners until ctx ends. It always returns nil.
 func (c *Client) Run(ctx context.Context) error {
 	timer := time.AfterFunc(maxProbeDelay, c.wakeUp)
 	defer timer.Stop()
@@ -176,7 +175,7 @@
 		now := time.Now()
 		probes, next := c.roster.dueProbes(now)
 		for _, each := range probes {
-			go c.probe(ctx, each)
+			go c.probeNode(ctx, each)
 		}
 		if !next.IsZero() {
 			timer.Reset(next.Sub(now))
@@ -189,9 +188,9 @@
 	}
 }
 
-// try asks a node whether it would answer questions, and measures how long its answer takes. The
-// first ping may have to wait for a connection: if it is answered too late, a second one counts.
-func (c *Client) probe(ctx context.Context, target probe) {
+// probeNode asks a node whether it would answer questions, and measures how long that takes. The
+// first ping may have to wait for a connection: if its answer is late, a second one counts.
+func (c *Client) probeNode(ctx context.Context, target probeNode) {
 	isAnswered, took := c.ping(ctx, target.node)
 	if isAnswered && target.leeway > 0 && took > target.leeway {
 		isAnswered, took = c.ping(ctx, target.node)
@@ -203,8 +202,8 @@
 	c.wakeUp()
 }
 
-// ping reports whether a node answers, and after which time. Its error goes into no log: the node
-// stays left out, which was logged when it was lost.
+// ping reports whether a node answers, and how long that took. An error is not logged: the node
+// stays excluded, which was logged when it was lost.
 func (c *Client) ping(ctx context.Context, node directory.Node) (bool, time.Duration) {
 	limited, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -213,8 +212,8 @@
 	return err == nil, time.Since(start)
 }
 
-// encodeQuestion returns the message of a question, with its moments as spans from now: clocks of
-// nodes differ.
+// encodeQuestion returns the message for a question. Times are sent as durations from now, since
+// the clocks of nodes differ.
 func encodeQuestion(question fanout.Question, now time.Time) *ownerpb.Question {
 	plan, request := question.Plan, question.Request
 	encoded := &ownerpb.Question{
@@ -242,11 +241,11 @@
 	return encoded
 }
 
-// microseconds returns a span as messages carry it; zero for one that is over.
+// toMicroseconds returns a duration as messages carry it; zero for a negative one.
 func toMicroseconds(duration time.Duration) uint64 { return uint64(max(0, duration.Microseconds())) }
 
-// decodeReport reads a report, and what it tells of the room at services. The records of all its
-// parts stand in the answer of one of them, since they are merged.
+// decodeReport decodes a report and the measurements that go with it. The records of its parts are
+// merged, so the answer of one part holds all of them and the other answers have no body.
 func decodeReport(body []byte) (fanout.Report, []*ownerpb.Room, error) {
 	encoded := &ownerpb.Report{}
 	if err := encoded.UnmarshalVT(body); err != nil {
--- a/pkg/owner/cluster_test.go
+++ b/pkg/owner/cluster_test.go
@@ -59,13 +59,13 @@
 // node is one node with its own view of the servers.
 type node struct {
 	directory.Node
-	transport *peer.MemoryTransport
-	fleet     *fleet.Fleet
-	budget    *budget
-	roster    *owner.Roster
-	client    *owner.Client
-	runner    *fanout.Runner
-	draining  bool
+	transport  *peer.MemoryTransport
+	fleet      *fleet.Fleet
+	budget     *budget
+	roster     *owner.Roster
+	client     *owner.Client
+	nodeRunner *fanout.Runner
+	draining   bool
 	// regions is where this node's own configuration lets requests be served; nil if it is
 	// not newer than that of the asking node.
 	regions atomic.Pointer[route.Regions]
@@ -226,7 +226,7 @@
 	})
 	collector := runner
 	runner.Owners = created.client
-	created.runner = &runner
+	created.nodeRunner = &runner
 	owner.NewServer(owner.ServerOptions{
 		Transport: created.transport, Runner: &collector, Servers: created.fleet, Draining: func() bool { return created.draining },
 		Policies: func(string, string) (policy.HedgePolicy, float64) { return hedge, 1 }, Recorder: created.record,
@@ -262,7 +262,7 @@
 	if bound := c.regions; bound.IsBound() {
 		plan.Regions = func() route.Regions { return bound }
 	}
-	result := entry.runner.Run(ctx, plan, request)
+	result := entry.nodeRunner.Run(ctx, plan, request)
 	return result, time.Since(start)
 }
 
--- a/pkg/owner/crash_test.go
+++ b/pkg/owner/crash_test.go
@@ -88,9 +88,9 @@
 		}
 		request := &exchange.Request{Method: "GET", Target: "/", Header: http.Header{"Name": {"value"}}}
 		for _, name := range append(owners, requester.Name) {
-			runner := c.node(name).runner
-			shardFingerprint := request.Fingerprint(runner.Dialect).At(c.services[0])
-			runner.Quarantine.RecordCrashes(shardFingerprint, []fleet.Incarnation{{ID: "x"}, {ID: "y"}, {ID: "z"}}, time.Now())
+			nodeRunner := c.node(name).nodeRunner
+			shardFingerprint := request.Fingerprint(nodeRunner.Dialect).At(c.services[0])
+			nodeRunner.Quarantine.RecordCrashes(shardFingerprint, []fleet.Incarnation{{ID: "x"}, {ID: "y"}, {ID: "z"}}, time.Now())
 		}
 		for range 4 {
 			result, _ := c.ask(c.t.Context(), requester)
@@ -100,7 +100,7 @@
 		g.Expect(arrivals()).To(Equal(quarantine.ImmediateTrials), "two trials of the asking node")
 		// A node that knows nothing of it asks the owners, which send it nowhere.
 		for _, each := range c.nodes {
-			if runner := each.runner; runner.Quarantine.IsIdle() {
+			if runner := each.nodeRunner; runner.Quarantine.IsIdle() {
 				result, _ := c.ask(c.t.Context(), each)
 				g.Expect(result.AnsweredCount).To(BeNumerically(">=", shardCount-1))
 				g.Expect(arrivals()-quarantine.ImmediateTrials).To(BeNumerically("<=", maxAttempts), "what it asks itself")
--- a/pkg/owner/deadline_test.go
+++ b/pkg/owner/deadline_test.go
@@ -30,7 +30,7 @@
 			Kind: "k", Services: c.services, Required: c.required, Repeatable: true, MaxAttempts: maxAttempts,
 			Deadline: began.Add(4900 * time.Microsecond), Assumed: 10 * time.Millisecond, MaxServerWait: time.Second, Hedge: hedge, ExtraShare: 1,
 		}
-		result := requester.runner.Run(c.t.Context(), plan, &exchange.Request{Method: "GET", Target: "/", ID: "r"})
+		result := requester.nodeRunner.Run(c.t.Context(), plan, &exchange.Request{Method: "GET", Target: "/", ID: "r"})
 		g.Expect(result.Reason).To(Equal(fanout.StopDeadline))
 		g.Expect(time.Since(began)).To(Equal(4900 * time.Microsecond))
 		time.Sleep(time.Millisecond)
--- a/pkg/owner/exclusion.go
+++ b/pkg/owner/exclusion.go
@@ -6,59 +6,63 @@
 	"github.com/bramblemast/bramblemast/pkg/directory"
 )
 
-// Times of the return of owners.
+// Timing of probes and of the return of excluded owners.
 const (
-	// initialProbeDelay is how long after its loss an owner is tried first: a few round trips, so that one
-	// that lost a single message misses few requests. A trial is one small message.
+	// initialProbeDelay is the time from an owner's loss to its first probe: a few round trips, so
+	// that an owner that lost a single message misses few requests. A probe is one small message.
 	initialProbeDelay = 20 * time.Millisecond
-	// maxProbeInterval bounds the time between two trials, and so how long an owner that answers
-	// again is still left out.
+	// maxProbeInterval bounds the time between two probes, and so how long an owner stays excluded
+	// after it has begun to answer again.
 	maxProbeInterval = time.Second
-	// maxProbeDelay bounds the time from a loss to the first trial of an owner that answers trials
-	// in time and questions too late, again and again: each of its returns may cost one request
-	// the wait until the owner counts as silent.
+	// maxProbeDelay bounds the time from a loss to the first probe of an owner that repeatedly
+	// answers probes in time but questions too late: after each of its returns, one request may
+	// have to wait until the owner counts as silent.
 	maxProbeDelay = 30 * time.Second
-	// lossMemoryFactor times its last rest is how long after its return an owner's losses are
-	// forgotten, if it had none meanwhile and has answered a question in time.
+	// lossMemoryFactor times the last probe delay is the time after an owner's return at which its
+	// losses are forgotten, if it was not lost again and has answered a question in time.
 	lossMemoryFactor = 50
-	// probationInterval is how long the first question after a return goes alone, unless it is
-	// answered earlier: longer than any owner is waited for without a report.
+	// probationInterval is the minimum time between two questions to an owner on probation, which
+	// ends when a question is answered in time. It is longer than any request waits for an owner
+	// that does not report.
 	probationInterval = 500 * time.Millisecond
 )
 
-// absence is what is known of a node that was left out of the owners.
+// exclusion is the state of a node that is, or recently was, excluded from the owners.
 type exclusion struct {
 	node directory.Node
-	// isExcluded says that it is left out now; since is when it was, or when it returned.
+	// isExcluded is set while the node is excluded. since is when it was excluded or, after its
+	// return, when it was readmitted.
 	isExcluded bool
 	since      time.Time
-	// leeway is in which time a trial must be answered so that questions would be in time; zero
-	// if the node was never late.
+	// leeway is the time within which a probe must be answered for questions to be answered in
+	// time; zero if the node was never late.
 	leeway time.Duration
-	// isRepeatedlyLate says that it was late again after a return. Then only a trial in time lets it
-	// return; else any sign of life does, since it may have been late for a lost message.
+	// isRepeatedlyLate is set if the node was late again after a return. Then only a probe that is
+	// answered in time readmits it. Otherwise any message does, since the node may only have
+	// seemed late because a message was lost.
 	isRepeatedlyLate bool
-	// rest is the time from its loss to its first trial, and pause that from the last trial to
-	// the next.
+	// probeDelay is the time from the loss to the first probe, probeInterval that from the last
+	// probe to the next.
 	probeDelay, probeInterval time.Duration
-	// nextProbeAt is when it is tried next; zero while a trial is under way.
+	// nextProbeAt is the time of the next probe; zero while a probe is in flight.
 	nextProbeAt time.Time
-	// isOnProbation says that it has not yet answered a question in time since its return. If it was
-	// late again, the other requests go to the next in rank until alone.
+	// isOnProbation is set until the node has answered a question in time after its return. If
+	// isRepeatedlyLate is set too, requests before nextAdmissionAt go to the next node in rank.
 	isOnProbation   bool
 	nextAdmissionAt time.Time
 }
 
-// absences decides which nodes are left out of the owners, and when they return: with the first
-// sign of life, or, once they were late again, by a trial that is answered within the time that
-// questions leave for it. One that is lost soon after its return rests twice as long as before. It
-// is guarded by its user.
+// exclusions decides which nodes are excluded from the owners and when they return: with the first
+// message that arrives or, once they were late repeatedly, with a probe that is answered within
+// their leeway. The probe delay doubles for a node that is lost soon after its return. The map is
+// keyed by node name; its user has to guard it against concurrent use.
 type exclusions map[string]*exclusion
 
-// leave takes that a node is lost to a question that was asked then, and reports whether that is
-// new. leeway is in which time a trial must be answered; zero if the node was not late.
-func (a exclusions) exclude(node directory.Node, leeway time.Duration, askedAt, now time.Time) bool {
-	known := a[node.Name]
+// exclude records that a node was lost during a question asked at askedAt. It returns false if the
+// node was excluded already. leeway is the time within which a probe must be answered; zero if the
+// node was not late.
+func (e exclusions) exclude(node directory.Node, leeway time.Duration, askedAt, now time.Time) bool {
+	known := e[node.Name]
 	if known != nil && known.isExcluded {
 		known.leeway = minNonZero(known.leeway, leeway)
 		return false
@@ -66,31 +70,31 @@
 	excluded := &exclusion{node: node, isExcluded: true, since: now, leeway: leeway, probeDelay: initialProbeDelay}
 	if known != nil && known.node == node && !known.isExpired(now) {
 		excluded.leeway, excluded.probeDelay, excluded.isRepeatedlyLate = minNonZero(known.leeway, leeway), known.probeDelay, known.isRepeatedlyLate
-		// What was asked before the return was lost to the same cause.
+		// A question asked before the return was lost to the same cause as the earlier ones.
 		if askedAt.After(known.since) {
 			excluded.isRepeatedlyLate = excluded.leeway > 0
 			excluded.probeDelay = min(2*known.probeDelay, excluded.maxDelay())
 		}
 	}
 	excluded.probeInterval, excluded.nextProbeAt = excluded.probeDelay, now.Add(excluded.probeDelay)
-	a[node.Name] = excluded
+	e[node.Name] = excluded
 	return true
 }
 
-// maxDelay is how long the node rests at most: one that was never late can be tried often.
-func (l *exclusion) maxDelay() time.Duration {
-	if l.leeway == 0 {
+// maxDelay returns the bound of the probe delay: a node that was never late can be probed often.
+func (e *exclusion) maxDelay() time.Duration {
+	if e.leeway == 0 {
 		return maxProbeInterval
 	}
 	return maxProbeDelay
 }
 
-// isExpired reports whether the node has returned so long ago that its losses do not count.
-func (l *exclusion) isExpired(now time.Time) bool {
-	return !l.isExcluded && !l.isOnProbation && now.Sub(l.since) >= lossMemoryFactor*l.probeDelay
+// isExpired reports whether the node returned so long ago that its losses no longer count.
+func (e *exclusion) isExpired(now time.Time) bool {
+	return !e.isExcluded && !e.isOnProbation && now.Sub(e.since) >= lossMemoryFactor*e.probeDelay
 }
 
-// shorter returns the lesser of two times of which zero means none.
+// minNonZero returns the shorter of two durations, where zero means that there is none.
 func minNonZero(first, second time.Duration) time.Duration {
 	if first == 0 || second == 0 {
 		return max(first, second)
@@ -98,10 +102,10 @@
 	return min(first, second)
 }
 
-// admit reports whether a request may ask a node. Of a node that is proving itself after it was
-// late again, it admits one request in probationInterval.
-func (a exclusions) admit(name string, now time.Time) bool {
-	known := a[name]
+// admit reports whether a request may ask a node. For a node on probation that was repeatedly late
+// it admits one request per probationInterval.
+func (e exclusions) admit(name string, now time.Time) bool {
+	known := e[name]
 	switch {
 	case known == nil:
 		return true
@@ -116,36 +120,37 @@
 	return true
 }
 
-// trial is a node to try, and the time in which it must answer; zero for any.
-type probe struct {
+// probe is a node to probe. leeway is the time within which it must answer; zero if any answer
+// will do.
+type probeNode struct {
 	node   directory.Node
 	leeway time.Duration
 }
 
-// removeReplaced forgets the nodes that are not known as they were: another process under the same
-// name, at another address, has lost nothing yet.
-func (a exclusions) removeReplaced(known map[string]directory.Node) {
-	for name, each := range a {
+// removeReplaced removes the nodes that are gone or have changed: a new process with the same name
+// at another address starts without losses.
+func (e exclusions) removeReplaced(known map[string]directory.Node) {
+	for name, each := range e {
 		if known[name] != each.node {
-			delete(a, name)
+			delete(e, name)
 		}
 	}
 }
 
-// due returns the nodes to try now, and when the next one is due; zero for none. It forgets what
-// does not count any more, and the nodes that are not known as they were.
-func (a exclusions) dueProbes(known map[string]directory.Node, now time.Time) ([]probe, time.Time) {
-	var probes []probe
+// takeDue returns the probes to send now and the time of the next one, zero if there is none. It
+// also removes exclusions that have expired and nodes that are gone or have changed.
+func (e exclusions) takeDue(known map[string]directory.Node, now time.Time) ([]probeNode, time.Time) {
+	var probes []probeNode
 	var next time.Time
-	a.removeReplaced(known)
-	for name, each := range a {
+	e.removeReplaced(known)
+	for name, each := range e {
 		switch {
 		case each.isExpired(now):
-			delete(a, name)
+			delete(e, name)
 		case !each.isExcluded || each.nextProbeAt.IsZero():
 		case !now.Before(each.nextProbeAt):
 			each.nextProbeAt = time.Time{}
-			probes = append(probes, probe{node: each.node, leeway: each.probeLimit()})
+			probes = append(probes, probeNode{node: each.node, leeway: each.probeLimit()})
 		case next.IsZero() || each.nextProbeAt.Before(next):
 			next = each.nextProbeAt
 		}
@@ -153,10 +158,10 @@
 	return probes, next
 }
 
-// tried takes whether a node answered its trial, and after which time. It returns for how long it
-// was left out; false if it was not, or still is.
-func (a exclusions) recordProbe(node directory.Node, isAnswered bool, took time.Duration, now time.Time) (time.Duration, bool) {
-	known := a[node.Name]
+// recordProbe records whether a node answered its probe, and how long that took. If this readmits
+// the node, it returns for how long the node was excluded, and true.
+func (e exclusions) recordProbe(node directory.Node, isAnswered bool, took time.Duration, now time.Time) (time.Duration, bool) {
+	known := e[node.Name]
 	if known == nil || !known.isExcluded || known.node != node {
 		return 0, false
 	}
@@ -168,18 +173,19 @@
 	return 0, false
 }
 
-// probeLimit is in which time its trial must be answered; zero if any answer is enough.
-func (l *exclusion) probeLimit() time.Duration {
-	if !l.isRepeatedlyLate {
+// probeLimit returns the time within which a probe must be answered; zero if any answer will do.
+func (e *exclusion) probeLimit() time.Duration {
+	if !e.isRepeatedlyLate {
 		return 0
 	}
-	return l.leeway
+	return e.leeway
 }
 
-// reported takes that a node has reported, late or not, and returns the same as tried. One that
-// was late again returns by a trial alone: what else it still reports was asked before its loss.
-func (a exclusions) recordReport(name string, isLate bool, now time.Time) (time.Duration, bool) {
-	known := a[name]
+// recordReport records that a node has sent a report, late or not, and returns the same as
+// recordProbe. Only a probe readmits a repeatedly late node: its reports still answer questions
+// that were asked before its loss.
+func (e exclusions) recordReport(name string, isLate bool, now time.Time) (time.Duration, bool) {
+	known := e[name]
 	switch {
 	case known == nil:
 	case known.isExcluded && !known.isRepeatedlyLate:
@@ -190,9 +196,9 @@
 	return 0, false
 }
 
-// readmit lets the node be asked again, and returns for how long it was not.
-func (l *exclusion) readmit(now time.Time) time.Duration {
-	excludedFor := now.Sub(l.since)
-	l.isExcluded, l.since, l.isOnProbation = false, now, true
+// readmit ends the exclusion and returns how long it lasted.
+func (e *exclusion) readmit(now time.Time) time.Duration {
+	excludedFor := now.Sub(e.since)
+	e.isExcluded, e.since, e.isOnProbation = false, now, true
 	return excludedFor
 }
--- a/pkg/owner/exclusion_test.go
+++ b/pkg/owner/exclusion_test.go
@@ -34,7 +34,7 @@
 
 // try tries the node if that is due.
 func (o *ownerSimulation) probe() {
-	probes, _ := o.exclusions.dueProbes(map[string]directory.Node{o.node.Name: o.node}, o.now)
+	probes, _ := o.exclusions.takeDue(map[string]directory.Node{o.node.Name: o.node}, o.now)
 	for range probes {
 		o.probeCount++
 		o.exclusions.recordProbe(o.node, !o.isUnresponsive, o.probeLatency, o.now)
@@ -194,7 +194,7 @@
 		o.isUnresponsive = true
 	}
 	o.exclusions.exclude(o.node, testLeeway, o.now, o.now)
-	o.exclusions.dueProbes(map[string]directory.Node{"owner": {Name: "owner", PeerAddress: "another"}}, o.now)
+	o.exclusions.takeDue(map[string]directory.Node{"owner": {Name: "owner", PeerAddress: "another"}}, o.now)
 	g.Expect(o.exclusions.admit("owner", o.now)).To(BeTrue())
 }
 
--- a/pkg/owner/outbox.go
+++ b/pkg/owner/outbox.go
@@ -10,17 +10,17 @@
 	"github.com/bramblemast/bramblemast/pkg/loadshed"
 )
 
-// outbox holds the message that is to be told next. It is safe for concurrent use.
+// outbox holds the next message to send. It is safe for concurrent use.
 type outbox struct {
-	// mutex is held by put.
+	// mutex serializes put.
 	mutex   sync.Mutex
 	pending chan []loadshed.Measurement
 }
 
 func newOutbox() *outbox { return &outbox{pending: make(chan []loadshed.Measurement, 1)} }
 
-// put keeps a message until it is told, with what one that still waits tells of other services:
-// their change counts as told. It does not block.
+// put keeps a message until it is sent. It merges a message that is still pending into the new one,
+// since the meters take the measurements of the pending one for published. It does not block.
 func (o *outbox) put(message []loadshed.Measurement) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -32,7 +32,7 @@
 	o.pending <- message
 }
 
-// run hands on what was put, one message after the other with a pause after each, until ctx ends.
+// run passes the messages to send one by one, with a pause of interval after each, until ctx ends.
 func (o *outbox) run(ctx context.Context, interval time.Duration, send func(context.Context, []loadshed.Measurement)) {
 	for {
 		select {
@@ -45,8 +45,8 @@
 	}
 }
 
-// merge returns a message with what an earlier one tells of services that it does not name, or that
-// were measured later there.
+// merge adds to a message the measurements of an earlier message for services that it does not
+// name, and replaces those that were measured later in the earlier message.
 func merge(earlier, message []loadshed.Measurement) []loadshed.Measurement {
 	merged := slices.Clone(message)
 	for _, each := range earlier {
--- a/pkg/owner/relays.go
+++ b/pkg/owner/relays.go
@@ -7,12 +7,12 @@
 	"github.com/bramblemast/bramblemast/pkg/peer"
 )
 
-// maxSegments bounds the parts into which the nodes of a region are divided, and so the nodes that an
-// owner tells itself: the connections to them stay open.
+// maxSegments bounds the segments into which the nodes of a region are divided, and so the nodes to
+// which an owner sends its measurements itself: the connections to them stay open.
 const maxSegments = 40
 
-// parts returns the other nodes of the region in parts of about even size, alike at all nodes that
-// know the same ones, and the index of this node's own part.
+// segments returns the other nodes of the region in segments of about equal size, and the index of
+// this node's own segment. All nodes that know the same nodes compute the same segments.
 func (r *Roster) segments() ([][]peer.Address, int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -37,33 +37,33 @@
 	return segments, own
 }
 
-// heads chooses the node of each part that is told first and tells the others. The same ones are
-// chosen until they do not answer, so that few connections are used.
+// relays chooses one node of each segment that receives a message first and forwards it to the
+// others. It keeps a node until that does not answer, so that few connections are used.
 type relays struct {
-	// silent are the nodes that did not answer.
+	// silent holds the nodes that did not answer.
 	silent map[peer.Address]bool
 }
 
-// choose returns one node of each part.
-func (h *relays) choose(segments [][]peer.Address) []peer.Address {
+// choose returns one node of each segment that has any.
+func (r *relays) choose(segments [][]peer.Address) []peer.Address {
 	var chosen []peer.Address
 	for _, segment := range segments {
 		if len(segment) == 0 {
 			continue
 		}
-		index := slices.IndexFunc(segment, func(address peer.Address) bool { return !h.silent[address] })
+		index := slices.IndexFunc(segment, func(address peer.Address) bool { return !r.silent[address] })
 		chosen = append(chosen, segment[max(0, index)])
 	}
 	return chosen
 }
 
-// note takes which of the chosen nodes have answered.
-func (h *relays) recordAnswers(chosen, answered []peer.Address, segments [][]peer.Address) {
+// recordAnswers records which of the chosen nodes have answered.
+func (r *relays) recordAnswers(chosen, answered []peer.Address, segments [][]peer.Address) {
 	silent := make(map[peer.Address]bool)
 	for _, segment := range segments {
 		count := 0
 		for _, address := range segment {
-			isSilent := h.silent[address]
+			isSilent := r.silent[address]
 			if slices.Contains(chosen, address) {
 				isSilent = !slices.Contains(answered, address)
 			}
@@ -73,11 +73,11 @@
 			}
 		}
 		if count == len(segment) {
-			// The whole part is silent: all of it is tried anew.
+			// No node of the segment answers: start over with all of them.
 			for _, address := range segment {
 				delete(silent, address)
 			}
 		}
 	}
-	h.silent = silent
+	r.silent = silent
 }
--- a/pkg/owner/roster.go
+++ b/pkg/owner/roster.go
@@ -1,10 +1,10 @@
-// Package owner divides the shards of gathered requests among the nodes, so that
-// few nodes near a shard's servers ask them on behalf of all others.
+// Package owner divides the shards of gathered requests among the nodes, so that a few nodes near a
+// shard's servers send requests to them on behalf of all other nodes.
 //
-// An owner keeps its connections open, sees enough requests of each server to know
-// within milliseconds how it fares, and merges what it gets before it answers. Which
-// node owns what follows by rendezvous hashing from the nodes and servers that are
-// known: nobody has to agree on it, since every node can answer for every shard.
+// An owner keeps its connections open, sees enough requests to each server to notice a change of
+// its state within milliseconds, and merges the servers' answers before it replies. Ownership
+// follows by rendezvous hashing from the known nodes and servers. Nodes need not agree on it, since
+// every node can answer for every shard.
 //
 // The types of this package are safe for concurrent use.
 package owner
@@ -23,25 +23,26 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// candidateCount is how many nodes a group of services has in rank: the owner, and
-// those that take its place while it does not answer.
+// candidateCount is the number of ranked nodes of a group of services: the owner, and those that
+// replace it while it does not answer.
 const candidateCount = fleet.OwnersPerRegion
 
-// Servers tells what is known of the servers of services; *fleet.Fleet implements
-// it.
+// Servers provides what is known about the servers of services; *fleet.Fleet implements it. Its
+// methods have to be safe for concurrent use.
 type Servers interface {
 	// Generation changes whenever the result of ServingZones may have changed.
 	Generation() uint64
 	// ServingZones returns the zones in which a service has servers.
 	ServingZones(service string) []string
-	// HasScarceConnections reports whether there are more nodes than a server of a service can
-	// keep a connection for.
+	// HasScarceConnections reports whether there are more nodes than connections that a server of
+	// the service can keep open.
 	HasScarceConnections(service string) bool
-	// HasServersFor reports whether each of the services has a listed server.
+	// HasServersFor reports whether every one of the services has a listed server.
 	HasServersFor(services []string) bool
 }
 
-// Roster divides services into groups and ranks the nodes for each.
+// Roster divides services into groups and ranks the candidate owners of each group. It is safe for
+// concurrent use.
 type Roster struct {
 	local   directory.Node
 	regions map[string]string
@@ -49,19 +50,18 @@
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
-	// byName are the nodes that can be asked, this one among them, and byZone their
-	// names.
+	// byName holds the nodes that can be asked, including this one; byZone holds their names.
 	byName map[string]directory.Node
 	byZone map[string][]string
-	// layouts are kept until nodes or servers change, by the list of services.
+	// layouts is a cache, by list of services, that is cleared when nodes or servers change.
 	layouts    map[serviceList]layout
 	generation uint64
-	// absences are the nodes that do not answer in time, or did not a while ago.
+	// exclusions holds the nodes that do not answer in time, or recently did not.
 	exclusions exclusions
 }
 
-// serviceList identifies a list of services; the lists of a configuration do not
-// change.
+// serviceList identifies a list of services by its first element and length, since the lists of a
+// configuration do not change.
 type serviceList struct {
 	first *string
 	count int
@@ -70,14 +70,13 @@
 // layout is the division of one list of services.
 type layout []rankedGroup
 
-// rankedGroup is some services with the nodes that may own them, best first.
+// rankedGroup is a group of services, by their indexes, with its candidate owners, best first.
 type rankedGroup struct {
 	indexes    []int
 	candidates []directory.Node
 }
 
-// NewRoster returns a roster that knows no other node. regions maps each zone to
-// its region.
+// NewRoster returns a roster that knows only the local node. regions maps each zone to its region.
 func NewRoster(local directory.Node, regions map[string]string, servers Servers) *Roster {
 	created := &Roster{
 		local: local, regions: regions, servers: servers, layouts: make(map[serviceList]layout),
@@ -87,7 +86,7 @@
 	return created
 }
 
-// SetNodes takes the nodes that are known.
+// SetNodes replaces the known nodes. Nodes without a peer address are ignored.
 func (r *Roster) SetNodes(nodes []directory.Node) {
 	byName := map[string]directory.Node{r.local.Name: r.local}
 	byZone := map[string][]string{r.local.Zone: {r.local.Name}}
@@ -104,9 +103,9 @@
 	clear(r.layouts)
 }
 
-// Divide returns the groups of services that have an owner. There is none where
-// each node can keep connections of its own, and none for a request that may not be sent
-// on within this node's region, where all owners are.
+// Divide returns the groups of services that have an owner. It returns none where each node can
+// keep connections of its own, and none for a request that may not be served in this node's region,
+// where all owners are. An empty Owner means this node.
 func (r *Roster) Divide(services []string, regions route.Regions) []fanout.Group {
 	if len(services) == 0 || !r.servers.HasScarceConnections(services[0]) || !regions.Allow(r.regions[r.local.Zone]) {
 		return nil
@@ -131,7 +130,7 @@
 	return groups
 }
 
-// layout returns the division of a list of services. The mutex is held.
+// layout returns the division of a list of services. The caller holds the mutex.
 func (r *Roster) layout(services []string) layout {
 	if generation := r.servers.Generation(); generation != r.generation {
 		r.generation = generation
@@ -146,8 +145,8 @@
 	return found
 }
 
-// divide groups the services by the zone of their owners, and those of a zone, in the
-// order of their names, into parts of about even size. The mutex is held.
+// divide groups the services by the zone of their owners, and those of a zone, ordered by name,
+// into groups of about equal size. The caller holds the mutex.
 func (r *Roster) divide(services []string) layout {
 	byZone := make(map[string][]int)
 	for index, service := range services {
@@ -166,16 +165,16 @@
 	return divided
 }
 
-// groupCount returns into how many groups so many services are divided. A message
-// costs about as much processor time as a sub-request, and those of a node follow
-// each other: the asking node's part grows with the number of groups, an owner's with
-// the services of one group, so that their sum is least at the square root.
+// groupCount returns the number of groups for a number of services. A message costs about as much
+// processor time as a sub-request, and a node sends them one after another: the asking node's time
+// grows with the number of groups, an owner's with the services in one group. Their sum is smallest
+// at the square root of the number of services.
 func groupCount(services int) int { return int(math.Ceil(math.Sqrt(float64(services)))) }
 
-// ownerZone returns the zone whose nodes own a service for this node: one of the
-// region that has both servers of it and nodes, so that the answers of the servers do
-// not leave their zone before they are merged. All nodes of a region choose the same
-// one; without any it is this node's own. The mutex is held.
+// ownerZone returns the zone whose nodes own a service: a zone of this node's region that has both
+// nodes and servers of the service, so that the servers' answers are merged before they leave their
+// zone. All nodes of a region choose the same zone. If there is none, it is this node's own zone.
+// The caller holds the mutex.
 func (r *Roster) ownerZone(service string) string {
 	var zones []string
 	for _, zone := range r.servers.ServingZones(service) {
@@ -189,8 +188,8 @@
 	return rendezvous.Top(service, zones, 1)[0]
 }
 
-// candidates ranks the nodes of a zone for a group, which is named by its first
-// service. The mutex is held.
+// candidates ranks the nodes of a zone for a group, which is identified by its first service. The
+// caller holds the mutex.
 func (r *Roster) candidates(group, zone string) []directory.Node {
 	var ranked []directory.Node
 	for _, name := range rendezvous.Top(group, r.byZone[zone], candidateCount) {
@@ -207,9 +206,9 @@
 	return node, ok
 }
 
-// leave leaves a node out of the owners until it has returned, and reports whether that is new.
-// leeway is in which time a trial must be answered; zero if the node was not late. asked is when
-// the question was asked to which it was lost.
+// exclude excludes a node from the owners until it returns. It returns false if the node was
+// excluded already or is this node. leeway is the time within which a probe must be answered; zero
+// if the node was not late. askedAt is when the question was asked during which the node was lost.
 func (r *Roster) exclude(node directory.Node, leeway time.Duration, askedAt, now time.Time) bool {
 	if node.Name == r.local.Name {
 		return false
@@ -219,24 +218,24 @@
 	return r.exclusions.exclude(node, leeway, askedAt, now)
 }
 
-// reported takes that a node has reported, late or not. It returns for how long the node was left
-// out, if it was and is no longer.
+// recordReport records that a node has sent a report, late or not. If this readmits the node, it
+// returns for how long the node was excluded, and true.
 func (r *Roster) recordReport(name string, isLate bool, now time.Time) (time.Duration, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.exclusions.recordReport(name, isLate, now)
 }
 
-// tried takes how a trial went, and returns the same as reported.
+// recordProbe records the result of a probe and returns the same as recordReport.
 func (r *Roster) recordProbe(node directory.Node, isAnswered bool, took time.Duration, now time.Time) (time.Duration, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.exclusions.recordProbe(node, isAnswered, took, now)
 }
 
-// dueProbes returns the nodes to try now, and when the next one is due; zero for none.
-func (r *Roster) dueProbes(now time.Time) ([]probe, time.Time) {
+// dueProbes returns the probes to send now and the time of the next one, zero if there is none.
+func (r *Roster) dueProbes(now time.Time) ([]probeNode, time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.exclusions.dueProbes(r.byName, now)
+	return r.exclusions.takeDue(r.byName, now)
 }
--- a/pkg/owner/server.go
+++ b/pkg/owner/server.go
@@ -19,28 +19,27 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// ServerOptions are the parts of a Server.
+// ServerOptions configures a Server.
 type ServerOptions struct {
 	Transport peer.Streamer
-	// Runner asks the servers.
+	// Runner sends the requests to the servers.
 	Runner  *fanout.Runner
 	Servers Servers
-	// Draining reports whether a planned stop is under way.
+	// Draining reports whether this node is shutting down.
 	Draining func() bool
-	// Policies returns when a second server is asked for a kind of request, and the
-	// share of the extra load that it may use.
+	// Policies returns the hedge policy for a kind of request, and the share of the extra load that
+	// it may use.
 	Policies func(kind, requestID string) (policy.HedgePolicy, float64)
-	// Regions returns where a request may be served now, by this node's configuration or by
-	// what the asking node told, whichever is newer.
+	// Regions returns the regions in which a request may be served now, by the newer one of this
+	// node's configuration and the asking node's.
 	Regions func(scope RequestScope) route.Regions
-	// Announcer adds to reports what this node measures of the room at services; nil for
-	// nothing.
+	// Announcer adds the admission shares that this node measures to reports; nil to add none.
 	Announcer *Announcer
-	// Recorder takes the story of each question; it does not block.
+	// Recorder receives a record of each question; it must not block.
 	Recorder func(Record)
 }
 
-// Record is the story of one question, for logs.
+// Record describes how one question was answered, for logs.
 type Record struct {
 	RequestID string
 	Kind      string
@@ -50,7 +49,7 @@
 	Result    fanout.Result
 }
 
-// RequestScope is what an asking node tells of where its request may be served.
+// RequestScope is what decides in which regions a request may be served, as sent by the asking node.
 type RequestScope struct {
 	Host, Target string
 	// Version is that of the asking node's configuration.
@@ -60,10 +59,10 @@
 	Regions route.Regions
 }
 
-// Server answers other nodes' questions.
+// Server answers other nodes' questions. It is safe for concurrent use.
 type Server struct{ options ServerOptions }
 
-// NewServer registers the handlers of other nodes' questions.
+// NewServer returns a Server and registers its handlers for other nodes' questions.
 func NewServer(options ServerOptions) *Server {
 	created := &Server{options: options}
 	options.Transport.HandleStream(kindQuestion, created.answer)
@@ -71,7 +70,7 @@
 	return created
 }
 
-// ping answers if questions would be answered.
+// ping succeeds if questions would be answered, and fails while this node is shutting down.
 func (s *Server) ping(context.Context, target.NodeID, []byte) (proto.Message, error) {
 	if s.options.Draining() {
 		return nil, refusal(outcome.ReasonDraining)
@@ -79,7 +78,7 @@
 	return &ownerpb.Ping{}, nil
 }
 
-// answer asks the servers of a question and reports what they answer.
+// answer sends the request of a question to the servers and reports their answers.
 func (s *Server) answer(ctx context.Context, from target.NodeID, body []byte, open peer.Exchange) error {
 	question := &ownerpb.Question{}
 	if err := question.UnmarshalVT(body); err != nil {
@@ -121,9 +120,9 @@
 	return open.Send(report)
 }
 
-// untilCancelled returns a context that ends when the asking node ends its question, or the
-// connection to it, and not at the deadline of ctx: that is in whole milliseconds, so that it is
-// over a little before the question's own, at which the run ends by itself.
+// untilCancelled returns a context that ends when the asking node cancels its question or its
+// connection ends, but not at the deadline of ctx. That deadline is in whole milliseconds and so
+// passes slightly before the question's own, at which the run ends by itself.
 func untilCancelled(ctx context.Context) (context.Context, func()) {
 	awaited, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
@@ -137,15 +136,15 @@
 	}
 }
 
-// listenForGrants returns what the asking node grants. It grants each service of
-// the question once for each time that a further server is wanted, so a bounded
-// number of messages come; what is beyond is dropped.
+// listenForGrants returns a channel of the grants that the asking node sends. It grants each
+// service of the question once for each further server that is wanted, so the number of messages is
+// bounded. Messages beyond the capacity of the channel are dropped.
 func listenForGrants(open peer.Exchange, services int) <-chan []int {
 	grants := make(chan []int, services)
 	open.Listen(func(body []byte) {
 		grant := &ownerpb.Grant{}
 		if err := grant.UnmarshalVT(body); err != nil {
-			// It is not logged: nothing is granted by it, and the asking node, which reports a
+			// Not logged: an unreadable message grants nothing, and the asking node, which logs a
 			// silent owner itself, turns to the servers.
 			return
 		}
@@ -156,18 +155,18 @@
 		select {
 		case grants <- indexes:
 		default:
-			// More than the asking node grants: beyond what was wanted.
+			// More grants than servers were wanted; a correct node does not send these.
 		}
 	})
 	return grants
 }
 
-// refusal is the error of a question that was not begun.
+// refusal returns the error for a question that was refused before any of it was run.
 func refusal(reason outcome.Reason) error {
 	return &outcome.Error{Step: "take question", Outcome: outcome.NotRun, Reason: reason}
 }
 
-// plan is what is done for a question.
+// plan returns the fan-out plan for a question that arrived at start.
 func (s *Server) plan(question *ownerpb.Question, start time.Time) fanout.Plan {
 	hedge, share := s.options.Policies(question.Kind, question.RequestId)
 	left := fromMicroseconds(question.DeadlineUs)
@@ -195,12 +194,12 @@
 	return plan
 }
 
-// span returns a time as messages carry it.
+// fromMicroseconds returns a duration from the form in which messages carry it.
 func fromMicroseconds(microseconds uint64) time.Duration {
 	return time.Duration(microseconds) * time.Microsecond
 }
 
-// decodeRequest returns the client's request as a question carries it.
+// decodeRequest returns the client's request that a question carries.
 func decodeRequest(question *ownerpb.Question) *exchange.Request {
 	request := &exchange.Request{
 		Method: question.Method, Target: question.Target, Host: question.Host, ID: question.RequestId,
@@ -212,7 +211,7 @@
 	return request
 }
 
-// buildReport merges answers into one report.
+// buildReport merges answers into one report with at most topRecords records.
 func buildReport(answers map[int]*exchange.Response, topRecords int) *ownerpb.Report {
 	report := &ownerpb.Report{}
 	bodies := make([][]byte, 0, len(answers))
@@ -226,7 +225,8 @@
 	return report
 }
 
-// finalReport tells what has not been told, and why there is no more.
+// finalReport returns the last report of a question: the answers that were not reported yet, and
+// the failures of the other services.
 func finalReport(result fanout.Result, reported map[int]bool, topRecords int) *ownerpb.Report {
 	rest := make(map[int]*exchange.Response)
 	for index, answer := range result.Parts {
