--- a/internal/edge/budgets.go
+++ b/internal/edge/budgets.go
@@ -9,15 +9,16 @@
 
 // Constants of the extra-load budget.
 const (
-	// ratioShare and allowanceShare of the deployment's bounds are used, since
-	// requests arrive later than they are counted.
+	// ratioShare and allowanceShare are the shares of the deployment's bounds that are used. They are
+	// below 1 because requests arrive later than they are counted.
 	ratioShare     = 0.93
 	allowanceShare = 0.85
-	// assumedNodes share the allowance until the number of nodes is known.
+	// assumedNodes is the number of nodes that the allowance is divided by until it is known.
 	assumedNodes = 32
 )
 
-// budgets keeps one window for each service. It implements fanout.Budget.
+// budgets holds the extra-load budget of each service, one window per service. It implements
+// fanout.Budget and is safe for concurrent use.
 type budgets struct {
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
@@ -34,8 +35,7 @@
 	return created
 }
 
-// setBounds takes the bounds of the deployment. Windows of another span begin
-// anew.
+// setBounds sets the bounds of the deployment. If the span of the windows changes, they start empty.
 func (b *budgets) setBounds(bounds BoundSettings) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -46,14 +46,14 @@
 	}
 }
 
-// setNodes takes the number of nodes that share the allowance.
+// setNodes sets the number of nodes that share the allowance.
 func (b *budgets) setNodes(nodes int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.nodes = max(1, nodes)
 }
 
-// window returns the window of a service with its ratio and allowance.
+// window returns the window of a service, the ratio, and this node's part of the allowance.
 func (b *budgets) window(service string, now time.Time) (*window.Window, float64, float64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/edge/keys.go
+++ b/internal/edge/keys.go
@@ -6,7 +6,8 @@
 	"github.com/bramblemast/bramblemast/internal/front"
 )
 
-// keyFreshness returns whether the node's news of callers' keys is current, old, or so old that keys are refused.
+// keyFreshness returns whether the node's copy of callers' keys is current, old, or so old that keys are
+// refused.
 func (n *Node) keyFreshness() front.KeyNews {
 	settings := n.settings.Load()
 	switch {
@@ -18,8 +19,8 @@
 	return front.KeysCurrent
 }
 
-// watchKeys writes one line when requests begin to be refused because their keys cannot be
-// confirmed, and one when that ends. Only sweepServers calls it.
+// watchKeys logs when requests begin to be refused because their keys cannot be confirmed, and when
+// that ends. Only sweepServers calls it.
 func (n *Node) watchKeys() {
 	table := n.state.Table()
 	lapsed := table != nil && table.HasTenants() && n.keyFreshness() == front.KeysLapsed
@@ -37,7 +38,7 @@
 	n.logger.Info("keys confirmed", "news_age_ms", age)
 }
 
-// stalenessMillis returns how old the node's news of the store is; -1 if it has none.
+// stalenessMillis returns the age of the node's copy of the store in milliseconds; -1 if it has none.
 func (n *Node) stalenessMillis() int64 {
 	confirmedAt := n.follower.ConfirmedAt()
 	if confirmedAt.IsZero() {
--- a/internal/edge/limits_page.go
+++ b/internal/edge/limits_page.go
@@ -11,17 +11,17 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// minListInterval is the least time between two copies of all limits, since requests of tenants wait while
-// one is made. Whoever asks within it gets the last one.
+// minListInterval is the minimum time between two snapshots of all limits, because requests of tenants wait
+// while one is made. Requests within the interval get the last snapshot.
 const minListInterval = 200 * time.Millisecond
 
-// listCache is the last copy of all limits. It is made when somebody asks, so that it costs nothing
-// while nobody does.
+// listCache holds the last snapshot of all limits. Snapshots are made on request only, so that they cost
+// nothing while nobody uses the page.
 type listCache struct {
-	// mutex guards the fields below, and is held while any copy is made: requests wait for one at
-	// most, however many callers the page has at once.
+	// mutex guards the fields below, and is held while any snapshot is made: requests of tenants wait
+	// for one snapshot at most, however many callers the page has at once.
 	mutex sync.Mutex
-	// message was made at madeAt; it is not changed any more.
+	// message was made at madeAt and is immutable.
 	message *wire.Node
 	madeAt  time.Time
 }
@@ -34,11 +34,11 @@
 	}
 	writer.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(writer).Encode(n.limits.message(request.URL.Query().Get(wire.ParameterTenant))); err != nil {
-		n.logger.Debug("limits not sent", "error", err.Error())
+		n.logger.Debug("cannot send limits page", "error", err.Error())
 	}
 }
 
-// message returns what is known of one tenant, or of all if the name is empty.
+// message returns the page for one tenant, or for all tenants if the name is empty.
 func (l *limits) message(tenant string) *wire.Node {
 	l.list.mutex.Lock()
 	defer l.list.mutex.Unlock()
@@ -51,7 +51,7 @@
 	return l.list.message
 }
 
-// encode returns the message for a copy of the limits.
+// encode makes a snapshot of the limits of one tenant or of all, and returns the message for it.
 func (l *limits) encode(tenant string) *wire.Node {
 	snapshot := l.limiter.Snapshot(tenant)
 	message := &wire.Node{
@@ -90,7 +90,7 @@
 	return encoded
 }
 
-// encodeServed returns the message for a tenant whose requests the node got.
+// encodeServed returns the message for a tenant whose requests the node has received.
 func encodeServed(tenant quota.ServedTenant, snapshot quota.Snapshot) wire.Served {
 	encoded := wire.Served{Tenant: tenant.Tenant, Limit: encodeLimit(tenant.Limit), Idle: tenant.IsIdle, Admitted: tenant.Admitted}
 	for reason, count := range tenant.Refused {
--- a/internal/edge/limits_page_test.go
+++ b/internal/edge/limits_page_test.go
@@ -21,14 +21,14 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// getPage asks a node for its limits.
+// getPage requests a page of a node's metrics handler.
 func getPage(node *Node, path string) *httptest.ResponseRecorder {
 	recorder := httptest.NewRecorder()
 	node.Metrics().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, path, http.NoBody))
 	return recorder
 }
 
-// decodePage reads the answer of getPage.
+// decodePage decodes a limits page returned by getPage.
 func decodePage(g *WithT, answer *httptest.ResponseRecorder) wire.Node {
 	var message wire.Node
 	g.Expect(answer.Code).To(Equal(http.StatusOK))
@@ -36,7 +36,7 @@
 	return message
 }
 
-// TestNodeWithoutLimitsHasNoLimitsPage, and its metrics are where they were.
+// TestNodeWithoutLimitsHasNoLimitsPage, but it serves its metrics.
 func TestNodeWithoutLimitsHasNoLimitsPage(t *testing.T) {
 	g := NewWithT(t)
 	node := &Node{metrics: newMetricSet(), logger: hclog.NewNullLogger(), state: &state{}}
@@ -44,7 +44,7 @@
 	g.Expect(getPage(node, metricsPath).Code).To(Equal(http.StatusOK))
 }
 
-// limitedNodes returns some nodes on one network, as those of a deployment with a configuration.
+// limitedNodes returns nodes with tenant limits on one network, with a configuration in force.
 func limitedNodes(g *WithT, network *peer.Network, count int, tenants []route.Tenant) []*Node {
 	var nodes []*Node
 	var known []directory.Node
@@ -65,8 +65,8 @@
 	return nodes
 }
 
-// TestLimitsPageShowsRefusedTenant, and each node tells what it admitted and refused and why; no
-// key of a caller is told.
+// TestLimitsPageShowsRefusedTenant: the coordinator's page shows the tenant at its limit, and each node
+// shows what it admitted, what it refused and why. No page contains the key of a caller.
 func TestLimitsPageShowsRefusedTenant(t *testing.T) {
 	const key, count = "key-of-a-caller", 5
 	tenants := []route.Tenant{
@@ -130,7 +130,7 @@
 	}
 }
 
-// expectServedBeyondLimit checks what a node tells of the tenant busy, beyond its limit.
+// expectServedBeyondLimit checks what a node's page shows of the tenant busy, which exceeds its limit.
 func expectServedBeyondLimit(g Gomega, served wire.Served, coordinator string) {
 	g.Expect(served.Limit).To(Equal(wire.Limit{PerSecond: 10, Burst: 10}))
 	g.Expect(served.DecidedBy).To(Equal("first"))
@@ -141,18 +141,19 @@
 	}
 }
 
-// expectCoordinatedBeyondLimit checks what the coordinator tells of the tenant busy, to which all of some
-// nodes report and of which it names a number.
+// expectCoordinatedBeyondLimit checks what the coordinator's page shows of the tenant busy: the given
+// number of nodes report to it, and the page names the given number of them.
 func expectCoordinatedBeyondLimit(g Gomega, coordinated wire.Coordinated, nodes, named int) {
 	g.Expect(coordinated.First).To(BeTrue())
 	g.Expect(coordinated.AskedPerSecond).To(BeNumerically("~", 50, 15))
 	g.Expect(coordinated.Share).To(BeNumerically("<", 0.5))
 	g.Expect(coordinated.AtLimitSince).NotTo(BeNil())
 	g.Expect(coordinated.Reporting).To(Equal(nodes))
-	g.Expect(coordinated.Reporters).To(HaveLen(named), "named for one tenant only")
+	g.Expect(coordinated.Reporters).To(HaveLen(named), "reporters must be named on the page of one tenant only")
 }
 
-// TestLimitsPageIsCached, however often they are asked for.
+// TestLimitsPageIsCached: the page of all tenants is made at most once per minListInterval, the page of
+// one tenant at each request.
 func TestLimitsPageIsCached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -165,13 +166,13 @@
 			time.Sleep(minListInterval / 5)
 		}
 		g.Expect(times).To(HaveLen(2))
-		g.Expect(decodePage(g, getPage(node, wire.Path+"?tenant=a")).Served).To(HaveLen(1), "one that was not asked for yet")
+		g.Expect(decodePage(g, getPage(node, wire.Path+"?tenant=a")).Served).To(HaveLen(1), "the page of one tenant must not be cached")
 		g.Expect(decodePage(g, getPage(node, wire.Path+"?tenant=b")).Served).To(BeEmpty())
 	})
 }
 
-// TestLimitsPageIsConsistentUnderConcurrentRequests: many callers of the page at once get whole answers while requests are
-// decided and nodes come and go, and no request is counted twice or lost.
+// TestLimitsPageIsConsistentUnderConcurrentRequests: concurrent callers of the page get complete
+// answers while requests are admitted and nodes come and go, and no request is counted twice or lost.
 func TestLimitsPageIsConsistentUnderConcurrentRequests(t *testing.T) {
 	const callers, each = 8, 50
 	g := NewWithT(t)
--- a/internal/edge/logs.go
+++ b/internal/edge/logs.go
@@ -8,14 +8,14 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// logBacklog is the number of lines that wait for a slow reader.
+// logBacklog is the maximum number of lines that wait for a slow output.
 const logBacklog = 512
 
-// asyncWriter hands lines to a writer without ever blocking: lines that find
-// the backlog full are dropped and counted.
+// asyncWriter passes lines to a writer without ever blocking: if the backlog is full, lines are
+// dropped and counted.
 type asyncWriter struct {
 	lines chan []byte
-	// flushes takes a channel for each flush; it is closed when the lines of the backlog are written.
+	// flushes receives a channel for each flush, which is closed when the backlog has been written.
 	flushes chan chan struct{}
 	dropped atomic.Uint64
 }
@@ -26,7 +26,7 @@
 	return writer
 }
 
-// run writes lines for as long as the process lives.
+// run writes lines until the process ends.
 func (w *asyncWriter) run(output io.Writer) {
 	for {
 		select {
@@ -41,7 +41,7 @@
 	}
 }
 
-// write writes one line; one that the output does not take counts as dropped.
+// write writes one line; if the output fails, the line counts as dropped.
 func (w *asyncWriter) write(output io.Writer, line []byte) {
 	if _, err := output.Write(line); err != nil {
 		w.dropped.Add(1)
@@ -58,7 +58,7 @@
 	return len(line), nil
 }
 
-// flush waits until the lines before it are written, for at most within.
+// flush waits until all earlier lines have been written, for at most within.
 func (w *asyncWriter) flush(within time.Duration) {
 	timer := time.NewTimer(within)
 	defer timer.Stop()
@@ -74,7 +74,7 @@
 	}
 }
 
-// Log takes the lines of a process. It is safe for concurrent use.
+// Log is the log of a process. It is safe for concurrent use.
 type Log struct {
 	writer *asyncWriter
 	logger hclog.Logger
@@ -88,11 +88,11 @@
 	})}
 }
 
-// Logger returns the logger whose lines the log takes.
+// Logger returns the logger that writes to the log.
 func (l *Log) Logger() hclog.Logger { return l.logger }
 
-// Flush waits until the lines so far are written, for at most within: otherwise a process that ends
-// would lose its last lines, which say why it ends.
+// Flush waits until all earlier lines have been written, for at most within. Without it a process
+// that ends would lose its last lines, which say why it ends.
 func (l *Log) Flush(within time.Duration) { l.writer.flush(within) }
 
 // NewLogger returns a logger of JSON lines that never blocks.
--- a/internal/edge/metric_set.go
+++ b/internal/edge/metric_set.go
@@ -12,7 +12,7 @@
 	"github.com/bramblemast/bramblemast/pkg/owner"
 )
 
-// metricsPath is where the figures are served.
+// metricsPath is the path of the metrics page.
 const metricsPath = "/metrics"
 
 // latencyBuckets are the upper bounds of the latency histograms, in seconds.
@@ -40,7 +40,7 @@
 	keysLapsed        prometheus.Gauge
 	restores          prometheus.Counter
 	limited           *prometheus.CounterVec
-	// coordinatorsLost counts coordinators of limits that fell silent.
+	// coordinatorsLost counts the times that a coordinator of tenant limits did not answer.
 	coordinatorsLost *prometheus.CounterVec
 }
 
@@ -53,32 +53,32 @@
 		}, []string{"route", "arm"}),
 		missing:     counters("parts_missing_total", "Shards left out of successful answers.", "route", "arm"),
 		subRequests: counters("sub_requests_total", "Requests sent to servers: first, hedge or retry.", "route", "arm", "kind"),
-		denied:      counters("extra_denied_total", "Hedges and retries that the budget did not pay for.", "route", "arm"),
+		denied:      counters("extra_denied_total", "Hedges and retries that the extra-load budget did not allow.", "route", "arm"),
 		dependency: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Namespace: namespace, Name: "dependency_up", Help: "1 if the dependency answers, 0 if not.",
 		}, []string{"dependency"}),
-		refused:   counters("state_refused_total", "Entries of the store that were refused.", "what"),
-		overloads: counters("overloads_total", "Requests that failed for want of room, by the first service of their route.", "service"),
-		logLines:  counters("log_lines_left_out_total", "Log lines that were left out, by cause.", "cause"),
-		owned: counters("owned_parts_total", "Parts of other nodes' requests that this node was asked for as their owner.",
+		refused:   counters("state_refused_total", "Store entries, configurations and templates that were refused.", "what"),
+		overloads: counters("overloads_total", "Requests that failed because of overload, by the first service of their route.", "service"),
+		logLines:  counters("log_lines_left_out_total", "Log lines that were dropped, by cause.", "cause"),
+		owned: counters("owned_parts_total", "Parts of other nodes' requests that this node handled as their owner.",
 			"route", "result"),
 		evacuated: prometheus.NewGaugeVec(prometheus.GaugeOpts{
-			Namespace: namespace, Name: "zone_evacuated", Help: "1 while nothing is to be sent to the servers of a zone.",
+			Namespace: namespace, Name: "zone_evacuated", Help: "1 while a zone is evacuated.",
 		}, []string{"zone"}),
-		storeCalls:        counters("store_calls_total", "Calls to the platform's store, by what was asked and whether it answered as hoped.", "call", "result"),
-		brokenConnections: counters("connections_broken_total", "Sub-requests whose server ended the connection before its answer.", "route"),
-		suspectStates: counters("suspect_requests_total", "Changes of what is known of requests under which servers ended, by the new standing.",
+		storeCalls:        counters("store_calls_total", "Calls to the platform's store, by name of the call and result.", "call", "result"),
+		brokenConnections: counters("connections_broken_total", "Sub-requests whose server closed the connection before it answered.", "route"),
+		suspectStates: counters("suspect_requests_total", "Changes of the state of requests during which servers crashed, by the new state.",
 			"standing"),
 		keysLapsed: prometheus.NewGauge(prometheus.GaugeOpts{
 			Namespace: namespace, Name: "keys_lapsed", Help: "1 while requests with keys are refused because the keys cannot be confirmed.",
 		}),
 		restores: prometheus.NewCounter(prometheus.CounterOpts{
-			Namespace: namespace, Name: "store_restores_total", Help: "Times that the store was found to have come back from an older copy.",
+			Namespace: namespace, Name: "store_restores_total", Help: "Times that the store was found to have been restored from an older copy.",
 		}),
-		limited: counters("quota_requests_total", "Requests of tenants with a limit, by what was decided; most tenants share the name other.",
+		limited: counters("quota_requests_total", "Requests of tenants with a limit, by decision; most tenants are counted as other.",
 			"tenant", "decision"),
-		coordinatorsLost: counters("quota_coordinators_lost_total", "Times that a coordinator of limits did not answer."),
-		ownersLost:       counters("owners_lost_total", "Times that an owner did not answer and was left out for a while."),
+		coordinatorsLost: counters("quota_coordinators_lost_total", "Times that a coordinator of tenant limits did not answer."),
+		ownersLost:       counters("owners_lost_total", "Times that an owner did not answer and was ejected for a while."),
 	}
 	f.registry.MustRegister(f.requests, f.latency, f.missing, f.subRequests, f.denied, f.dependency, f.refused, f.overloads, f.logLines,
 		f.owned, f.ownersLost, f.storeCalls, f.evacuated, f.brokenConnections, f.suspectStates, f.keysLapsed, f.restores, f.limited, f.coordinatorsLost)
@@ -91,7 +91,7 @@
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, labels)
 }
 
-// gauge registers a figure that is read when it is asked for.
+// gauge registers a gauge whose value is read at each scrape.
 func (f *metricSet) gauge(name, help string, read func() float64) {
 	f.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: namespace, Name: name, Help: help,
@@ -105,14 +105,14 @@
 	}, func() float64 { return float64(read()) }))
 }
 
-// handler serves the figures as text.
+// handler serves the metrics as text.
 func (f *metricSet) handler() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+metricsPath, promhttp.HandlerFor(f.registry, promhttp.HandlerOpts{}))
 	return mux
 }
 
-// count takes one request.
+// count counts a request of a client.
 func (f *metricSet) count(record front.Record) {
 	route, arm := record.Route, record.Policy.Arm
 	f.requests.WithLabelValues(route, arm, strconv.Itoa(record.Status), record.Reason).Inc()
@@ -139,7 +139,7 @@
 	}
 }
 
-// countCall takes one call to the store.
+// countCall counts a call to the store.
 func (f *metricSet) countCall(call string, err error) {
 	result := "ok"
 	if err != nil {
@@ -148,7 +148,7 @@
 	f.storeCalls.WithLabelValues(call, result).Inc()
 }
 
-// countOwned takes one question of another node.
+// countOwned counts a request of another node to this one as an owner.
 func (f *metricSet) countOwned(record owner.Record) {
 	result := record.Result
 	f.countBroken(record.Kind, result.BrokenConnections)
--- a/internal/edge/owners.go
+++ b/internal/edge/owners.go
@@ -9,8 +9,7 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// serveOwned answers the questions of other nodes about the shards that this one
-// owns.
+// serveOwned handles the requests of other nodes for the shards that this node owns.
 func (n *Node) serveOwned(handler *front.Handler, rules *policies, recorder *requestRecorder) {
 	owner.NewServer(owner.ServerOptions{
 		Transport: n.transport, Runner: handler.Collector(), Servers: n.state.fleet, Draining: n.state.Draining,
@@ -24,8 +23,8 @@
 	})
 }
 
-// currentRegions returns where another node's request may be served: by the newer one of its
-// configuration and this node's.
+// currentRegions returns the regions in which another node's request may be served, according to the
+// newer of that node's configuration and this node's.
 func (s *state) currentRegions(asked owner.RequestScope) route.Regions {
 	table := s.table.Load()
 	if table == nil || table.Version <= asked.Version {
@@ -34,7 +33,7 @@
 	return table.RegionsOf(asked.Host, asked.Target, asked.Tenant, asked.Regions)
 }
 
-// ownerEvents tells in the log which owners are lost and regained.
+// ownerEvents logs which owners are lost and regained. It implements owner.Events.
 type ownerEvents struct{ node *Node }
 
 // OwnerLost implements owner.Events.
@@ -48,7 +47,8 @@
 	e.node.logger.Info("owner regained", "owner", name, "lost_ms", lost.Milliseconds())
 }
 
-// RecordOwned takes the story of one question of another node.
+// RecordOwned counts and logs a request of another node to this one as an owner. It logs a sample of
+// complete answers and, within the rate limit, all others.
 func (e *requestRecorder) RecordOwned(record owner.Record) {
 	e.metrics.countOwned(record)
 	result := record.Result
--- a/internal/edge/policies.go
+++ b/internal/edge/policies.go
@@ -9,30 +9,30 @@
 	"github.com/bramblemast/bramblemast/pkg/template"
 )
 
-// Templates of routed deployments have this tenant. Their name is that of a
-// route, or one of the names for all routes of a kind.
+// Templates of routed deployments belong to the tenant routeTenant. Their name is that of a route, or
+// gatheredName or singleName for all routes of that kind.
 const (
 	routeTenant  = "routes"
 	gatheredName = "gathered"
 	singleName   = "single"
 )
 
-// builtInRevision stands for the policies that are in force without a template.
+// builtInRevision is the revision of the policies that are in force without a template.
 const builtInRevision = 0
 
-// Factors of the typical time of a sub-request after which a second server is asked.
+// Hedge delays, as factors of the typical time of a sub-request.
 const (
 	// gatheredHedgeFactor is for requests that wait for the slowest of many shards: most of them
-	// have a shard whose server is slowed down by its neighbours or pauses, and the wait for it
-	// is most of what their callers wait (docs/design/uneven.md has the figures).
+	// have a shard whose server is slowed down by its neighbours or pauses, and that shard makes up
+	// most of their latency (docs/design/uneven.md has the figures).
 	gatheredHedgeFactor = 1.7
-	// singleHedgeFactor is for requests to one server, few of which meet such a moment: asking
-	// sooner doubles the work of many that are only a little longer than others.
+	// singleHedgeFactor is for requests to one server, few of which meet a slow server: hedging
+	// sooner would double the work of many requests that take only a little longer than others.
 	singleHedgeFactor = 2.5
 )
 
-// builtInSpec returns the policies without a template. The deployment's own bound on
-// extra load holds whatever a template says.
+// builtInSpec returns the policies that apply without a template. The deployment's own bound on extra
+// load applies whatever a template says.
 func builtInSpec(hedgeFactor float64) policy.Spec {
 	return policy.Spec{
 		Hedge:     policy.HedgeSpec{Policy: policy.HedgeTypical, Factor: hedgeFactor},
@@ -42,12 +42,12 @@
 	}
 }
 
-// builtInAttempts is beyond what routes allow, so that the route decides.
+// builtInAttempts is above what routes allow, so that the limit of the route applies.
 const builtInAttempts = 10
 
-// policies keeps the templates in force. It implements front.Policies.
+// policies holds the templates in force. It implements front.Policies and is safe for concurrent use.
 type policies struct {
-	// builtInGathered and builtInSingle serve requests of many and of one service.
+	// builtInGathered and builtInSingle apply to requests to many services and to one.
 	builtInGathered, builtInSingle policy.Set
 
 	mutex sync.RWMutex
@@ -67,7 +67,7 @@
 	return &policies{builtInGathered: gathered, builtInSingle: single, compiled: make(map[template.Key]*template.Compiled)}, nil
 }
 
-// apply puts a published template into force; a tombstone ends it.
+// apply puts a published template into force; a tombstone removes it.
 func (p *policies) apply(published *template.Published) error {
 	key := published.Template.Key()
 	if published.Template.Deleted {
--- a/internal/edge/quota.go
+++ b/internal/edge/quota.go
@@ -14,32 +14,32 @@
 
 // Bounds of metrics and log lines about tenants.
 const (
-	// namedTenants is the number of tenants with metrics of their own, those with the
-	// greatest limits; the others share otherTenants.
+	// namedTenants is the number of tenants with metrics of their own, those with the highest limits;
+	// the others are counted together as otherTenants.
 	namedTenants = 10
 	otherTenants = "other"
-	// limitLogInterval is the least time between two lines that the same tenant is at its limit, or that
-	// coordinators do not answer.
+	// limitLogInterval is the minimum time between two log lines that the same tenant is at its limit, or
+	// that coordinators do not answer.
 	limitLogInterval = 5 * time.Second
 )
 
-// limits holds tenants to their limits. It implements front.Limits and quota.Events, and is
-// safe for concurrent use.
+// limits enforces the limits of tenants. It implements front.Limits and quota.Events, and is safe for
+// concurrent use.
 type limits struct {
 	node    *Node
 	limiter *quota.Limiter
 
 	mutex sync.Mutex
-	// atLimit limits the lines about tenants at their limits, by name, lost those about coordinators
-	// that do not answer, all together; guarded by mutex.
+	// atLimit limits the log lines about tenants at their limits, by tenant. lostCoordinators limits
+	// those about all coordinators that do not answer. Both are guarded by mutex.
 	atLimit          *stateLogLimiter[string]
 	lostCoordinators *stateLogLimiter[struct{}]
-	// named are the tenants with metrics of their own in the configuration version, guarded
-	// by mutex.
+	// named holds the tenants with metrics of their own, derived from the configuration with the
+	// given version. Both are guarded by mutex.
 	named   map[string]bool
 	version uint64
 
-	// list is the last answer to operators who asked for all tenants.
+	// list caches the last answer to a request for all tenants.
 	list listCache
 }
 
@@ -55,15 +55,15 @@
 	node.metrics.gauge("quota_tenants_at_limit", "Tenants at their limit that this node coordinates.", func() float64 {
 		return float64(created.limiter.TenantsAtLimit())
 	})
-	node.metrics.gauge("quota_tenants", "Tenants with a limit that this node was asked for lately.", func() float64 {
+	node.metrics.gauge("quota_tenants", "Tenants with a limit that this node recently received requests of.", func() float64 {
 		return float64(created.limiter.TenantCount())
 	})
-	node.metrics.counter("quota_reports_total", "Reports to coordinators of limits.", func() uint64 { return created.limiter.MessagesSent().Reports })
-	node.metrics.counter("quota_verdicts_total", "Admitted shares told to other nodes.", func() uint64 { return created.limiter.MessagesSent().Verdicts })
+	node.metrics.counter("quota_reports_total", "Reports sent to coordinators of tenant limits.", func() uint64 { return created.limiter.MessagesSent().Reports })
+	node.metrics.counter("quota_verdicts_total", "Admitted shares sent to other nodes.", func() uint64 { return created.limiter.MessagesSent().Verdicts })
 	return created
 }
 
-// limitOf returns the limit of a tenant by the configuration in force.
+// limitOf returns the limit of a tenant in the configuration in force; false if there is none.
 func (s *state) limitOf(name string) (route.RateLimit, bool) {
 	table := s.table.Load()
 	if table == nil {
@@ -95,7 +95,7 @@
 // Refund implements front.Limits.
 func (l *limits) Refund(tenant *route.Tenant, _ time.Time) { l.limiter.Refund(tenant.Name) }
 
-// setNodes takes the nodes that are known.
+// setNodes passes the known nodes to the limiter.
 func (l *limits) setNodes(known []directory.Node) {
 	nodes := make([]quota.Node, 0, len(known))
 	for _, node := range known {
@@ -104,7 +104,7 @@
 	l.limiter.SetNodes(nodes)
 }
 
-// metricName returns the name under which a tenant is counted.
+// metricName returns the tenant label under which a tenant is counted.
 func (l *limits) metricName(tenant string) string {
 	table := l.node.state.Table()
 	l.mutex.Lock()
@@ -153,7 +153,7 @@
 	shouldLog := l.lostCoordinators.shouldLogBegin(struct{}{}, time.Now())
 	l.mutex.Unlock()
 	if shouldLog {
-		// A partition loses several coordinators at once: one line is enough, the metric counts all.
+		// A partition cuts off several coordinators at once: one line is enough, the metric counts all.
 		l.node.logger.Warn("coordinator of limits lost", "coordinator", name, "error", cause.Error())
 	}
 }
--- a/internal/edge/quota_test.go
+++ b/internal/edge/quota_test.go
@@ -15,7 +15,7 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// quotaSettings are those of a node whose tenants have limits.
+// quotaSettings returns the settings of a node that enforces tenant limits.
 func quotaSettings(peers string, overshoot float64) string {
 	return fmt.Sprintf(`{"node": {"name": "n", "zone": "z"}, "listen": {"clients": "127.0.0.1:0", "ready": "127.0.0.1:0", "peers": %q},
 		"store": {"address": "127.0.0.1:1"}, "bounds": {"grace_s": 6, "quota_window_s": 5, "quota_overshoot": %v, "quota_slack": 20}}`, peers, overshoot)
@@ -31,7 +31,7 @@
 	g.Expect(err).To(MatchError(ContainSubstring("bounds.quota_window_s needs listen.peers")))
 }
 
-// newTestLimits returns what holds tenants to their limits at a node alone.
+// newTestLimits returns the limits of a node without peers.
 func newTestLimits(t *testing.T, tenants []route.Tenant) *limits {
 	settings, err := ParseSettings([]byte(quotaSettings("127.0.0.1:0", 0.1)))
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -42,7 +42,8 @@
 	return newLimits(node, settings, network.Transport("n"))
 }
 
-// TestTenantMetricsAreBounded, however many tenants there are.
+// TestTenantMetricsAreBounded: only the tenants with the highest limits have metrics of their own,
+// however many tenants there are.
 func TestTenantMetricsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	var tenants []route.Tenant
--- a/internal/edge/registration.go
+++ b/internal/edge/registration.go
@@ -12,33 +12,34 @@
 	"github.com/bramblemast/bramblemast/pkg/directory"
 )
 
-// Registry keeps the nodes' entries for as long as they are renewed.
+// Registry holds the entries of nodes in the store for as long as their leases are renewed.
 type Registry interface {
-	// Register writes a node's entry and returns its lease. It is an error if the store is in another
-	// era than the entry names.
+	// Register writes the entry of a node and returns its lease. It fails if the store is in another
+	// era than the entry's.
 	Register(ctx context.Context, node directory.Node, lifetime time.Duration) (directory.Lease, error)
-	// Renew keeps a lease; it returns false if the lease is over.
+	// Renew renews a lease; it returns false if the lease has expired.
 	Renew(ctx context.Context, lease directory.Lease) (bool, error)
 }
 
 // Times of registrations.
 const (
-	// registrationLifetime is how long the entry of a lost node stays. Until
-	// then it still holds its part of shared bounds, which is safe.
+	// registrationLifetime is the duration of the lease, for which the entry of a lost node remains.
+	// Until then the node keeps its part of shared bounds, which is safe.
 	registrationLifetime = 90 * time.Second
 	renewInterval        = 30 * time.Second
 	registerTimeout      = 3 * time.Second
-	// minRegisterRetry and maxRegisterRetry bound the wait after a failure, which
-	// doubles each time and differs between nodes: a store that answers again is not met by
-	// all of them at once, and each call in vain is one too many.
+	// minRegisterRetry and maxRegisterRetry bound the wait after a failure. It doubles with
+	// each failure, so that few calls are made in vain, and is random, so that not all nodes call at
+	// once when the store answers again.
 	minRegisterRetry = 2 * time.Second
 	maxRegisterRetry = 8 * time.Second
-	// adoptTimeout is how long a starting node waits for the entry that it wrote before
-	// it was restarted: renewing that costs a tenth of a call, writing it anew two calls.
+	// adoptTimeout is how long a starting node waits to find the entry that it wrote before its
+	// restart: renewing that entry costs a tenth of a call, writing a new one two calls.
 	adoptTimeout = 1500 * time.Millisecond
-	// restoreRegisterRate is at how many a second nodes write their entries anew after a restore of the
-	// store, as far as their number is known: two calls each, of a few hundred a second that the
-	// store takes of all nodes. minRestoreSpread bounds the span over which they are spread.
+	// restoreRegisterRate is the number of nodes per second that write their entries again after a
+	// restore of the store, given the known number of nodes. Each makes two calls, of the few hundred
+	// per second that the store accepts from all nodes. minRestoreSpread is the minimum time over
+	// which the writes are spread.
 	restoreRegisterRate = 100
 	minRestoreSpread    = 500 * time.Millisecond
 )
@@ -48,16 +49,17 @@
 	registry Registry
 	node     directory.Node
 	logger   hclog.Logger
-	// store tells how far the store is known, nodes how many nodes are.
+	// store returns how much of the store is known, nodes the number of known nodes.
 	store storeView
 	nodes func() int
-	// written is the lease of the entry that was found in the store, if that is the one
-	// that this node would write; nil if there is none.
+	// written is the lease of the entry found in the store if that equals the one that this node would
+	// write; nil if there is none.
 	adoptable atomic.Pointer[directory.Lease]
-	// eraChanged has an element when the store has come back from an older copy.
+	// eraChanged has an element when the store was restored from an older copy.
 	eraChanged chan struct{}
-	// hasStartedWriting says that this process has begun to write the entry, and wasListed that the store held it before
-	// that: others that were lost with this node are still listed then too.
+	// hasStartedWriting says that this process has begun to write its entry, and wasListed that the store
+	// contained the entry before that. In that case the entries of other nodes that were lost together
+	// with this one are still in the store too.
 	hasStartedWriting atomic.Bool
 	wasListed         atomic.Bool
 }
@@ -66,9 +68,10 @@
 type storeView interface {
 	// FirstLoad returns a channel that is closed when the store has been read for the first time.
 	FirstLoad() <-chan struct{}
-	// Position returns how far the store is known.
+	// Position returns the era and revision up to which the store is known.
 	Position() directory.Position
-	// SettlesIn returns for how long the store may still lack what a restore has lost; zero if it does not.
+	// SettlesIn returns for how long the store may still lack what a restore has lost; zero if nothing
+	// is missing.
 	SettlesIn() time.Duration
 }
 
@@ -76,10 +79,10 @@
 	return &registration{registry: registry, node: node, logger: logger, store: store, nodes: nodes, eraChanged: make(chan struct{}, 1)}
 }
 
-// found takes an entry of a node as the store holds it.
+// found handles an entry of a node in the store.
 func (r *registration) noteEntry(entry directory.Entry) {
 	if entry.Node.Name == r.node.Name && !r.hasStartedWriting.Load() {
-		// Also with another address: coordinators of limits are chosen by name.
+		// The address may differ: coordinators of tenant limits are chosen by name.
 		r.wasListed.Store(true)
 	}
 	entryWithoutEra := *entry.Node
@@ -89,8 +92,8 @@
 	}
 }
 
-// notifyEraChange tells that the store has come back from an older copy: it may have lost the entry, and given
-// its lease to another node.
+// notifyEraChange reports that the store was restored from an older copy: it may have lost the entry
+// and granted its lease to another node.
 func (r *registration) notifyEraChange() {
 	select {
 	case r.eraChanged <- struct{}{}:
@@ -98,7 +101,7 @@
 	}
 }
 
-// run registers and renews until ctx ends.
+// run registers the node and renews its lease until ctx ends.
 func (r *registration) run(ctx context.Context) error {
 	r.awaitLoad(ctx)
 	var lease directory.Lease
@@ -129,12 +132,12 @@
 	return nil
 }
 
-// isFromEarlierEra reports whether a lease was granted before the store came back from an older copy.
+// isFromEarlierEra reports whether a lease was granted before the last restore of the store.
 func (r *registration) isFromEarlierEra(lease directory.Lease) bool {
 	return lease.ID != 0 && lease.Era < r.store.Position().Era
 }
 
-// await waits for a span, or until the store has come back from an older copy.
+// await waits for a span, or until the store is restored from an older copy.
 func (r *registration) await(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -145,9 +148,9 @@
 	}
 }
 
-// awaitSettled waits until the store has back what a restore has lost, since an entry of the new era
-// tells starting nodes so, and then as long as the number of nodes asks for. It does not wait if
-// the store has settled.
+// awaitSettled waits until everything that a restore lost has been written back, because an entry of
+// the new era signals that to starting nodes. It then waits for a random time that grows with the
+// number of nodes. It does not wait if nothing is missing.
 func (r *registration) awaitSettled(ctx context.Context) {
 	left := r.store.SettlesIn()
 	if left <= 0 {
@@ -160,7 +163,7 @@
 	pause.For(ctx, rand.N(max(spread, minRestoreSpread)))
 }
 
-// awaitLoad waits until the store has been read, for a while.
+// awaitLoad waits until the store has been read, at most for adoptTimeout.
 func (r *registration) awaitLoad(ctx context.Context) {
 	timer := time.NewTimer(adoptTimeout)
 	defer timer.Stop()
@@ -171,7 +174,7 @@
 	}
 }
 
-// registerRetry returns the wait after so many failures in a row.
+// registerRetry returns the wait after the given number of consecutive failures.
 func registerRetry(failures int) time.Duration {
 	span := pause.Doubled(minRegisterRetry, maxRegisterRetry, failures)
 	return span/2 + rand.N(span/2)
@@ -183,7 +186,8 @@
 	defer cancel()
 	if lease.ID == 0 {
 		node := r.node
-		// An entry of an era whose begin this node has not seen yet would tell others that it has settled.
+		// The entry names the era that this node knows. With a newer era, whose start the node has not
+		// seen yet, it would signal to others that everything lost has been written back.
 		node.Era = r.store.Position().Era
 		granted, err := r.registry.Register(callCtx, node, registrationLifetime)
 		if err == nil {
--- a/internal/edge/registration_test.go
+++ b/internal/edge/registration_test.go
@@ -15,7 +15,7 @@
 	"github.com/bramblemast/bramblemast/pkg/directory"
 )
 
-// acceptingRegistry takes every entry.
+// acceptingRegistry accepts every entry.
 type acceptingRegistry struct{}
 
 func (acceptingRegistry) Register(context.Context, directory.Node, time.Duration) (directory.Lease, error) {
@@ -24,7 +24,7 @@
 
 func (acceptingRegistry) Renew(context.Context, directory.Lease) (bool, error) { return true, nil }
 
-// settledStore is a store that was read at once.
+// settledStore is a store that has been read and lacks nothing.
 type settledStore struct{ era atomic.Uint64 }
 
 func (s *settledStore) FirstLoad() <-chan struct{} {
@@ -38,7 +38,8 @@
 }
 func (*settledStore) SettlesIn() time.Duration { return 0 }
 
-// TestANodeKnowsWhetherItWasListedBeforeItStarted: its own entry as it has just written it says nothing of the others'.
+// TestANodeKnowsWhetherItWasListedBeforeItStarted: only an entry found before the node
+// wrote its own shows that the entries of other nodes are still listed.
 func TestANodeKnowsWhetherItWasListedBeforeItStarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -58,12 +59,12 @@
 		g.Expect(wasListed(node)).To(BeTrue())
 		moved := node
 		moved.PeerAddress = "elsewhere:1"
-		g.Expect(wasListed(moved)).To(BeTrue(), "others choose coordinators by names")
+		g.Expect(wasListed(moved)).To(BeTrue(), "the address must not matter: coordinators are chosen by name")
 		g.Expect(wasListed(other)).To(BeFalse())
 	})
 }
 
-// settlingStore is a store that was restored and settles at a moment.
+// settlingStore is a store that was restored and has everything back at settlesAt.
 type settlingStore struct {
 	settledStore
 	settlesAt atomic.Pointer[time.Time]
@@ -71,14 +72,14 @@
 
 func (s *settlingStore) SettlesIn() time.Duration { return max(0, time.Until(*s.settlesAt.Load())) }
 
-// settleWithin lets the store settle after a span, and returns when that is.
+// settleWithin makes the store settle after a span, and returns the time at which it does.
 func (s *settlingStore) settleWithin(span time.Duration) time.Time {
 	at := time.Now().Add(span)
 	s.settlesAt.Store(&at)
 	return at
 }
 
-// recordingRegistry keeps when entries were written.
+// recordingRegistry records when entries were written.
 type recordingRegistry struct {
 	acceptingRegistry
 	store *settledStore
@@ -102,8 +103,9 @@
 	return directory.Lease{ID: 7, Era: r.store.era.Load()}, nil
 }
 
-// TestANodeRegistersInANewEraOnceItHasSettled: its entry tells starting nodes that what a restore has lost is back. That
-// holds for a node that starts meanwhile as for one that was running, whose lease is of the era before.
+// TestANodeRegistersInANewEraOnceItHasSettled: a node's entry of a new era tells starting nodes that
+// everything lost in a restore is back. The node must therefore wait for that, whether it starts in
+// the meantime or was running, with a lease of the previous era.
 func TestANodeRegistersInANewEraOnceItHasSettled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -123,7 +125,7 @@
 		store.era.Store(3)
 		tested.notifyEraChange()
 		time.Sleep(2*time.Second + minRestoreSpread)
-		g.Expect(registry.times()).To(HaveLen(2), "without waiting for the next renewal")
+		g.Expect(registry.times()).To(HaveLen(2), "the node must not wait for the next renewal")
 		g.Expect(registry.times()[1]).To(BeTemporally(">=", settlesAt))
 		stop()
 		g.Expect(<-ended).To(Succeed())
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -7,12 +7,11 @@
 	"time"
 )
 
-// reloadInterval is how often the settings are read again, since they may
-// change without a signal.
+// reloadInterval is the time between two reloads of the settings, which may change without a signal.
 const reloadInterval = 10 * time.Second
 
-// watchSettings reads the settings again at each signal and now and then, and
-// puts what can change in a running node into force.
+// watchSettings reloads the settings at each signal and every reloadInterval, and applies those that
+// can change in a running node.
 func (n *Node) watchSettings(ctx context.Context) error {
 	if n.options.Reload == nil {
 		<-ctx.Done()
@@ -25,14 +24,14 @@
 		case <-ctx.Done():
 			return nil
 		case <-n.options.ReloadSignals:
-			n.logger.Info("reload asked for", "by", "signal")
+			n.logger.Info("settings reload requested", "by", "signal")
 		case <-ticker.C:
 		}
 		n.reload()
 	}
 }
 
-// reload reads the settings once. Settings at fault change nothing.
+// reload reads the settings once. Invalid settings change nothing; the same error is logged once.
 func (n *Node) reload() {
 	offered, err := n.options.Reload()
 	if err != nil {
@@ -61,5 +60,5 @@
 	n.logger.Info("settings in force", "bounds", offered.Bounds, "peers", offered.Peers, "needs_restart", needsRestart)
 }
 
-// Hangups is a source of reload signals.
+// Hangups delivers signals that ask for a reload.
 type SignalChannel <-chan os.Signal
--- a/internal/edge/request_recorder.go
+++ b/internal/edge/request_recorder.go
@@ -11,15 +11,16 @@
 	"github.com/bramblemast/bramblemast/pkg/fanout"
 )
 
-// Bounds of request logs.
+// Limits of request logs.
 const (
-	// linesPerSecond bounds the lines about requests; what is beyond is counted.
+	// linesPerSecond is the maximum number of log lines about requests in a second; further ones are
+	// dropped and counted.
 	linesPerSecond = 50
-	// sampleEvery is the share of ordinary successes that is logged.
+	// sampleEvery is the sampling interval of ordinary successes: one of that many is logged.
 	sampleEvery = 200
 )
 
-// events writes the story of requests. It implements front.Recorder.
+// events counts and logs requests. It implements front.Recorder and is safe for concurrent use.
 type requestRecorder struct {
 	logger  hclog.Logger
 	metrics *metricSet
@@ -29,9 +30,10 @@
 	successes atomic.Uint64
 
 	mutex sync.Mutex
-	// overloads bounds the lines about overloads of services, guarded by mutex.
+	// overloads limits the lines about overloads of services; guarded by mutex.
 	overloads *stateLogLimiter[string]
-	// second, lines and left are guarded by mutex.
+	// second is the start of the current second, lines the number of lines written in it and leftOut
+	// that of lines left out in it; guarded by mutex.
 	second  time.Time
 	lines   int
 	leftOut int
@@ -52,8 +54,8 @@
 	}
 }
 
-// mayWrite reports whether a line about a request may be written, and tells of
-// those that were left out.
+// mayWrite reports whether a line about a request may be written. It logs and counts the lines that
+// were left out before.
 func (e *requestRecorder) mayWrite() bool {
 	leftOut, ok := e.admit(time.Now())
 	if leftOut > 0 {
@@ -63,7 +65,7 @@
 	return ok
 }
 
-// overloadLogInterval is for how long an overload is told once.
+// overloadLogInterval is the minimum time between two log lines about an overload of the same service.
 const overloadLogInterval = 5 * time.Second
 
 // Overload implements front.Recorder.
@@ -77,8 +79,7 @@
 	}
 }
 
-// isOrdinary reports whether a request was served whole by the first servers
-// that were asked.
+// isOrdinary reports whether a request was answered successfully with all its parts.
 func isOrdinary(record front.Record) bool {
 	return record.Status < 400 && record.Parts == record.Total
 }
@@ -98,7 +99,7 @@
 	return leftOut, true
 }
 
-// fields lists what decided a request.
+// fields returns the log fields of a request: its outcome and what determined it.
 func (e *requestRecorder) fields(record front.Record) []any {
 	list := []any{
 		"request", record.ID, "host", record.Host, "path", record.Path, "route", record.Route,
@@ -147,7 +148,7 @@
 	return appendMissing(list, result, record.Services)
 }
 
-// appendCounts lists how many sub-requests were sent, and why.
+// appendCounts adds the numbers of sub-requests that were sent, hedged, retried and denied.
 func appendCounts(list []any, result fanout.Result) []any {
 	list = append(list, "sent", result.Sent, "hedges", result.Hedges, "retries", result.Retries, "budget_denied", result.Denied)
 	if result.BrokenConnections > 0 {
@@ -156,8 +157,7 @@
 	return list
 }
 
-// appendMissing names the services without an answer, and the last error of the
-// first of them.
+// appendMissing adds the services without an answer, and the last error of the first of them.
 func appendMissing(list []any, result fanout.Result, services []string) []any {
 	var missing []string
 	var failure error
--- a/internal/edge/room_log.go
+++ b/internal/edge/room_log.go
@@ -10,50 +10,51 @@
 	"github.com/bramblemast/bramblemast/pkg/owner"
 )
 
-// openAnnouncer lets this node tell others of the room at services that it asks on their behalf.
+// openAnnouncer starts to announce to other nodes the admission shares of the services to which this
+// node, as an owner, sends requests on their behalf.
 func (n *Node) openAnnouncer() {
 	n.announcer = owner.NewAnnouncer(owner.AnnouncerOptions{
 		Admission: n.admission, Roster: n.state.roster, Transport: n.transport, OnPublish: newRoomLog(n.logger).write,
 	})
-	n.metrics.gauge("services_short_of_room", "Services of which this node lets in only a part of the requests.", func() float64 {
+	n.metrics.gauge("services_short_of_room", "Overloaded services for which this node admits only a part of the requests.", func() float64 {
 		return float64(n.admission.Admitter.LimitedServices())
 	})
 }
 
-// roomLogInterval is the least time between two lines that a service is short of room: its shares
-// change several times a second.
+// roomLogInterval is the minimum time between two log lines that a service is short of room, because its
+// shares change several times a second.
 const roomLogInterval = time.Second
 
-// roomLog tells in the log what this node tells others, as an owner of services that are short
-// of room or have room again. Only one goroutine uses it.
+// roomLog logs the admission shares that this node, as an owner, announces for services that are
+// short of room or have room again. It is not safe for concurrent use.
 type roomLog struct {
 	logger  hclog.Logger
 	limiter *stateLogLimiter[loadshed.Key]
 }
 
-// newRoomLog returns a log that has no line yet.
+// newRoomLog returns a log that has written no line yet.
 func newRoomLog(logger hclog.Logger) *roomLog {
 	return &roomLog{logger: logger, limiter: newStateLogLimiter[loadshed.Key](roomLogInterval)}
 }
 
-// write logs the shares of each service for which a line is due.
+// write logs the shares of each service, at most once per roomLogInterval.
 func (l *roomLog) write(message []loadshed.Measurement) {
 	for _, each := range message {
 		if each.Shares.IsFull() {
 			if l.limiter.shouldLogEnd(each.Key, each.MeasuredAt) {
-				l.logger.Info("room again", "service", each.Service)
+				l.logger.Info("service has room again", "service", each.Service)
 			}
 			continue
 		}
 		if !l.limiter.shouldLogBegin(each.Key, each.MeasuredAt) {
 			continue
 		}
-		l.logger.Warn("short of room", "service", each.Service, "shares", each.Shares.Ranks, "tenants", each.Shares.Tenants)
+		l.logger.Warn("service short of room", "service", each.Service, "shares", each.Shares.Ranks, "tenants", each.Shares.Tenants)
 	}
 }
 
-// appendAdmission tells by what a request was let in or refused while a service that it needs
-// is short of room.
+// appendAdmission adds the share by which a request was admitted or refused if a service that it
+// needs is short of room.
 func appendAdmission(list []any, result fanout.Result) []any {
 	admission := result.Admission
 	if admission.Share >= 1 || admission.LimitingService == "" {
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -34,7 +34,8 @@
 	// mayBeOutdated reports whether the node has just started and its configuration may be older than
 	// the one in force on other nodes; nil for never.
 	mayBeOutdated func() bool
-	// uncertainUntil returns until when an absence in the store proves nothing.
+	// absenceUncertainUntil returns until when a missing entry in the store does not prove that its
+	// server is gone.
 	uncertainUntil func(now time.Time) time.Time
 	// evacuationSpan returns the span over which load is moved away from an evacuated zone.
 	evacuationSpan func() time.Duration
--- a/internal/edge/state_log_limiter_test.go
+++ b/internal/edge/state_log_limiter_test.go
@@ -15,8 +15,8 @@
 
 func (s *countingSink) Accept(string, hclog.Level, string, ...any) { s.lines++ }
 
-// TestChangesBackAndForthAreToldOncePerSpan: twenty shortages that begin and end within two spans
-// give a line on the beginning and one on the end of at most three of them.
+// TestChangesBackAndForthAreToldOncePerSpan: of twenty shortages that begin and end within two
+// intervals, at most three are logged, with a line for the beginning and one for the end.
 func TestChangesBackAndForthAreToldOncePerSpan(t *testing.T) {
 	g := NewWithT(t)
 	sink := &countingSink{}
--- a/internal/edge/stop.go
+++ b/internal/edge/stop.go
@@ -9,16 +9,16 @@
 	"github.com/pkg/errors"
 )
 
-// Times of a planned stop.
+// Times of a graceful stop.
 const (
-	// notReadyDelay is for how long a stopping node still accepts connections,
-	// so that the platform has noticed that it is not ready.
+	// notReadyDelay is how long a stopping node continues to accept connections, so that the platform
+	// can notice that it is not ready.
 	notReadyDelay = 2600 * time.Millisecond
-	// stopReserve is kept of the grace time.
+	// stopReserve is the part of the grace time that is not used for draining.
 	stopReserve = 300 * time.Millisecond
 )
 
-// openReady opens the address of the platform's questions about readiness.
+// openReady opens the listener for the readiness probes of the platform.
 func (n *Node) openReady() error {
 	opened, err := net.Listen("tcp", n.options.Settings.Listen.Ready)
 	if err != nil {
@@ -39,7 +39,8 @@
 	return mux
 }
 
-// awaitStop waits for the end of ctx and stops as planned.
+// awaitStop waits for the end of ctx, then drains the connections of clients within the grace time.
+// It returns at once if inner ends first.
 func (n *Node) awaitStop(ctx, inner context.Context) error {
 	select {
 	case <-inner.Done():
--- a/internal/edge/suspects.go
+++ b/internal/edge/suspects.go
@@ -8,11 +8,11 @@
 	"github.com/bramblemast/bramblemast/pkg/quarantine"
 )
 
-// suspectEvents tells in the log which requests are kept from servers, and why. It
-// implements quarantine.Events.
+// suspectEvents logs which requests are kept from servers, and why. It implements
+// quarantine.Events.
 type suspectEvents struct {
 	node *Node
-	// recorder bounds the lines: one crash leaves as many suspects as it had requests.
+	// recorder limits the rate of lines: a crash makes each request in flight at the server a suspect.
 	recorder *requestRecorder
 }
 
@@ -39,25 +39,25 @@
 	if !e.recorder.mayWrite() {
 		return
 	}
-	e.node.logger.Warn("notes on suspect requests not kept", "call", call, "error", err.Error())
+	e.node.logger.Warn("notes on suspect requests not stored", "call", call, "error", err.Error())
 }
 
-// openGossiper lets nodes tell each other of suspect requests directly.
+// openGossiper lets nodes exchange notes on suspect requests directly, not only through the store.
 func (n *Node) openGossiper() {
 	n.gossiper = quarantine.NewGossiper(n.quarantine, n.transport)
 	n.state.gossiper = n.gossiper
-	n.metrics.counter("suspect_notes_told_total", "Notes on requests under which servers ended that were told to other nodes.", func() uint64 {
+	n.metrics.counter("suspect_notes_told_total", "Notes on requests during which servers crashed that were sent to other nodes.", func() uint64 {
 		sent, _ := n.gossiper.Counts()
 		return sent
 	})
-	n.metrics.counter("suspect_notes_heard_total", "Notes on requests under which servers ended that other nodes told first.", func() uint64 {
+	n.metrics.counter("suspect_notes_heard_total", "Notes on requests during which servers crashed that were first received from other nodes.", func() uint64 {
 		_, received := n.gossiper.Counts()
 		return received
 	})
-	n.metrics.counter("suspect_notes_refused_total", "Times that a note for other nodes found no room to wait: ends are told later, the rest by the store.", n.gossiper.Refused)
+	n.metrics.counter("suspect_notes_refused_total", "Times that the queue of notes for other nodes was full: notes on crashes are sent later, the others reach nodes through the store.", n.gossiper.Refused)
 }
 
-// peerAddresses returns where nodes are told something.
+// peerAddresses returns the peer addresses of nodes.
 func peerAddresses(known []directory.Node) []peer.Address {
 	addresses := make([]peer.Address, 0, len(known))
 	for _, node := range known {
--- a/internal/edge/write_back.go
+++ b/internal/edge/write_back.go
@@ -10,9 +10,9 @@
 	"github.com/bramblemast/bramblemast/pkg/rendezvous"
 )
 
-// Restorer writes to the store what only nodes write, after the store has lost it.
+// Restorer writes to the store what it has lost and what only nodes write.
 type Restorer interface {
-	// WriteBack writes a lost state unless its key was written meanwhile; false if it was.
+	// WriteBack writes a lost entry unless its key has been written since; it returns false if it has.
 	WriteBack(ctx context.Context, lost directory.LostEntry) (bool, error)
 }
 
@@ -20,15 +20,15 @@
 const (
 	writeBackInterval = 250 * time.Millisecond
 	writeBackTimeout  = time.Second
-	// writeBackStagger is how much later than the one before it a node writes a key, in the order of its
-	// rank for that key: the others find it written. maxWriteBackRank bounds the turns.
+	// writeBackStagger is the delay per rank: a node writes a key that much later than the node ranked
+	// before it, so that it finds the key written if that node succeeded. maxWriteBackRank bounds the rank.
 	writeBackStagger = time.Second
 	maxWriteBackRank = 5
 )
 
-// writeBack writes to the store what it has lost and nobody but the nodes keeps: templates, and notes on
-// requests that end servers. All nodes know it, so that each key needs no lease: the node that ranks
-// first for it writes, the next ones do if it did not, and each write is conditional.
+// writeBack writes to the store what it has lost and only the nodes still have: templates, and notes on
+// requests that crash servers. All nodes have them, so no lease per key is needed: the node that
+// ranks first for a key writes it, the next ones do if it did not, and each write is conditional.
 type writeBack struct {
 	restorer Restorer
 	node     *Node
@@ -40,7 +40,7 @@
 	return &writeBack{restorer: restorer, node: node, work: make(chan struct{}, 1)}
 }
 
-// wake tells that the store may lack something, as this node or another one knows it.
+// wake reports that the store may lack something that this node or another one knows.
 func (w *writeBack) wake() {
 	select {
 	case w.work <- struct{}{}:
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// writeAll writes until the store has everything back, as this node knows it.
+// writeAll writes until the store has everything back, as far as this node knows.
 func (w *writeBack) writeAll(ctx context.Context) {
 	ticker := time.NewTicker(writeBackInterval)
 	defer ticker.Stop()
@@ -73,7 +73,7 @@
 			return
 		case now := <-ticker.C:
 			if era := w.node.follower.Position().Era; era != writtenEra {
-				// Another restore has taken it away again.
+				// Another restore may have removed again what was written.
 				clear(written)
 				settledAt, writtenEra = time.Time{}, era
 			}
@@ -86,8 +86,9 @@
 	}
 }
 
-// writeDue writes those of the lost states for which it is this node's turn a span after the store
-// has settled. What was written over a revision of the store is known to be there a reading later.
+// writeDue writes the lost entries for which it is this node's turn, given the time since the store
+// has settled. An entry that was written over a revision of the store is not written again over the
+// same one, because the node sees its own write only at the next reading of the store.
 func (w *writeBack) writeDue(ctx context.Context, lost []directory.LostEntry, sinceSettled time.Duration, written map[string]uint64) {
 	names := w.nodeNames()
 	for _, each := range lost {
@@ -97,7 +98,7 @@
 			continue
 		}
 		if !w.write(ctx, each) {
-			// The store refuses this node, or is away: another one may write meanwhile.
+			// The store refuses this node or is unavailable: another node may write in the meantime.
 			pause.For(ctx, writeBackStagger)
 			return
 		}
@@ -105,7 +106,7 @@
 	}
 }
 
-// write writes one state, and reports whether the store took the call.
+// write writes one entry, and reports whether the call to the store succeeded.
 func (w *writeBack) write(ctx context.Context, lost directory.LostEntry) bool {
 	callCtx, cancel := context.WithTimeout(ctx, writeBackTimeout)
 	defer cancel()
