--- a/internal/node/machines.go
+++ b/internal/node/machines.go
@@ -27,7 +27,7 @@
 		OnDelta: n.takeMachineDelta,
 		Logger:  n.logger.Named("machinelist"),
 	})
-	n.members.HandleNews(machineListKind, n.receiveMachines)
+	n.members.HandleBroadcast(machineListKind, n.receiveMachines)
 }
 
 // receiveMachines takes what another node of the zone read.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -180,7 +180,7 @@
 	n.limits = limit.NewServers(limit.Options{})
 	n.news = catalog.NewBatcher(catalog.BatcherOptions{
 		Send:     n.broadcastNews,
-		MaxBytes: membership.MaxNewsBytes,
+		MaxBytes: membership.MaxBroadcastBytes,
 		Logger:   n.logger.Named("catalog"),
 	})
 	n.catalog = catalog.New(catalog.Options{
@@ -190,7 +190,7 @@
 		OnUpdate: n.spreadNews,
 		Logger:   n.logger.Named("catalog"),
 	})
-	n.members.HandleNews(newsKind, n.receiveNews)
+	n.members.HandleBroadcast(newsKind, n.receiveNews)
 	n.exchange = catalog.NewExchange(catalog.ExchangeOptions{
 		Catalog:     n.catalog,
 		Transport:   n.transport,
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -52,7 +52,7 @@
 	schedule     schedule
 	news         *newsLog
 	newsSequence uint64
-	newsHandlers map[string]NewsHandler
+	newsHandlers map[string]BroadcastHandler
 	zones        zoneContacts
 	seedZones    seedZones
 	// stale is set from the end of a pause until the list was fetched anew.
@@ -90,7 +90,7 @@
 		table:        newTable(options.Self, options.MembersPerZone),
 		queue:        newQueue(),
 		news:         newNewsLog(),
-		newsHandlers: make(map[string]NewsHandler),
+		newsHandlers: make(map[string]BroadcastHandler),
 		zones:        make(zoneContacts),
 		seedZones:    make(seedZones),
 		subscribers:  make(map[chan struct{}]struct{}),
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -287,7 +287,7 @@
 		got := make(chan target.NodeID, 1000)
 		c.startZone("oslo", 30)
 		for _, node := range c.nodes {
-			node.HandleNews("test", func(target.NodeID, []byte) { got <- node.options.Self.ID })
+			node.HandleBroadcast("test", func(target.NodeID, []byte) { got <- node.options.Self.ID })
 		}
 		c.settle(joinBound)
 		time.Sleep(30 * time.Second)
@@ -315,7 +315,7 @@
 		if len(got) != 29 {
 			t.Errorf("the message was handed over %d times, want 29", len(got))
 		}
-		if err := c.nodes[addressOf("oslo", 0)].Broadcast("test", make([]byte, MaxNewsBytes+1)); err == nil {
+		if err := c.nodes[addressOf("oslo", 0)].Broadcast("test", make([]byte, MaxBroadcastBytes+1)); err == nil {
 			t.Error("an oversized message was taken")
 		}
 	})
--- a/pkg/membership/news.go
+++ b/pkg/membership/news.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// MaxNewsBytes bounds the payload of one message.
-	MaxNewsBytes = 4096
+	// MaxBroadcastBytes bounds the payload of one message.
+	MaxBroadcastBytes = 4096
 	// rememberedNews is the number of messages by which repeats are known.
 	rememberedNews = 4096
 	// keptNews is the number of latest messages that are kept for members that
@@ -23,9 +23,9 @@
 	keptNewsFor = 30 * time.Second
 )
 
-// NewsHandler takes a message of another subsystem. It is called once for each
+// BroadcastHandler takes a message of another subsystem. It is called once for each
 // message, from the goroutine that received it, and must not block.
-type NewsHandler func(from target.NodeID, payload []byte)
+type BroadcastHandler func(from target.NodeID, payload []byte)
 
 // newsKey identifies a message.
 func newsKey(news *pb.News) string { return fmt.Sprintf("news/%s/%d", news.Origin, news.Sequence) }
@@ -104,9 +104,9 @@
 	return missing
 }
 
-// HandleNews registers the handler of a kind of message. It must be called
+// HandleBroadcast registers the handler of a kind of message. It must be called
 // before Run.
-func (m *Membership) HandleNews(kind string, handler NewsHandler) {
+func (m *Membership) HandleBroadcast(kind string, handler BroadcastHandler) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.newsHandlers[kind] = handler
@@ -117,8 +117,8 @@
 // arrive needs a comparison of state beside it. This node's own handler is not
 // called.
 func (m *Membership) Broadcast(kind string, payload []byte) error {
-	if len(payload) > MaxNewsBytes {
-		return errors.Errorf("broadcast %s: %d bytes exceed the limit of %d", kind, len(payload), MaxNewsBytes)
+	if len(payload) > MaxBroadcastBytes {
+		return errors.Errorf("broadcast %s: %d bytes exceed the limit of %d", kind, len(payload), MaxBroadcastBytes)
 	}
 	m.mutex.Lock()
 	defer m.unlock()
@@ -136,7 +136,7 @@
 
 // delivery is a message on its way to its handler.
 type delivery struct {
-	handler NewsHandler
+	handler BroadcastHandler
 	news    *pb.News
 }
 
@@ -145,7 +145,7 @@
 func (m *Membership) receiveNews(received []*pb.News, now time.Time) []delivery {
 	var deliveries []delivery
 	for _, news := range received {
-		if news == nil || len(news.Payload) > MaxNewsBytes || !m.news.add(news, now) {
+		if news == nil || len(news.Payload) > MaxBroadcastBytes || !m.news.add(news, now) {
 			continue
 		}
 		m.queue.addNews(news)
--- a/pkg/membership/stats.go
+++ b/pkg/membership/stats.go
@@ -22,8 +22,8 @@
 	SyncsDiffering uint64
 	// Summaries counts exchanges with other zones.
 	Summaries uint64
-	// NewsDelivered counts messages of other subsystems that were handed over.
-	NewsDelivered uint64
+	// BroadcastsDelivered counts messages of other subsystems that were handed over.
+	BroadcastsDelivered uint64
 }
 
 // counters are the atomic counterparts of Stats.
@@ -39,15 +39,15 @@
 // Stats returns the counts so far.
 func (m *Membership) Stats() Stats {
 	return Stats{
-		Probes:         m.counters.probes.Load(),
-		FailedProbes:   m.counters.failedProbes.Load(),
-		Suspicions:     m.counters.suspicions.Load(),
-		Removed:        m.counters.removed.Load(),
-		Refutations:    m.counters.refutations.Load(),
-		Pauses:         m.counters.pauses.Load(),
-		Syncs:          m.counters.syncs.Load(),
-		SyncsDiffering: m.counters.syncsDiffering.Load(),
-		Summaries:      m.counters.summaries.Load(),
-		NewsDelivered:  m.counters.newsDelivered.Load(),
+		Probes:              m.counters.probes.Load(),
+		FailedProbes:        m.counters.failedProbes.Load(),
+		Suspicions:          m.counters.suspicions.Load(),
+		Removed:             m.counters.removed.Load(),
+		Refutations:         m.counters.refutations.Load(),
+		Pauses:              m.counters.pauses.Load(),
+		Syncs:               m.counters.syncs.Load(),
+		SyncsDiffering:      m.counters.syncsDiffering.Load(),
+		Summaries:           m.counters.summaries.Load(),
+		BroadcastsDelivered: m.counters.newsDelivered.Load(),
 	}
 }
