--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -80,7 +80,7 @@
 		Seed:      n.seed(),
 	}
 	if n.settings.Store.URL == "" {
-		options.AloneAfter = aloneWithoutStore
+		options.StandaloneAfter = aloneWithoutStore
 	}
 	return options
 }
--- a/internal/operator/adapters.go
+++ b/internal/operator/adapters.go
@@ -78,7 +78,7 @@
 func (t ReplicaTemplates) StoreContact() operator.StoreContact {
 	status := t.Replica.Status().Store
 	contact := operator.StoreContact{
-		Watcher:   len(status.Watched) > 0,
+		Watcher:   len(status.WatchedPrefixes) > 0,
 		LastError: status.LastError,
 		Behind:    status.Behind,
 	}
--- a/pkg/configsync/bootstrap.go
+++ b/pkg/configsync/bootstrap.go
@@ -66,7 +66,7 @@
 }
 
 func (r *Replica) isEnough(reached evidence, waited time.Duration) bool {
-	isAlone := r.options.AloneAfter > 0 && waited >= r.options.AloneAfter
+	isAlone := r.options.StandaloneAfter > 0 && waited >= r.options.StandaloneAfter
 	return reached.store || reached.peers > 0 || isAlone
 }
 
--- a/pkg/configsync/bootstrap_test.go
+++ b/pkg/configsync/bootstrap_test.go
@@ -41,7 +41,7 @@
 func TestNodeWithoutStoreAndReadyPeersIsNotReady(t *testing.T) {
 	for _, aloneAfter := range []time.Duration{0, time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
-			tune := func(o *Options) { o.AloneAfter = aloneAfter }
+			tune := func(o *Options) { o.StandaloneAfter = aloneAfter }
 			c := newCluster(3, 1, func(o *Options) { tune(o); o.Store.(*reachableStore).isCut.Store(true) })
 			defer c.close()
 			time.Sleep(50 * time.Second)
@@ -52,7 +52,7 @@
 			}
 			time.Sleep(time.Minute)
 			if got := c.nodes[0].replica.Ready(); got != (aloneAfter > 0) {
-				t.Errorf("with AloneAfter %v: ready is %v", aloneAfter, got)
+				t.Errorf("with StandaloneAfter %v: ready is %v", aloneAfter, got)
 			}
 		})
 	}
--- a/pkg/configsync/options.go
+++ b/pkg/configsync/options.go
@@ -33,7 +33,7 @@
 // Defaults of Options.
 const (
 	DefaultWatchersPerZone  = 2
-	DefaultWatchedBytes     = 32 << 10
+	DefaultMaxBytesPerWatch = 32 << 10
 	DefaultStoreCallsPerSec = 100.0
 	DefaultWatchWait        = 20 * time.Second
 	DefaultExchangePeriod   = 5 * time.Second
@@ -64,10 +64,10 @@
 	// WatchersPerZone is the number of nodes of each zone that watch the same
 	// prefix of the store.
 	WatchersPerZone int
-	// WatchedBytes bounds the documents, in bytes, that one watch should read
+	// MaxBytesPerWatch bounds the documents, in bytes, that one watch should read
 	// with each change. The templates are watched by 1, 16 or 256 prefixes as it
 	// demands, so that the reading is spread over more nodes.
-	WatchedBytes int
+	MaxBytesPerWatch int
 	// StoreCallsPerSecond bounds the calls of all watchers of all nodes
 	// together; each keeps to its share.
 	StoreCallsPerSecond float64
@@ -89,10 +89,10 @@
 	// PeerWait is how long a new node waits for a first peer before it takes
 	// the store's word alone.
 	PeerWait time.Duration
-	// AloneAfter lets a new node that reaches neither the store nor a ready
+	// StandaloneAfter lets a new node that reaches neither the store nor a ready
 	// peer become ready, without templates, after this time. Zero means never,
 	// which is right wherever the store holds templates.
-	AloneAfter time.Duration
+	StandaloneAfter time.Duration
 
 	// inForce, set by tests, is called under the table's mutex with each
 	// document that replaces another.
@@ -109,7 +109,7 @@
 	}
 	o.Logger = o.Logger.Named("configsync")
 	defaults.Set(&o.WatchersPerZone, DefaultWatchersPerZone)
-	defaults.Set(&o.WatchedBytes, DefaultWatchedBytes)
+	defaults.Set(&o.MaxBytesPerWatch, DefaultMaxBytesPerWatch)
 	defaults.Set(&o.StoreCallsPerSecond, DefaultStoreCallsPerSec)
 	defaults.Set(&o.WatchWait, DefaultWatchWait)
 	defaults.Set(&o.ExchangePeriod, DefaultExchangePeriod)
--- a/pkg/configsync/stats.go
+++ b/pkg/configsync/stats.go
@@ -14,7 +14,7 @@
 	BytesIn     uint64
 
 	// Taken counts the documents that replaced an older one, by source.
-	Taken map[Source]uint64
+	Applied map[Source]uint64
 	// Duplicates counts the documents that were held already, Refused those
 	// that were older than the held one.
 	Duplicates uint64
@@ -101,7 +101,7 @@
 	stats := Stats{
 		MessagesOut: c.messagesOut.Load(), MessagesIn: c.messagesIn.Load(),
 		BytesOut: c.bytesOut.Load(), BytesIn: c.bytesIn.Load(),
-		Taken:      map[Source]uint64{},
+		Applied:    map[Source]uint64{},
 		Duplicates: c.duplicates.Load(), Refused: c.refused.Load(), Malformed: c.malformed.Load(),
 		PushesFailed: c.pushesFailed.Load(), PushesDropped: c.dropped.Load(),
 		Exchanges: c.exchanges.Load(), ExchangesFailed: c.exchangesFailed.Load(),
@@ -110,7 +110,7 @@
 		Forks: r.table.forkCount(),
 	}
 	for _, source := range []Source{SourceLocal, SourceStore, SourcePush, SourceExchange, SourceBootstrap} {
-		stats.Taken[source] = c.taken(source).Load()
+		stats.Applied[source] = c.taken(source).Load()
 	}
 	return stats
 }
--- a/pkg/configsync/status.go
+++ b/pkg/configsync/status.go
@@ -39,7 +39,7 @@
 // StoreStatus is what a node knows of the store.
 type StoreStatus struct {
 	// Watched are the prefixes that this node watches; most nodes watch none.
-	Watched []string
+	WatchedPrefixes []string
 	// Index and ReadAt are of the last read; zero if this node never read.
 	Index  uint64
 	ReadAt time.Time
@@ -99,7 +99,7 @@
 }
 
 func (r *Replica) storeStatus() StoreStatus {
-	status := StoreStatus{Watched: r.watch.watched(), Index: r.counters.storeIndex.Load()}
+	status := StoreStatus{WatchedPrefixes: r.watch.watched(), Index: r.counters.storeIndex.Load()}
 	if readAt := r.counters.storeReadAt.Load(); readAt != 0 {
 		status.ReadAt = time.Unix(0, readAt)
 	}
--- a/pkg/configsync/store_test.go
+++ b/pkg/configsync/store_test.go
@@ -113,14 +113,14 @@
 
 func TestFewWatchersKeepToTheStoresLimit(t *testing.T) {
 	const callsPerSecond = 20
-	tune := func(o *Options) { o.StoreCallsPerSecond, o.WatchedBytes = callsPerSecond, 1 }
+	tune := func(o *Options) { o.StoreCallsPerSecond, o.MaxBytesPerWatch = callsPerSecond, 1 }
 	inCluster(t, 30, 3, tune, func(t *testing.T, c *cluster) {
 		mustPublish(t, c.nodes[0], "first")
 		const settled, seconds = 2 * time.Minute, 120
 		time.Sleep(settled)
 		watches, most := 0, 0
 		for _, node := range c.nodes {
-			watched := len(node.replica.Status().Store.Watched)
+			watched := len(node.replica.Status().Store.WatchedPrefixes)
 			watches, most = watches+watched, max(most, watched)
 		}
 		if want := 3 * 256 * DefaultWatchersPerZone; watches != want || most > 2*want/len(c.nodes) {
--- a/pkg/configsync/watch.go
+++ b/pkg/configsync/watch.go
@@ -82,7 +82,7 @@
 func (d *watchDuty) chooseDigits() bool {
 	const mostDigits, shardsOfDigit = 2, 16
 	wanted, bytes := 0, d.replica.table.size()
-	for wanted < mostDigits && bytes > d.replica.options.WatchedBytes {
+	for wanted < mostDigits && bytes > d.replica.options.MaxBytesPerWatch {
 		wanted++
 		bytes /= shardsOfDigit
 	}
