--- a/pkg/owner/client.go
+++ b/pkg/owner/client.go
@@ -44,8 +44,8 @@
 type Events interface {
 	// OwnerLost is called when a node is excluded from the owners; cause is the reason.
 	OwnerLost(name string, cause error)
-	// OwnerRegained is called when a node is readmitted; lost is how long it was excluded.
-	OwnerRegained(name string, lost time.Duration)
+	// OwnerRegained is called when a node is readmitted; excludedFor is how long it was excluded.
+	OwnerRegained(name string, excludedFor time.Duration)
 }
 
 var _ fanout.Owners = (*Client)(nil)
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -258,14 +258,14 @@
 }
 
 func TestDrainingOrServerlessOwnerRefuses(t *testing.T) {
-	unable := map[string]func(*node){
-		"stops": func(n *node) { n.draining = true },
+	faults := map[string]func(*node){
+		"draining": func(n *node) { n.draining = true },
 		"knows no servers": func(n *node) {
 			n.fleet.Remove("near0", time.Time{}, time.Now())
 			n.fleet.Remove("far0", time.Time{}, time.Now())
 		},
 	}
-	for name, disable := range unable {
+	for name, disable := range faults {
 		t.Run(name, func(t *testing.T) {
 			inCluster(t, func(g *WithT, c *cluster) {
 				requester, owners := c.nonOwner()
--- a/pkg/owner/regions_test.go
+++ b/pkg/owner/regions_test.go
@@ -50,8 +50,8 @@
 		for _, name := range owners {
 			c.node(name).regions.Store(&narrowed)
 		}
-		asked := c.arrivals("far")
+		before := c.arrivals("far")
 		c.ask(c.t.Context(), requester)
-		g.Expect(c.arrivals("far")-asked).To(BeZero(), "the owners know a newer configuration")
+		g.Expect(c.arrivals("far")-before).To(BeZero(), "the owners know a newer configuration")
 	})
 }
--- a/pkg/owner/relays_test.go
+++ b/pkg/owner/relays_test.go
@@ -195,9 +195,9 @@
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
-		for index, admitter := range region.admitters {
+		for own, admitter := range region.admitters {
 			for number := range largeRegionNodes {
-				if share := admitter.ShareOf(loadshed.Key{Service: fmt.Sprint("s", number)}, loadshed.Class{}, time.Now()); number != index {
+				if share := admitter.ShareOf(loadshed.Key{Service: fmt.Sprint("s", number)}, loadshed.Class{}, time.Now()); number != own {
 					g.Expect(share).To(Equal(0.9 - float64(rounds-1)/20))
 				}
 			}
--- a/pkg/owner/roster_test.go
+++ b/pkg/owner/roster_test.go
@@ -109,13 +109,13 @@
 	roster := rosterOf(local, known, nodes)
 	before := ownersOf(local, roster, services)
 	lost := before[services[7]]
-	var left []directory.Node
+	var remaining []directory.Node
 	for _, node := range nodes {
 		if node.Name != lost {
-			left = append(left, node)
+			remaining = append(remaining, node)
 		}
 	}
-	roster.SetNodes(left)
+	roster.SetNodes(remaining)
 	for service, name := range ownersOf(local, roster, services) {
 		if before[service] == lost {
 			g.Expect(name).NotTo(Equal(lost))
--- a/pkg/owner/server.go
+++ b/pkg/owner/server.go
@@ -105,9 +105,9 @@
 		return open.Send(report)
 	}
 	plan.Collect.Granted = listenForGrants(open, len(question.Services))
-	awaited, done := untilCancelled(ctx)
-	defer done()
-	result := s.options.Runner.Run(awaited, plan, decodeRequest(question))
+	runContext, release := untilCancelled(ctx)
+	defer release()
+	result := s.options.Runner.Run(runContext, plan, decodeRequest(question))
 	s.options.Recorder(Record{
 		RequestID: question.RequestId, Kind: question.Kind, AskedBy: string(from), Services: question.Services,
 		Took: time.Since(start), Result: result,
@@ -124,13 +124,13 @@
 // connection ends, but not at the deadline of ctx. That deadline is in whole milliseconds and so
 // passes slightly before the question's own, at which the run ends by itself.
 func untilCancelled(ctx context.Context) (context.Context, func()) {
-	awaited, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runContext, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
 		if !errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			cancel()
 		}
 	})
-	return awaited, func() {
+	return runContext, func() {
 		stop()
 		cancel()
 	}
@@ -169,12 +169,12 @@
 // plan returns the fan-out plan for a question that arrived at start.
 func (s *Server) plan(question *ownerpb.Question, start time.Time) fanout.Plan {
 	hedge, share := s.options.Policies(question.Kind, question.RequestId)
-	left := fromMicroseconds(question.DeadlineUs)
+	remaining := fromMicroseconds(question.DeadlineUs)
 	plan := fanout.Plan{
 		Kind: question.Kind, Tenant: question.Tenant, Priority: int(question.Priority),
 		Services: question.Services, Required: int(question.Required), Repeatable: true,
-		MaxAttempts: int(question.MaxAttempts), Deadline: start.Add(left), Assumed: fromMicroseconds(question.AssumedUs),
-		MaxServerWait: left, Hedge: hedge, ExtraShare: share,
+		MaxAttempts: int(question.MaxAttempts), Deadline: start.Add(remaining), Assumed: fromMicroseconds(question.AssumedUs),
+		MaxServerWait: remaining, Hedge: hedge, ExtraShare: share,
 		Collect: &fanout.Collect{ReportInterval: fromMicroseconds(question.ReportUs), SamplingValue: question.Lot},
 	}
 	scope := RequestScope{
