--- a/pkg/configsync/bootstrap_test.go
+++ b/pkg/configsync/bootstrap_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestReplacementIsReadyFromPeersWhileTheStoreIsAway(t *testing.T) {
-	inCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
 		version := mustPublish(t, c.nodes[0], "first")
 		time.Sleep(spreadTime)
 		c.store.SetUnavailable(true)
@@ -24,7 +24,7 @@
 }
 
 func TestReplacementPrefersPeersToAStoreThatWentBack(t *testing.T) {
-	inCluster(t, 3, 1, func(o *Options) { o.Repairer = nil }, func(t *testing.T, c *cluster) {
+	runInCluster(t, 3, 1, func(o *Options) { o.Repairer = nil }, func(t *testing.T, c *cluster) {
 		backup := c.store.Snapshot()
 		version := mustPublish(t, c.nodes[0], "first")
 		time.Sleep(spreadTime)
--- a/pkg/configsync/cluster_test.go
+++ b/pkg/configsync/cluster_test.go
@@ -138,7 +138,7 @@
 	last := map[template.Key]template.Version{}
 	options := Options{
 		Self: node.Peer, Peers: c.peers, Transport: node.transport, Store: node.store, Seed: uint64(c.starts),
-		inForce: func(next template.Published) {
+		onReplace: func(next template.Published) {
 			if next.Version().Compare(last[next.Key()]) <= 0 {
 				c.violation("%s went from %v to %v", node.ID, last[next.Key()], next.Version())
 			}
@@ -183,20 +183,20 @@
 	node.cancel()
 	node.transport.Close()
 	<-node.done
-	gone := node.ID
-	time.AfterFunc(detectionTime, func() { c.unlist(gone) })
+	stopped := node.ID
+	time.AfterFunc(detectionTime, func() { c.unlist(stopped) })
 }
 
-func (c *cluster) unlist(gone target.NodeID) {
+func (c *cluster) unlist(stopped target.NodeID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	var left []Peer
+	var remaining []Peer
 	for _, listed := range c.listed {
-		if listed.ID != gone {
-			left = append(left, listed)
+		if listed.ID != stopped {
+			remaining = append(remaining, listed)
 		}
 	}
-	c.listed = left
+	c.listed = remaining
 }
 
 func (c *cluster) restart(node *testNode) {
--- a/pkg/configsync/exchange.go
+++ b/pkg/configsync/exchange.go
@@ -10,8 +10,8 @@
 
 // Bounds of one comparison. A frame may have 1 MiB.
 const (
-	// maxListed bounds the entries of a request.
-	maxListed = 4096
+	// maxListedEntries bounds the entries of a request.
+	maxListedEntries = 4096
 	// maxReplyBytes bounds the documents of a reply, and of a push after it.
 	maxReplyBytes = 256 << 10
 	// maxRounds bounds the requests of one comparison.
@@ -77,9 +77,9 @@
 		return false, err
 	}
 	for _, encoded := range reply.Documents {
-		r.learnEncoded(encoded, partner.ID, source)
+		r.applyEncoded(encoded, partner.ID, source)
 	}
-	wanted, sentAll := r.table.byHashes(reply.Wanted)
+	wanted, sentAll := r.table.documentsByHash(reply.Wanted)
 	if len(wanted) > 0 {
 		if err := r.call(ctx, partner, kindPush, &pb.Push{Documents: wanted}, &pb.PushReply{}); err != nil {
 			return false, err
@@ -107,7 +107,7 @@
 		if listing.Shard >= stored.ShardCount {
 			continue
 		}
-		documents, wanted := r.table.againstListing(stored.Shard(listing.Shard), listing.Entries)
+		documents, wanted := r.table.diffListing(stored.Shard(listing.Shard), listing.Entries)
 		reply.Wanted = append(reply.Wanted, wanted...)
 		for _, published := range documents {
 			size += len(published.Encoded)
@@ -156,7 +156,7 @@
 	request = &pb.ReconcileRequest{}
 	listed := 0
 	for _, shard := range shards {
-		if listed > 0 && listed+len(t.shards[shard]) > maxListed {
+		if listed > 0 && listed+len(t.shards[shard]) > maxListedEntries {
 			return request, false
 		}
 		listing := &pb.ShardListing{Shard: uint32(shard)}
@@ -169,11 +169,11 @@
 	return request, true
 }
 
-// againstListing compares one shard with a peer's listing of it: the documents
+// diffListing compares one shard with a peer's listing of it: the documents
 // that are newer here, and the key hashes of those that are newer there. Of two
 // documents with the same revision and different change ids both are exchanged,
 // since only the whole change id tells which is higher.
-func (t *table) againstListing(shard stored.Shard, entries []*pb.EntryDigest) (documents []template.Published, wanted []uint64) {
+func (t *table) diffListing(shard stored.Shard, entries []*pb.EntryDigest) (documents []template.Published, wanted []uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	listed := make(map[uint64]*pb.EntryDigest, len(entries))
@@ -181,15 +181,15 @@
 		listed[digest.Key] = digest
 	}
 	for _, held := range t.shards[shard] {
-		own := digestOf(held.published)
-		their := listed[own.Key]
-		delete(listed, own.Key)
-		isFork := their != nil && own.Revision == their.Revision && own.Change != their.Change
-		if their == nil || own.Revision > their.Revision || isFork {
+		local := digestOf(held.published)
+		remote := listed[local.Key]
+		delete(listed, local.Key)
+		isFork := remote != nil && local.Revision == remote.Revision && local.Change != remote.Change
+		if remote == nil || local.Revision > remote.Revision || isFork {
 			documents = append(documents, held.published)
 		}
-		if their != nil && (own.Revision < their.Revision || isFork) {
-			wanted = append(wanted, own.Key)
+		if remote != nil && (local.Revision < remote.Revision || isFork) {
+			wanted = append(wanted, local.Key)
 		}
 	}
 	for key := range listed {
@@ -198,9 +198,9 @@
 	return documents, wanted
 }
 
-// byHashes returns the encoded documents of some key hashes. Complete is false
+// documentsByHash returns the encoded documents of some key hashes. Complete is false
 // if not all of them had room.
-func (t *table) byHashes(hashes []uint64) (documents [][]byte, complete bool) {
+func (t *table) documentsByHash(hashes []uint64) (documents [][]byte, complete bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	size := 0
--- a/pkg/configsync/fuzz_test.go
+++ b/pkg/configsync/fuzz_test.go
@@ -37,7 +37,7 @@
 	f.Add(listing)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		node, transport := newFuzzNode(t)
-		node.take(sealed, SourceLocal)
+		node.apply(sealed, SourceLocal)
 		for _, kind := range transport.kinds() {
 			_, _ = transport.handlers[kind](context.Background(), "peer", body)
 		}
--- a/pkg/configsync/measure_test.go
+++ b/pkg/configsync/measure_test.go
@@ -31,16 +31,16 @@
 	measuredTime = 60 * time.Second
 	// changeRate is the letter's 96,000 changes a day.
 	changeRate = 96_000.0 / 86_400
-	// knownPerZone is how many nodes of another zone membership knows.
-	knownPerZone = 5
+	// knownPeersPerZone is how many nodes of another zone membership knows.
+	knownPeersPerZone = 5
 	// documentSize is about that of the largest example with its comment.
 	documentSize = 1000
 
 	// storeLatency is the time of a call to the store.
 	storeLatency = 3 * time.Millisecond
 
-	healthyBound = 2 * time.Second
-	alwaysBound  = 12 * time.Second
+	maxSpreadHealthy = 2 * time.Second
+	maxSpread        = 12 * time.Second
 )
 
 // condition is a state of the store during a measurement.
@@ -54,9 +54,9 @@
 func conditions() []condition {
 	nothing := func(*configstore.Memory) {}
 	return []condition{
-		{"healthy", healthyBound, nothing, nothing},
-		{"limited to 20/s", alwaysBound, func(s *configstore.Memory) { s.SetLimit(20, 5) }, nothing},
-		{"away after each", alwaysBound,
+		{"healthy", maxSpreadHealthy, nothing, nothing},
+		{"limited to 20/s", maxSpread, func(s *configstore.Memory) { s.SetLimit(20, 5) }, nothing},
+		{"away after each", maxSpread,
 			func(s *configstore.Memory) { s.SetUnavailable(false) },
 			func(s *configstore.Memory) { s.SetUnavailable(true) }},
 	}
@@ -131,25 +131,25 @@
 	views   atomic.Pointer[map[target.Zone][]Peer]
 	changes int
 	// records guards acceptedAt and taken.
-	records    sync.Mutex
-	acceptedAt map[string]time.Time
-	taken      map[string][]time.Time
-	spreads    []time.Duration
+	recordsMutex sync.Mutex
+	acceptedAt   map[string]time.Time
+	inForceAt    map[string][]time.Time
+	spreads      []time.Duration
 }
 
 func newMeasurement(size size) *measurement {
 	m := &measurement{
 		size: size, random: rand.New(rand.NewPCG(1, 1)),
-		acceptedAt: map[string]time.Time{}, taken: map[string][]time.Time{},
+		acceptedAt: map[string]time.Time{}, inForceAt: map[string][]time.Time{},
 	}
 	var all []Peer
 	m.views.Store(&map[target.Zone][]Peer{})
-	m.cluster = newClusterOn(m.preload(), size.nodes, size.zones, func(options *Options) {
+	m.cluster = newClusterOn(m.newPopulatedStore(), size.nodes, size.zones, func(options *Options) {
 		self := options.Self
 		all = append(all, self)
 		options.Peers = func() []Peer { return (*m.views.Load())[self.Zone] }
 		options.Store.(*reachableStore).replyDelay = storeLatency
-		options.inForce = func(next template.Published) { m.note(next.Template.ChangeID) }
+		options.onReplace = func(next template.Published) { m.recordInForce(next.Template.ChangeID) }
 	})
 	views := viewsOf(all)
 	m.views.Store(&views)
@@ -157,7 +157,7 @@
 }
 
 // preload makes a store that holds the templates in their first revision.
-func (m *measurement) preload() *configstore.Memory {
+func (m *measurement) newPopulatedStore() *configstore.Memory {
 	store := configstore.NewMemory()
 	publisher, err := publish.New(publish.Options{Store: store})
 	if err != nil {
@@ -187,7 +187,7 @@
 	for own := range zones {
 		for zone, members := range zones {
 			if zone != own {
-				members = members[:min(len(members), knownPerZone)]
+				members = members[:min(len(members), knownPeersPerZone)]
 			}
 			views[own] = append(views[own], members...)
 		}
@@ -195,10 +195,10 @@
 	return views
 }
 
-func (m *measurement) note(changeID string) {
-	m.records.Lock()
-	defer m.records.Unlock()
-	m.taken[changeID] = append(m.taken[changeID], time.Now())
+func (m *measurement) recordInForce(changeID string) {
+	m.recordsMutex.Lock()
+	defer m.recordsMutex.Unlock()
+	m.inForceAt[changeID] = append(m.inForceAt[changeID], time.Now())
 }
 
 // publishSteadily publishes changes at random nodes.
@@ -211,12 +211,12 @@
 		condition.after(m.store)
 		time.Sleep(interval)
 	}
-	time.Sleep(alwaysBound)
-	m.records.Lock()
-	defer m.records.Unlock()
+	time.Sleep(maxSpread)
+	m.recordsMutex.Lock()
+	defer m.recordsMutex.Unlock()
 	for changeID, acceptedAt := range m.acceptedAt {
-		for _, takenAt := range m.taken[changeID] {
-			m.spreads = append(m.spreads, max(takenAt.Sub(acceptedAt), 0))
+		for _, inForceAt := range m.inForceAt[changeID] {
+			m.spreads = append(m.spreads, max(inForceAt.Sub(acceptedAt), 0))
 		}
 	}
 }
@@ -231,9 +231,9 @@
 		}
 		result, err := node.publisher.Publish(node.context, document, expected)
 		if err == nil {
-			m.records.Lock()
+			m.recordsMutex.Lock()
 			m.acceptedAt[result.Template.ChangeID] = time.Now()
-			m.records.Unlock()
+			m.recordsMutex.Unlock()
 			return
 		}
 		if !errors.Is(err, configstore.ErrLimited) {
--- a/pkg/configsync/members.go
+++ b/pkg/configsync/members.go
@@ -70,19 +70,19 @@
 // of another. It returns false if there is none.
 func (r *Replica) randomPeer() (Peer, bool) {
 	const otherZoneShare = 0.2
-	var own, others []Peer
+	var sameZone, elsewhere []Peer
 	for _, known := range r.alivePeers() {
 		if known.Zone == r.options.Self.Zone {
-			own = append(own, known)
+			sameZone = append(sameZone, known)
 		} else {
-			others = append(others, known)
+			elsewhere = append(elsewhere, known)
 		}
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	candidates := own
-	if len(own) == 0 || (len(others) > 0 && r.random.Float64() < otherZoneShare) {
-		candidates = others
+	candidates := sameZone
+	if len(sameZone) == 0 || (len(elsewhere) > 0 && r.random.Float64() < otherZoneShare) {
+		candidates = elsewhere
 	}
 	if len(candidates) == 0 {
 		return Peer{}, false
--- a/pkg/configsync/options.go
+++ b/pkg/configsync/options.go
@@ -94,9 +94,9 @@
 	// which is right wherever the store holds templates.
 	StandaloneAfter time.Duration
 
-	// inForce, set by tests, is called under the table's mutex with each
+	// onReplace, set by tests, is called under the table's mutex with each
 	// document that replaces another.
-	inForce func(template.Published)
+	onReplace func(template.Published)
 }
 
 // withDefaults checks the options and fills in defaults.
--- a/pkg/configsync/relay.go
+++ b/pkg/configsync/relay.go
@@ -14,7 +14,7 @@
 // document on splits the members that it is responsible for, a range of the
 // order, into Fanout parts, and hands each part to the part's first member. If
 // that member does not answer, the next one gets the rest of the part; after
-// maxHeads members in a row the node divides the rest anew, so that no number of
+// maxHeadsTried members in a row the node divides the rest anew, so that no number of
 // members that are down hides those behind them. A range is of hashes and not of
 // positions, so members that only one of two nodes knows of do not shift the
 // others.
@@ -23,100 +23,100 @@
 // the tree once and offers the document to each other zone.
 
 const (
-	// pushQueue bounds the pushes that wait; what exceeds it is left to the
+	// pushQueueCapacity bounds the pushes that wait; what exceeds it is left to the
 	// comparisons.
-	pushQueue = 1024
+	pushQueueCapacity = 1024
 	// localSenders and remoteSenders bound the pushes that are under way.
 	localSenders  = 8
 	remoteSenders = 4
-	// maxHeads bounds the members that are tried one after the other for one part of
+	// maxHeadsTried bounds the members that are tried one after the other for one part of
 	// the zone, so that those behind them wait for four pushes at most.
-	maxHeads = 4
+	maxHeadsTried = 4
 )
 
 // push is a document on its way to one of some members.
-type push struct {
+type pushTask struct {
 	published template.Published
 	route     pb.Route
 	// heads are tried in order until one takes the document. It gets the range
 	// from its own hash to last.
-	heads []member
-	last  uint64
+	heads    []member
+	lastHash uint64
 	// failed is called if none took the document; nil for nothing.
-	failed func()
+	onFailure func()
 }
 
 // introduce hands a document to the root of this node's zone, once.
-func (r *Replica) introduce(published template.Published) {
-	if !r.table.markIntroduced(published) {
+func (r *Replica) handToRoot(published template.Published) {
+	if !r.table.markHandedToRoot(published) {
 		return
 	}
 	order := r.zoneOrder(fingerprint(published))
-	var ahead []member
+	var predecessors []member
 	for _, candidate := range order {
 		if candidate.ID == r.options.Self.ID {
 			break
 		}
-		ahead = append(ahead, candidate)
+		predecessors = append(predecessors, candidate)
 	}
-	if len(ahead) == 0 {
-		r.root(published)
+	if len(predecessors) == 0 {
+		r.startTree(published)
 		return
 	}
-	r.enqueue(r.local, push{
-		published: published, route: pb.Route_ROUTE_ROOT, heads: ahead, last: math.MaxUint64,
-		failed: func() { r.root(published) },
+	r.enqueue(r.localQueue, pushTask{
+		published: published, route: pb.Route_ROUTE_ROOT, heads: predecessors, lastHash: math.MaxUint64,
+		onFailure: func() { r.startTree(published) },
 	})
 }
 
 // root starts the zone's tree and tells the other zones, once.
-func (r *Replica) root(published template.Published) {
-	if !r.table.markRooted(published) {
+func (r *Replica) startTree(published template.Published) {
+	if !r.table.markTreeStarted(published) {
 		return
 	}
-	r.branch(published, 0, math.MaxUint64, "")
+	r.relayRange(published, 0, math.MaxUint64, "")
 	for _, members := range r.otherZones(fingerprint(published)) {
-		r.enqueue(r.remote, push{published: published, route: pb.Route_ROUTE_SEED, heads: members, last: math.MaxUint64})
+		r.enqueue(r.remoteQueue, pushTask{published: published, route: pb.Route_ROUTE_SEED, heads: members, lastHash: math.MaxUint64})
 	}
 }
 
 // branch passes a document on to the members with hashes from first to last.
-func (r *Replica) branch(published template.Published, first, last uint64, sender string) {
+func (r *Replica) relayRange(published template.Published, firstHash, lastHash uint64, sender string) {
 	var members []member
 	for _, candidate := range r.zoneOrder(fingerprint(published)) {
 		isOther := candidate.ID != r.options.Self.ID && string(candidate.ID) != sender
-		if isOther && candidate.hash >= first && candidate.hash <= last {
+		if isOther && candidate.hash >= firstHash && candidate.hash <= lastHash {
 			members = append(members, candidate)
 		}
 	}
-	r.divide(published, members, last)
+	r.enqueueParts(published, members, lastHash)
 }
 
 // divide hands ordered members, whose last hash is at most last, to the heads of
 // their parts.
-func (r *Replica) divide(published template.Published, members []member, last uint64) {
-	for _, part := range split(members, r.options.Fanout, last) {
+func (r *Replica) enqueueParts(published template.Published, members []member, lastHash uint64) {
+	for _, part := range split(members, r.options.Fanout, lastHash) {
 		part.published, part.route = published, pb.Route_ROUTE_BRANCH
-		r.enqueue(r.local, part)
+		r.enqueue(r.localQueue, part)
 	}
 }
 
 // split cuts ordered members into at most count parts of even size.
-func split(members []member, count int, last uint64) []push {
+func split(members []member, count int, lastHash uint64) []pushTask {
 	count = min(count, len(members))
-	parts := make([]push, 0, count)
+	parts := make([]pushTask, 0, count)
 	for index := range count {
 		from, to := index*len(members)/count, (index+1)*len(members)/count
-		part := push{heads: members[from:to], last: last}
+		part := pushTask{heads: members[from:to], lastHash: lastHash}
 		if to < len(members) {
-			part.last = members[to].hash - 1
+			part.lastHash = members[to].hash - 1
 		}
 		parts = append(parts, part)
 	}
 	return parts
 }
 
-func (r *Replica) enqueue(queue chan<- push, item push) {
+func (r *Replica) enqueue(queue chan<- pushTask, item pushTask) {
 	select {
 	case queue <- item:
 	default:
@@ -125,7 +125,7 @@
 }
 
 // sendLoop sends the pushes of a queue.
-func (r *Replica) sendLoop(ctx context.Context, queue <-chan push) {
+func (r *Replica) sendLoop(ctx context.Context, queue <-chan pushTask) {
 	for {
 		select {
 		case item := <-queue:
@@ -137,32 +137,32 @@
 }
 
 // send offers a document to one head after the other.
-func (r *Replica) send(ctx context.Context, item push) {
-	tried := min(len(item.heads), maxHeads)
+func (r *Replica) send(ctx context.Context, item pushTask) {
+	tried := min(len(item.heads), maxHeadsTried)
 	for _, head := range item.heads[:tried] {
-		first := head.hash
+		firstHash := head.hash
 		if item.route == pb.Route_ROUTE_ROOT {
-			first = 0
+			firstHash = 0
 		}
-		if r.sendTo(ctx, head, item, first) {
+		if r.sendTo(ctx, head, item, firstHash) {
 			return
 		}
 		if ctx.Err() != nil {
 			return
 		}
 	}
-	if item.failed != nil {
-		item.failed()
+	if item.onFailure != nil {
+		item.onFailure()
 	}
 	if item.route == pb.Route_ROUTE_BRANCH {
-		r.divide(item.published, item.heads[tried:], item.last)
+		r.enqueueParts(item.published, item.heads[tried:], item.lastHash)
 	}
 }
 
 // sendTo reports whether the member answered.
-func (r *Replica) sendTo(ctx context.Context, head member, item push, first uint64) bool {
+func (r *Replica) sendTo(ctx context.Context, head member, item pushTask, firstHash uint64) bool {
 	request := &pb.Push{
-		Documents: [][]byte{item.published.Encoded}, Route: item.route, First: first, Last: item.last,
+		Documents: [][]byte{item.published.Encoded}, Route: item.route, First: firstHash, Last: item.lastHash,
 	}
 	if item.route == pb.Route_ROUTE_SEED {
 		offer := &pb.Push{Offers: []*pb.EntryDigest{digestOf(item.published)}}
@@ -176,7 +176,7 @@
 		return false
 	}
 	for _, encoded := range reply.Newer {
-		r.learnEncoded(encoded, head.ID, SourceExchange)
+		r.applyEncoded(encoded, head.ID, SourceExchange)
 	}
 	return true
 }
@@ -200,15 +200,15 @@
 	for _, encoded := range request.Documents {
 		published, err := template.ReadPublished(encoded)
 		if err != nil {
-			r.refuse(sender, err)
+			r.rejectMalformed(sender, err)
 			continue
 		}
-		if newer := r.receive(sender, published, request); newer != nil {
+		if newer := r.receivePushed(sender, published, request); newer != nil {
 			reply.Newer = append(reply.Newer, newer)
 		}
 	}
 	for _, offer := range request.Offers {
-		if r.table.wants(offer) {
+		if r.table.mayBeNewer(offer) {
 			reply.Wanted = append(reply.Wanted, offer.Key)
 		}
 	}
@@ -216,36 +216,36 @@
 }
 
 // wants reports whether an offered document may be newer than the held one.
-func (t *table) wants(offer *pb.EntryDigest) bool {
+func (t *table) mayBeNewer(offer *pb.EntryDigest) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	held := t.entries[t.byHash[offer.Key]]
 	if held == nil {
 		return true
 	}
-	own := digestOf(held.published)
-	return offer.Revision > own.Revision || (offer.Revision == own.Revision && offer.Change != own.Change)
+	local := digestOf(held.published)
+	return offer.Revision > local.Revision || (offer.Revision == local.Revision && offer.Change != local.Change)
 }
 
 // receive takes one document and passes it on in the role that the route gives
 // this node. It returns this node's document if that is newer.
-func (r *Replica) receive(sender string, published template.Published, request *pb.Push) []byte {
+func (r *Replica) receivePushed(sender string, published template.Published, request *pb.Push) []byte {
 	if request.Route == pb.Route_ROUTE_NONE {
-		r.learn(published, SourceExchange)
+		r.applyAndSpread(published, SourceExchange)
 		return nil
 	}
-	if r.take(published, SourcePush) == older {
+	if r.apply(published, SourcePush) == resultOlder {
 		held, _ := r.table.get(published.Key())
 		return held.Encoded
 	}
 	switch request.Route {
 	case pb.Route_ROUTE_ROOT:
-		r.root(published)
+		r.startTree(published)
 	case pb.Route_ROUTE_SEED:
-		r.introduce(published)
+		r.handToRoot(published)
 	case pb.Route_ROUTE_BRANCH:
-		if r.table.markBranched(published) {
-			r.branch(published, request.First, request.Last, sender)
+		if r.table.markRelayed(published) {
+			r.relayRange(published, request.First, request.Last, sender)
 		}
 	}
 	return nil
--- a/pkg/configsync/replica.go
+++ b/pkg/configsync/replica.go
@@ -34,9 +34,9 @@
 	ready    atomic.Bool
 	// local and remote queue the pushes within the zone and to other zones, so
 	// that zones which are cut off don't hold up the node's own.
-	local  chan push
-	remote chan push
-	watch  *watchDuty
+	localQueue  chan pushTask
+	remoteQueue chan pushTask
+	watches     *watchManager
 
 	// mutex guards the fields below.
 	mutex  sync.Mutex
@@ -56,31 +56,31 @@
 	created := &Replica{
 		options:     options,
 		logger:      options.Logger,
-		table:       newTable(options.inForce),
-		local:       make(chan push, pushQueue),
-		remote:      make(chan push, pushQueue),
-		random:      rand.New(rand.NewPCG(options.Seed, keySeed(options.Self))),
+		table:       newTable(options.onReplace),
+		localQueue:  make(chan pushTask, pushQueueCapacity),
+		remoteQueue: make(chan pushTask, pushQueueCapacity),
+		random:      rand.New(rand.NewPCG(options.Seed, nodeSeed(options.Self))),
 		subscribers: map[chan struct{}]struct{}{},
 	}
-	created.watch = newWatchDuty(created)
+	created.watches = newWatchManager(created)
 	created.handle()
 	return created, nil
 }
 
-// keySeed tells nodes apart that were given the same seed.
-func keySeed(self Peer) uint64 { return memberHash(0, self.ID) }
+// nodeSeed tells nodes apart that were given the same seed.
+func nodeSeed(self Peer) uint64 { return memberHash(0, self.ID) }
 
 // Run keeps the replica up to date until ctx ends.
 func (r *Replica) Run(ctx context.Context) error {
 	var group sync.WaitGroup
 	group.Go(func() { r.bootstrap(ctx) })
 	group.Go(func() { r.exchangeLoop(ctx) })
-	group.Go(func() { r.watch.run(ctx) })
+	group.Go(func() { r.watches.run(ctx) })
 	for range localSenders {
-		group.Go(func() { r.sendLoop(ctx, r.local) })
+		group.Go(func() { r.sendLoop(ctx, r.localQueue) })
 	}
 	for range remoteSenders {
-		group.Go(func() { r.sendLoop(ctx, r.remote) })
+		group.Go(func() { r.sendLoop(ctx, r.remoteQueue) })
 	}
 	group.Wait()
 	return nil
@@ -115,7 +115,7 @@
 // Announce takes a change that was accepted through this node and passes it on
 // at once. It does not block.
 func (r *Replica) Announce(published template.Published) {
-	r.learn(published, SourceLocal)
+	r.applyAndSpread(published, SourceLocal)
 }
 
 // Subscribe returns a channel that gets a value after a template or the
@@ -146,18 +146,18 @@
 // learn offers a document that came from outside the zone's tree to the table,
 // and hands it to the tree if it is new. A node that is not ready fetches what
 // the others have long had, and passes on only its own changes.
-func (r *Replica) learn(published template.Published, source Source) {
-	result := r.take(published, source)
-	if result == newer && (r.Ready() || source == SourceLocal) {
-		r.introduce(published)
+func (r *Replica) applyAndSpread(published template.Published, source Source) {
+	result := r.apply(published, source)
+	if result == resultNewer && (r.Ready() || source == SourceLocal) {
+		r.handToRoot(published)
 	}
 }
 
 // take offers a document to the table.
-func (r *Replica) take(published template.Published, source Source) verdict {
+func (r *Replica) apply(published template.Published, source Source) offerResult {
 	result := r.table.offer(published, source, time.Now())
-	r.counters.offered(source, result)
-	if result != newer {
+	r.counters.addOffer(source, result)
+	if result != resultNewer {
 		return result
 	}
 	r.logger.Info("template changed", "template", published.Key(), "version", published.Version(),
--- a/pkg/configsync/replica_test.go
+++ b/pkg/configsync/replica_test.go
@@ -23,8 +23,8 @@
 // spreadTime is the virtual time in which the trees reach every node.
 const spreadTime = 200 * time.Millisecond
 
-// inCluster runs a test in virtual time with nodes that are ready.
-func inCluster(t *testing.T, size, zones int, tune func(*Options), body func(t *testing.T, c *cluster)) {
+// runInCluster runs a test in virtual time with nodes that are ready.
+func runInCluster(t *testing.T, size, zones int, tune func(*Options), body func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(size, zones, tune)
@@ -40,7 +40,7 @@
 }
 
 func TestChangeReachesEveryNode(t *testing.T) {
-	inCluster(t, 30, 3, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 30, 3, nil, func(t *testing.T, c *cluster) {
 		version := mustPublish(t, c.nodes[7], "first")
 		time.Sleep(spreadTime)
 		c.wantEverywhere(t, version)
@@ -63,7 +63,7 @@
 
 func TestChangeSpreadsPastDeadAndFrozenMembers(t *testing.T) {
 	treesOnly := func(o *Options) { o.ExchangePeriod = 24 * time.Hour }
-	inCluster(t, 40, 1, treesOnly, func(t *testing.T, c *cluster) {
+	runInCluster(t, 40, 1, treesOnly, func(t *testing.T, c *cluster) {
 		frozen, dead, alive := c.nodes[1:8], c.nodes[8:11], c.nodes[11:]
 		for _, node := range frozen {
 			c.network.Freeze(node.Address)
@@ -94,7 +94,7 @@
 // the start of one part of the tree as are tried for it.
 func TestChangeReachesTheRestOfAPartWhoseHeadsAreFrozen(t *testing.T) {
 	treesOnly := func(o *Options) { o.ExchangePeriod = 24 * time.Hour }
-	inCluster(t, 40, 1, treesOnly, func(t *testing.T, c *cluster) {
+	runInCluster(t, 40, 1, treesOnly, func(t *testing.T, c *cluster) {
 		document := content(ticker, "first")
 		document.Revision, document.ChangeID = 1, "change"
 		published, err := template.Seal(document)
@@ -103,7 +103,7 @@
 		}
 		order := c.nodes[0].replica.zoneOrder(fingerprint(published))
 		frozen := map[target.NodeID]bool{}
-		for _, head := range split(order[1:], DefaultFanout, math.MaxUint64)[1].heads[:maxHeads] {
+		for _, head := range split(order[1:], DefaultFanout, math.MaxUint64)[1].heads[:maxHeadsTried] {
 			c.network.Freeze(head.Address)
 			frozen[head.ID] = true
 		}
@@ -112,7 +112,7 @@
 				node.replica.Announce(published)
 			}
 		}
-		time.Sleep((maxHeads + 1) * DefaultPushTimeout)
+		time.Sleep((maxHeadsTried + 1) * DefaultPushTimeout)
 		for _, node := range c.nodes {
 			if !frozen[node.ID] && node.version(ticker) != published.Version() {
 				t.Errorf("%s holds %v", node.ID, node.version(ticker))
@@ -124,7 +124,7 @@
 
 func TestChangeSpreadsWhereEveryRootIsFrozen(t *testing.T) {
 	treesOnly := func(o *Options) { o.ExchangePeriod = 24 * time.Hour }
-	inCluster(t, 5, 1, treesOnly, func(t *testing.T, c *cluster) {
+	runInCluster(t, 5, 1, treesOnly, func(t *testing.T, c *cluster) {
 		for _, node := range c.nodes[2:] {
 			c.network.Freeze(node.Address)
 		}
@@ -144,7 +144,7 @@
 }
 
 func TestZoneThatWasCutOffCatchesUp(t *testing.T) {
-	inCluster(t, 12, 3, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 12, 3, nil, func(t *testing.T, c *cluster) {
 		var cut, rest []*testNode
 		for index, node := range c.nodes {
 			if index%3 == 0 {
@@ -167,7 +167,7 @@
 }
 
 func TestDocumentOfANewerReleaseIsPassedOnAndNotRun(t *testing.T) {
-	inCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
 		mustPublish(t, c.nodes[0], "first")
 		time.Sleep(spreadTime)
 		encoded := []byte(`{"tenant":"valgsok","name":"ticker","revision":2,"change_id":"x","service":"s",` +
@@ -190,7 +190,7 @@
 }
 
 func TestSurveyNamesWhoDidNotAnswer(t *testing.T) {
-	inCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
 		version := mustPublish(t, c.nodes[0], "first")
 		time.Sleep(spreadTime)
 		c.network.Freeze(c.nodes[4].Address)
@@ -210,7 +210,7 @@
 
 func TestLargeStateIsFetchedInBoundedReplies(t *testing.T) {
 	const templates = 600
-	inCluster(t, 2, 1, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 2, 1, nil, func(t *testing.T, c *cluster) {
 		for number := range templates {
 			document := content(template.Key{Tenant: "tenant", Name: fmt.Sprint("name", number)}, "author")
 			document.Comment = string(make([]byte, 0, 1000))
@@ -222,7 +222,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.nodes[0].replica.take(sealed, SourceLocal)
+			c.nodes[0].replica.apply(sealed, SourceLocal)
 		}
 		everything := &pb.ReconcileRequest{}
 		for shard := range uint32(stored.ShardCount) {
@@ -240,8 +240,8 @@
 	})
 }
 
-func TestSubscribersHearOfChanges(t *testing.T) {
-	inCluster(t, 3, 1, nil, func(t *testing.T, c *cluster) {
+func TestSubscribersAreNotifiedOfChanges(t *testing.T) {
+	runInCluster(t, 3, 1, nil, func(t *testing.T, c *cluster) {
 		changes, stop := c.nodes[2].replica.Subscribe()
 		defer stop()
 		mustPublish(t, c.nodes[0], "first")
--- a/pkg/configsync/stats.go
+++ b/pkg/configsync/stats.go
@@ -53,34 +53,34 @@
 	storeReadAt atomic.Int64
 }
 
-func (c *counters) sent(bytes int) {
+func (c *counters) addSent(bytes int) {
 	c.messagesOut.Add(1)
 	c.bytesOut.Add(uint64(bytes))
 }
 
-func (c *counters) answered(bytes int) {
+func (c *counters) addReceived(bytes int) {
 	c.messagesIn.Add(1)
 	c.bytesIn.Add(uint64(bytes))
 }
 
-func (c *counters) received(requestBytes, replyBytes int) {
-	c.answered(requestBytes)
-	c.sent(replyBytes)
+func (c *counters) addHandled(requestBytes, replyBytes int) {
+	c.addReceived(requestBytes)
+	c.addSent(replyBytes)
 }
 
 // offered counts a document that was offered to the table.
-func (c *counters) offered(source Source, result verdict) {
+func (c *counters) addOffer(source Source, result offerResult) {
 	switch result {
-	case older:
+	case resultOlder:
 		c.refused.Add(1)
-	case same:
+	case resultSame:
 		c.duplicates.Add(1)
-	case newer:
-		c.taken(source).Add(1)
+	case resultNewer:
+		c.applied(source).Add(1)
 	}
 }
 
-func (c *counters) taken(source Source) *atomic.Uint64 {
+func (c *counters) applied(source Source) *atomic.Uint64 {
 	switch source {
 	case SourceLocal:
 		return &c.local
@@ -110,7 +110,7 @@
 		Forks: r.table.forkCount(),
 	}
 	for _, source := range []Source{SourceLocal, SourceStore, SourcePush, SourceExchange, SourceBootstrap} {
-		stats.Applied[source] = c.taken(source).Load()
+		stats.Applied[source] = c.applied(source).Load()
 	}
 	return stats
 }
--- a/pkg/configsync/status.go
+++ b/pkg/configsync/status.go
@@ -99,7 +99,7 @@
 }
 
 func (r *Replica) storeStatus() StoreStatus {
-	status := StoreStatus{WatchedPrefixes: r.watch.watched(), Index: r.counters.storeIndex.Load()}
+	status := StoreStatus{WatchedPrefixes: r.watches.watched(), Index: r.counters.storeIndex.Load()}
 	if readAt := r.counters.storeReadAt.Load(); readAt != 0 {
 		status.ReadAt = time.Unix(0, readAt)
 	}
@@ -111,8 +111,8 @@
 	return status
 }
 
-// noteStoreCall records the result of one call to the store.
-func (r *Replica) noteStoreCall(index uint64, err error) {
+// recordStoreCall records the result of one call to the store.
+func (r *Replica) recordStoreCall(index uint64, err error) {
 	r.counters.storeCalls.Add(1)
 	if err != nil {
 		r.counters.storeErrors.Add(1)
@@ -143,8 +143,8 @@
 	Templates int
 }
 
-// maxSurveyCalls bounds the nodes that are asked at once.
-const maxSurveyCalls = 32
+// maxConcurrentSurveyCalls bounds the nodes that are asked at once.
+const maxConcurrentSurveyCalls = 32
 
 // Survey asks every peer that this node knows to be alive, and this node
 // itself, for its version of a template. The reports are sorted by zone and
@@ -153,10 +153,10 @@
 	peers := append(r.alivePeers(), r.options.Self)
 	reports := make([]Report, len(peers))
 	var group errgroup.Group
-	group.SetLimit(maxSurveyCalls)
-	for index, asked := range peers {
+	group.SetLimit(maxConcurrentSurveyCalls)
+	for index, node := range peers {
 		group.Go(func() error {
-			reports[index] = r.ask(ctx, asked, key)
+			reports[index] = r.fetchReport(ctx, node, key)
 			return nil
 		})
 	}
@@ -167,15 +167,15 @@
 	return reports
 }
 
-func (r *Replica) ask(ctx context.Context, asked Peer, key template.Key) Report {
-	report := Report{Node: asked.ID, Zone: asked.Zone, Region: asked.Region}
+func (r *Replica) fetchReport(ctx context.Context, node Peer, key template.Key) Report {
+	report := Report{Node: node.ID, Zone: node.Zone, Region: node.Region}
 	request, reply := &pb.StatusRequest{Tenant: key.Tenant, Name: key.Name}, &pb.StatusReply{}
-	if asked.ID == r.options.Self.ID {
+	if node.ID == r.options.Self.ID {
 		reply = r.handleStatus(request)
 	} else {
 		ctx, cancel := context.WithTimeout(ctx, r.options.CallTimeout)
 		defer cancel()
-		report.Err = r.call(ctx, asked, kindStatus, request, reply)
+		report.Err = r.call(ctx, node, kindStatus, request, reply)
 	}
 	report.Ready, report.Summary, report.Templates = reply.Ready, reply.Summary, int(reply.Templates)
 	report.Version = template.Version{Revision: reply.Revision, ChangeID: reply.ChangeId}
--- a/pkg/configsync/store_test.go
+++ b/pkg/configsync/store_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestStoreKilledRightAfterItAccepted(t *testing.T) {
-	inCluster(t, 30, 3, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 30, 3, nil, func(t *testing.T, c *cluster) {
 		c.store.SetDelay(time.Millisecond)
 		version := mustPublish(t, c.nodes[0], "first")
 		c.store.SetUnavailable(true)
@@ -23,7 +23,7 @@
 
 func TestSlowRepliesOfTheStoreAreNotTakenForARollback(t *testing.T) {
 	slow := func(o *Options) { o.Store.(*reachableStore).replyDelay = 200 * time.Millisecond }
-	inCluster(t, 6, 2, slow, func(t *testing.T, c *cluster) {
+	runInCluster(t, 6, 2, slow, func(t *testing.T, c *cluster) {
 		var version template.Version
 		for number := range 20 {
 			version = mustPublish(t, c.nodes[number%6], "author")
@@ -40,7 +40,7 @@
 }
 
 func TestStoreThatWentBackIsRefusedReportedAndRepaired(t *testing.T) {
-	inCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
 		mustPublish(t, c.nodes[0], "first")
 		backup := c.store.Snapshot()
 		version := mustPublish(t, c.nodes[0], "second")
@@ -73,7 +73,7 @@
 // the watch returns, and was left out of the comparison until the watch after
 // next.
 func TestStoreThatWentBackDuringAChangeIsRepaired(t *testing.T) {
-	inCluster(t, 6, 3, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 6, 3, nil, func(t *testing.T, c *cluster) {
 		backup := c.store.Snapshot()
 		version := mustPublish(t, c.nodes[0], "first")
 		synctest.Wait()
@@ -87,7 +87,7 @@
 }
 
 func TestSameRevisionTwiceIsDecidedAlikeEverywhere(t *testing.T) {
-	inCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
 		mustPublish(t, c.nodes[0], "first")
 		time.Sleep(spreadTime)
 		var forks []template.Published
@@ -114,17 +114,17 @@
 func TestFewWatchersKeepToTheStoresLimit(t *testing.T) {
 	const callsPerSecond = 20
 	tune := func(o *Options) { o.StoreCallsPerSecond, o.MaxBytesPerWatch = callsPerSecond, 1 }
-	inCluster(t, 30, 3, tune, func(t *testing.T, c *cluster) {
+	runInCluster(t, 30, 3, tune, func(t *testing.T, c *cluster) {
 		mustPublish(t, c.nodes[0], "first")
 		const settled, seconds = 2 * time.Minute, 120
 		time.Sleep(settled)
-		watches, most := 0, 0
+		watches, maxWatched := 0, 0
 		for _, node := range c.nodes {
 			watched := len(node.replica.Status().Store.WatchedPrefixes)
-			watches, most = watches+watched, max(most, watched)
+			watches, maxWatched = watches+watched, max(maxWatched, watched)
 		}
-		if want := 3 * 256 * DefaultWatchersPerZone; watches != want || most > 2*want/len(c.nodes) {
-			t.Errorf("%d watches, want %d; one node has %d", watches, want, most)
+		if want := 3 * 256 * DefaultWatchersPerZone; watches != want || maxWatched > 2*want/len(c.nodes) {
+			t.Errorf("%d watches, want %d; one node has %d", watches, want, maxWatched)
 		}
 		for _, away := range []bool{false, true} {
 			c.store.SetUnavailable(away)
--- a/pkg/configsync/table.go
+++ b/pkg/configsync/table.go
@@ -26,15 +26,15 @@
 )
 
 // verdict is what became of a document that was offered to the table.
-type verdict int
+type offerResult int
 
 const (
 	// older means that the table holds a higher version.
-	older verdict = iota
+	resultOlder offerResult = iota
 	// same means that the table holds this version.
-	same
+	resultSame
 	// newer means that the document was taken.
-	newer
+	resultNewer
 )
 
 // entry is what the table holds of one template.
@@ -51,9 +51,9 @@
 	invalid error
 	// introduced, rooted and branched are whether this node has passed this
 	// version on in each role; see relay.go.
-	introduced bool
-	rooted     bool
-	branched   bool
+	handedToRoot bool
+	treeStarted  bool
+	relayed      bool
 	// storeBehind is set while the store holds a lower version.
 	storeBehind bool
 	// fork is set if another document with the same revision was seen.
@@ -63,7 +63,7 @@
 // table holds the highest version of each template. Its invariant: the version
 // of a key never goes down. It is safe for concurrent use.
 type table struct {
-	observe func(template.Published)
+	onReplace func(template.Published)
 	// inForce maps template.Key to *template.Compiled, for readers without a
 	// lock. It is written under mutex.
 	inForce sync.Map
@@ -79,11 +79,11 @@
 	bytes int
 }
 
-func newTable(observe func(template.Published)) *table {
-	if observe == nil {
-		observe = func(template.Published) {}
+func newTable(onReplace func(template.Published)) *table {
+	if onReplace == nil {
+		onReplace = func(template.Published) {}
 	}
-	created := &table{observe: observe, entries: map[template.Key]*entry{}, byHash: map[uint64]template.Key{}}
+	created := &table{onReplace: onReplace, entries: map[template.Key]*entry{}, byHash: map[uint64]template.Key{}}
 	for shard := range created.shards {
 		created.shards[shard] = map[template.Key]*entry{}
 	}
@@ -92,19 +92,19 @@
 
 // offer takes a document if its version is higher than the one that is held.
 // This is the only place at which a node's configuration changes.
-func (t *table) offer(published template.Published, source Source, now time.Time) verdict {
+func (t *table) offer(published template.Published, source Source, now time.Time) offerResult {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	key := published.Key()
 	held := t.entries[key]
 	if held != nil {
-		t.noteForkLocked(held, published)
+		t.recordForkLocked(held, published)
 		order := published.Version().Compare(held.published.Version())
 		if order < 0 {
-			return older
+			return resultOlder
 		}
 		if order == 0 {
-			return same
+			return resultSame
 		}
 	}
 	t.replaceLocked(key, held, &entry{
@@ -115,12 +115,12 @@
 		since:       now,
 		fork:        held != nil && held.fork && held.published.Template.Revision == published.Template.Revision,
 	})
-	return newer
+	return resultNewer
 }
 
-// noteForkLocked notes two documents with the same revision. They come about
+// recordForkLocked notes two documents with the same revision. They come about
 // when a store goes back and is written again; the change id decides.
-func (t *table) noteForkLocked(held *entry, offered template.Published) {
+func (t *table) recordForkLocked(held *entry, offered template.Published) {
 	sameRevision := offered.Template.Revision == held.published.Template.Revision
 	if !sameRevision || offered.Template.ChangeID == held.published.Template.ChangeID {
 		return
@@ -144,7 +144,7 @@
 	t.shards[shard][key] = next
 	t.byHash[keyHash(key)] = key
 	t.putInForceLocked(key, next)
-	t.observe(next.published)
+	t.onReplace(next.published)
 }
 
 // putInForceLocked makes a document the one that requests use. One that can't
@@ -191,32 +191,32 @@
 	return copied
 }
 
-// markIntroduced records that a version is handed to the zone's root. It
+// markHandedToRoot records that a version is handed to the zone's root. It
 // returns false if that was done before, or if the zone's tree was here.
-func (t *table) markIntroduced(published template.Published) bool {
+func (t *table) markHandedToRoot(published template.Published) bool {
 	return t.mark(published, func(held *entry) bool {
-		first := !held.introduced && !held.branched
-		held.introduced = true
+		first := !held.handedToRoot && !held.relayed
+		held.handedToRoot = true
 		return first
 	})
 }
 
-// markRooted records that a version is passed on as the root of the zone's
+// markTreeStarted records that a version is passed on as the root of the zone's
 // tree. It returns false if that was done before.
-func (t *table) markRooted(published template.Published) bool {
+func (t *table) markTreeStarted(published template.Published) bool {
 	return t.mark(published, func(held *entry) bool {
-		first := !held.rooted
-		held.rooted, held.branched = true, true
+		first := !held.treeStarted
+		held.treeStarted, held.relayed = true, true
 		return first
 	})
 }
 
-// markBranched records that a version is passed on along the tree. It returns
+// markRelayed records that a version is passed on along the tree. It returns
 // false if that was done before.
-func (t *table) markBranched(published template.Published) bool {
+func (t *table) markRelayed(published template.Published) bool {
 	return t.mark(published, func(held *entry) bool {
-		first := !held.branched
-		held.branched = true
+		first := !held.relayed
+		held.relayed = true
 		return first
 	})
 }
@@ -237,9 +237,9 @@
 	// behind are the documents that the store has lost or holds in a lower
 	// version.
 	behind []template.Published
-	// isDoubtful is set if a document that looks behind was learned only after
+	// isInconclusive is set if a document that looks behind was learned only after
 	// the read had begun, so that the state may be from before.
-	isDoubtful bool
+	isInconclusive bool
 }
 
 // compareWithStore compares with a state of the store below a prefix that was
@@ -254,7 +254,7 @@
 		}
 		ahead := held.published.Version().Compare(found[key]) > 0
 		if ahead && !held.since.Before(readStart) {
-			result.isDoubtful = true
+			result.isInconclusive = true
 			continue
 		}
 		held.storeBehind = ahead
--- a/pkg/configsync/watch.go
+++ b/pkg/configsync/watch.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// dutyPeriod is the time between two looks at who watches what.
-	dutyPeriod = time.Second
-	// firstStoreBackoff and maxStoreBackoff bound the wait after a failed call.
-	firstStoreBackoff = 250 * time.Millisecond
-	maxStoreBackoff   = 5 * time.Second
+	// assignmentPeriod is the time between two looks at who watches what.
+	assignmentPeriod = time.Second
+	// initialStoreBackoff and maxStoreBackoff bound the wait after a failed call.
+	initialStoreBackoff = 250 * time.Millisecond
+	maxStoreBackoff     = 5 * time.Second
 	// watchBurst is the number of calls of a watch that may follow each other.
 	watchBurst = 3
-	// idleShares is the least time that an idle watch waits, in shares.
-	idleShares = 3
+	// idleWatchIntervals is the least time that an idle watch waits, in shares.
+	idleWatchIntervals = 3
 	// maxWatchWait is the longest wait that the store's interface takes.
 	maxWatchWait = 5 * time.Minute
-	// maxRepairs bounds the documents that are repaired between two reads.
-	maxRepairs = 16
+	// maxRepairsPerRead bounds the documents that are repaired between two reads.
+	maxRepairsPerRead = 16
 )
 
-// watchDuty runs the watches of the store that this node has by rank. Each
+// watchManager runs the watches of the store that this node has by rank. Each
 // prefix is watched by the first members of the zone in the order for that
 // prefix. Watching is idempotent, so no lease is needed: while two nodes
 // disagree on who is alive, or on the number of prefixes, one more or one fewer
 // watches for a moment.
-type watchDuty struct {
+type watchManager struct {
 	replica *Replica
 
 	// mutex guards the fields below.
@@ -55,22 +55,22 @@
 	rank int
 }
 
-func newWatchDuty(replica *Replica) *watchDuty {
-	return &watchDuty{replica: replica, prefixes: []string{stored.Root}, running: map[string]*runningWatch{}}
+func newWatchManager(replica *Replica) *watchManager {
+	return &watchManager{replica: replica, prefixes: []string{stored.Root}, running: map[string]*runningWatch{}}
 }
 
 // run starts and ends watches as the zone's members come and go.
-func (d *watchDuty) run(ctx context.Context) {
+func (m *watchManager) run(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	lastMembers := uint64(0)
 	for {
-		members := d.membersHash()
-		if d.chooseDigits() || members != lastMembers {
+		members := m.membersHash()
+		if m.chooseDigits() || members != lastMembers {
 			lastMembers = members
-			d.assign(ctx, &group)
+			m.assign(ctx, &group)
 		}
-		if !d.replica.pause(ctx, dutyPeriod) {
+		if !m.replica.pause(ctx, assignmentPeriod) {
 			return
 		}
 	}
@@ -79,93 +79,93 @@
 // chooseDigits sets the number of prefixes by the size of all documents. It
 // returns true if that changed. The nodes hold the same documents and so come
 // to the same number.
-func (d *watchDuty) chooseDigits() bool {
-	const mostDigits, shardsOfDigit = 2, 16
-	wanted, bytes := 0, d.replica.table.size()
-	for wanted < mostDigits && bytes > d.replica.options.MaxBytesPerWatch {
+func (m *watchManager) chooseDigits() bool {
+	const maxDigits, prefixesPerDigit = 2, 16
+	wanted, bytes := 0, m.replica.table.size()
+	for wanted < maxDigits && bytes > m.replica.options.MaxBytesPerWatch {
 		wanted++
-		bytes /= shardsOfDigit
+		bytes /= prefixesPerDigit
 	}
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	if wanted == d.digits {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if wanted == m.digits {
 		return false
 	}
 	prefixes, err := stored.Prefixes(wanted)
 	if err != nil {
 		return false // not reached: wanted is in range
 	}
-	d.digits, d.prefixes = wanted, prefixes
+	m.digits, m.prefixes = wanted, prefixes
 	return true
 }
 
 // membersHash changes with the alive members of the zone.
-func (d *watchDuty) membersHash() uint64 {
+func (m *watchManager) membersHash() uint64 {
 	sum := uint64(1)
-	for _, known := range d.replica.zoneOrder(0) {
+	for _, known := range m.replica.zoneOrder(0) {
 		sum += xxhash.Sum64String(string(known.ID))
 	}
 	return sum
 }
 
 // assign starts the watches that this node has by rank and ends the others.
-func (d *watchDuty) assign(ctx context.Context, group *sync.WaitGroup) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
+func (m *watchManager) assign(ctx context.Context, group *sync.WaitGroup) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 	wanted := map[string]bool{}
-	for _, prefix := range d.prefixes {
-		rank := d.rank(prefix)
-		if rank >= d.replica.options.WatchersPerZone {
+	for _, prefix := range m.prefixes {
+		rank := m.rank(prefix)
+		if rank >= m.replica.options.WatchersPerZone {
 			continue
 		}
 		wanted[prefix] = true
-		if current := d.running[prefix]; current != nil {
+		if current := m.running[prefix]; current != nil {
 			current.rank = rank
 			continue
 		}
 		watchContext, cancel := context.WithCancel(ctx)
-		d.running[prefix] = &runningWatch{cancel: cancel, rank: rank}
-		group.Go(func() { d.replica.watchLoop(watchContext, prefix) })
+		m.running[prefix] = &runningWatch{cancel: cancel, rank: rank}
+		group.Go(func() { m.replica.watchLoop(watchContext, prefix) })
 	}
-	for prefix, current := range d.running {
+	for prefix, current := range m.running {
 		if !wanted[prefix] {
 			current.cancel()
-			delete(d.running, prefix)
+			delete(m.running, prefix)
 		}
 	}
 }
 
 // count returns the number of prefixes.
-func (d *watchDuty) count() int {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return len(d.prefixes)
+func (m *watchManager) prefixCount() int {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return len(m.prefixes)
 }
 
 // rank returns this node's place among the zone's members for a prefix.
-func (d *watchDuty) rank(prefix string) int {
-	for place, candidate := range d.replica.zoneOrder(xxhash.Sum64String(prefix)) {
-		if candidate.ID == d.replica.options.Self.ID {
-			return place
+func (m *watchManager) rank(prefix string) int {
+	for position, candidate := range m.replica.zoneOrder(xxhash.Sum64String(prefix)) {
+		if candidate.ID == m.replica.options.Self.ID {
+			return position
 		}
 	}
 	return 0 // not reached: the order holds this node
 }
 
 // isFirst reports whether this node is the zone's first for a prefix.
-func (d *watchDuty) isFirst(prefix string) bool {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	current := d.running[prefix]
+func (m *watchManager) isFirst(prefix string) bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	current := m.running[prefix]
 	return current != nil && current.rank == 0
 }
 
 // watched returns the prefixes that this node watches.
-func (d *watchDuty) watched() []string {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
+func (m *watchManager) watched() []string {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 	var prefixes []string
-	for prefix := range d.running {
+	for prefix := range m.running {
 		prefixes = append(prefixes, prefix)
 	}
 	slices.Sort(prefixes)
@@ -176,15 +176,15 @@
 // that all watches may make. A few calls may follow each other at once, unless
 // they fail: then the share passes between two of them.
 func (r *Replica) watchLoop(ctx context.Context, prefix string) {
-	index, backoff := uint64(0), firstStoreBackoff
-	share := rate.NewLimiter(rate.Every(r.storeInterval()), watchBurst)
-	for share.Wait(ctx) == nil {
+	index, backoff := uint64(0), initialStoreBackoff
+	limiter := rate.NewLimiter(rate.Every(r.storeInterval()), watchBurst)
+	for limiter.Wait(ctx) == nil {
 		started := time.Now()
-		entries, current, err := r.readStore(ctx, prefix, index)
+		entries, newIndex, err := r.readStore(ctx, prefix, index)
 		if ctx.Err() != nil {
 			return
 		}
-		r.noteStoreCall(current, err)
+		r.recordStoreCall(newIndex, err)
 		if err != nil {
 			r.logger.Warn("watch failed", "prefix", prefix, "error", err, "backoff", backoff.String())
 			if !r.pause(ctx, max(backoff, r.storeInterval())) {
@@ -193,16 +193,16 @@
 			backoff = min(2*backoff, maxStoreBackoff)
 			continue
 		}
-		if current < index {
-			r.logger.Error("the store went back", "prefix", prefix, "from", index, "to", current)
+		if newIndex < index {
+			r.logger.Error("the store went back", "prefix", prefix, "from", index, "to", newIndex)
 		}
-		index, backoff = current, firstStoreBackoff
-		compared := r.takeStoreState(prefix, entries, started, SourceStore)
-		if compared.isDoubtful {
+		index, backoff = newIndex, initialStoreBackoff
+		comparison := r.applyStoreState(prefix, entries, started, SourceStore)
+		if comparison.isInconclusive {
 			index = 0 // read again at once
 		}
-		r.repair(ctx, prefix, compared.behind)
-		share.SetLimit(rate.Every(r.storeInterval()))
+		r.repair(ctx, prefix, comparison.behind)
+		limiter.SetLimit(rate.Every(r.storeInterval()))
 	}
 }
 
@@ -210,7 +210,7 @@
 // waits for a change.
 func (r *Replica) readStore(ctx context.Context, prefix string, index uint64) ([]configstore.Entry, uint64, error) {
 	if index == 0 {
-		ctx, cancel := context.WithTimeout(ctx, slowStorePatience)
+		ctx, cancel := context.WithTimeout(ctx, storeReadTimeout)
 		defer cancel()
 		return r.options.Store.List(ctx, prefix)
 	}
@@ -220,13 +220,13 @@
 // watchWait is how long the store may hold a watch: long enough that idle
 // watches use a part of their share only.
 func (r *Replica) watchWait() time.Duration {
-	return max(r.options.WatchWait, min(idleShares*r.storeInterval(), maxWatchWait))
+	return max(r.options.WatchWait, min(idleWatchIntervals*r.storeInterval(), maxWatchWait))
 }
 
 // storeInterval is the mean time between two calls of one watch at which the
 // watches of all zones together make the calls that they may.
 func (r *Replica) storeInterval() time.Duration {
-	watches := r.zoneCount() * r.options.WatchersPerZone * r.watch.count()
+	watches := r.zoneCount() * r.options.WatchersPerZone * r.watches.prefixCount()
 	return seconds(float64(watches) / r.options.StoreCallsPerSecond)
 }
 
@@ -241,41 +241,41 @@
 	return len(zones)
 }
 
-// takeStoreState learns what the store holds below a prefix, and compares the
+// applyStoreState learns what the store holds below a prefix, and compares the
 // rest with it.
-func (r *Replica) takeStoreState(prefix string, entries []configstore.Entry, readStart time.Time, source Source) storeComparison {
+func (r *Replica) applyStoreState(prefix string, entries []configstore.Entry, readStart time.Time, source Source) storeComparison {
 	found := make(map[template.Key]template.Version, len(entries))
 	for _, item := range entries {
 		r.counters.storeBytes.Add(uint64(len(item.Value)))
 		key, err := stored.ParseKey(item.Key)
 		if err != nil {
-			r.refuse("store", err)
+			r.rejectMalformed("store", err)
 			continue
 		}
 		published, err := stored.DecodeCurrent(key, item.Value)
 		if err != nil {
-			r.refuse("store", err)
+			r.rejectMalformed("store", err)
 			continue
 		}
 		found[key] = published.Version()
-		r.learn(published, source)
+		r.applyAndSpread(published, source)
 	}
-	compared := r.table.compareWithStore(prefix, found, readStart)
-	if behind := compared.behind; len(behind) > 0 {
+	comparison := r.table.compareWithStore(prefix, found, readStart)
+	if behind := comparison.behind; len(behind) > 0 {
 		r.counters.storeBehind.Add(uint64(len(behind)))
 		r.logger.Error("the store is behind this node", "prefix", prefix, "templates", len(behind),
 			"first", behind[0].Key(), "held", behind[0].Version(), "stored", found[behind[0].Key()])
 	}
-	return compared
+	return comparison
 }
 
 // repair writes documents back that the store has lost. The zone's first
 // watcher does it; the compare-and-swap settles which zone's wins.
 func (r *Replica) repair(ctx context.Context, prefix string, behind []template.Published) {
-	if r.options.Repairer == nil || len(behind) == 0 || !r.watch.isFirst(prefix) {
+	if r.options.Repairer == nil || len(behind) == 0 || !r.watches.isFirst(prefix) {
 		return
 	}
-	for _, held := range behind[:min(len(behind), maxRepairs)] {
+	for _, held := range behind[:min(len(behind), maxRepairsPerRead)] {
 		if !r.pause(ctx, r.storeInterval()) {
 			return
 		}
--- a/pkg/configsync/wire.go
+++ b/pkg/configsync/wire.go
@@ -57,33 +57,33 @@
 			return nil, errors.Wrapf(err, "decode %s", kind)
 		}
 		reply := handler(from, request)
-		r.counters.received(len(body), reply.SizeVT())
+		r.counters.addHandled(len(body), reply.SizeVT())
 		return reply, nil
 	})
 }
 
 // call sends one request and counts it.
 func (r *Replica) call(ctx context.Context, to Peer, kind peer.Kind, request, reply message) error {
-	r.counters.sent(request.SizeVT())
+	r.counters.addSent(request.SizeVT())
 	if err := r.options.Transport.Call(ctx, to.Address, kind, request, reply); err != nil {
 		return err
 	}
-	r.counters.answered(reply.SizeVT())
+	r.counters.addReceived(reply.SizeVT())
 	return nil
 }
 
-// learnEncoded learns a document that a peer sent.
-func (r *Replica) learnEncoded(encoded []byte, from target.NodeID, source Source) {
+// applyEncoded learns a document that a peer sent.
+func (r *Replica) applyEncoded(encoded []byte, from target.NodeID, source Source) {
 	published, err := template.ReadPublished(encoded)
 	if err != nil {
-		r.refuse(string(from), err)
+		r.rejectMalformed(string(from), err)
 		return
 	}
-	r.learn(published, source)
+	r.applyAndSpread(published, source)
 }
 
 // refuse notes a document that can't be read.
-func (r *Replica) refuse(sender string, err error) {
+func (r *Replica) rejectMalformed(sender string, err error) {
 	r.counters.malformed.Add(1)
 	r.logger.Warn("document refused", "sender", sender, "error", err)
 }
