--- a/test/soak/deadly_test.go
+++ b/test/soak/deadly_test.go
@@ -77,7 +77,7 @@
 	}
 	ended.Crash()
 	d.history.note("server %s ended under a deadly request", ended.ID)
-	time.Sleep(platformtest.ServerRestart)
+	time.Sleep(platformtest.ServerRestartDelay)
 	d.mutex.Lock()
 	isOver := d.isOver
 	isInUse := slices.ContainsFunc(d.byService[ended.Service], func(each *server) bool { return each.Server == ended })
@@ -106,7 +106,7 @@
 func (d *deployment) checkDeadly() []string {
 	var broken []string
 	for _, path := range d.deadlyPaths {
-		tries, runs := d.deadly.LateTries(path, contactBound, func(run platformtest.DeadlyRun) bool {
+		tries, runs := d.deadly.LateAttempts(path, contactBound, func(run platformtest.DeadlyRun) bool {
 			return d.history.calm(run.At.Add(-contactBound), run.At)
 		})
 		d.t.Logf("%s: %d late tries, %d runs", path, tries, runs)
--- a/test/soak/deployment_test.go
+++ b/test/soak/deployment_test.go
@@ -116,7 +116,7 @@
 		}
 		created.store.Close()
 	})
-	created.store.SetConnections(shaped.connections)
+	created.store.SetMaxConnections(shaped.connections)
 	for _, service := range append(shardSet(shardName, firstShards), lookupName, ordersName) {
 		created.startServers(service)
 	}
@@ -152,7 +152,7 @@
 	added := &server{
 		deadly: d.deadly, Server: platformtest.NewServer(d.store, id, service, zone), link: id, speed: speeds[number%len(speeds)],
 	}
-	added.TellStart(time.Now())
+	added.PublishStart(time.Now())
 	// Servers of a service hold the same records.
 	for index := range topRecords {
 		added.records = append(added.records, []byte(fmt.Sprintf("%-12.12s%04d", service, index)))
@@ -196,7 +196,7 @@
 	number := d.version
 	d.mutex.Unlock()
 	routes := []platformtest.Route{
-		platformtest.Gather("tally", host, "/tally/", shards...).Wanting(topRecords, coverage, target),
+		platformtest.Gather("tally", host, "/tally/", shards...).WithResultBounds(topRecords, coverage, target),
 		platformtest.Single("lookup", host, "/lookup/", "idempotent", lookupName),
 		platformtest.Single("orders", host, "/orders/", "non_idempotent", ordersName),
 	}
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -60,7 +60,7 @@
 	{"store limits", storeFault(platformtest.StoreFaults{Status: 429})},
 	{"store slow", storeFault(platformtest.StoreFaults{Delay: 400 * time.Millisecond})},
 	{"store loses answers", storeFault(platformtest.StoreFaults{LoseAnswers: true})},
-	{storeSilent, storeFault(platformtest.StoreFaults{DeafWatches: true})},
+	{storeSilent, storeFault(platformtest.StoreFaults{SilentWatches: true})},
 	{"store forgets", forgetHistory},
 	{"list lost", loseList},
 	{"server sheds", serverFault(platformtest.Behaviour{Shed: true})},
@@ -219,7 +219,7 @@
 }
 
 func forgetHistory(i *injector, _ *rand.Rand) (string, func()) {
-	i.deployment.store.Forget()
+	i.deployment.store.DropHistory()
 	return "", func() {}
 }
 
--- a/test/soak/limits_test.go
+++ b/test/soak/limits_test.go
@@ -49,7 +49,7 @@
 func limitedTenants() []platformtest.Tenant {
 	var tenants []platformtest.Tenant
 	for _, name := range []string{greedyTenant, modestTenant} {
-		tenants = append(tenants, platformtest.NewTenant(name, standingKey(name)).Limited(limitRate, limitBurst))
+		tenants = append(tenants, platformtest.NewTenant(name, standingKey(name)).WithRateLimit(limitRate, limitBurst))
 	}
 	return tenants
 }
--- a/test/soak/restores_test.go
+++ b/test/soak/restores_test.go
@@ -40,7 +40,7 @@
 }
 
 // goBack brings the store back from a copy, after it was away for a moment.
-func (d *deployment) goBack(copied *platformtest.StoreCopy, away time.Duration) {
+func (d *deployment) goBack(copied *platformtest.StoreSnapshot, away time.Duration) {
 	d.store.SetFaults(platformtest.StoreFaults{Status: 503})
 	time.Sleep(away)
 	d.store.Restore(copied)
@@ -50,41 +50,41 @@
 
 func restoreStore(i *injector, random *rand.Rand) (string, func()) {
 	age, away, again := upTo(random, greatestCopyAge), upTo(random, greatestStoreAway), upTo(random, greatestWriteAgain)
-	copied := i.deployment.store.Copy()
+	copied := i.deployment.store.Snapshot()
 	time.Sleep(age)
 	i.deployment.goBack(copied, away)
 	time.Sleep(again)
-	i.deployment.store.WriteAgain()
+	i.deployment.store.RewriteLost()
 	return fmt.Sprintf("%s old, away for %s, written again after %s", age, away, again), func() {}
 }
 
 // restoreInSeries restores the store again before all is written again.
 func restoreInSeries(i *injector, random *rand.Rand) (string, func()) {
 	age := upTo(random, greatestCopyAge)
-	copied := i.deployment.store.Copy()
+	copied := i.deployment.store.Snapshot()
 	time.Sleep(age)
 	for range restoresInSeries {
 		i.deployment.goBack(copied, upTo(random, greatestStoreAway/2))
 		time.Sleep(upTo(random, greatestWriteAgain))
 		if random.IntN(2) == 0 {
-			i.deployment.store.WriteAgain()
-			copied = i.deployment.store.Copy()
+			i.deployment.store.RewriteLost()
+			copied = i.deployment.store.Snapshot()
 		}
 	}
-	i.deployment.store.WriteAgain()
+	i.deployment.store.RewriteLost()
 	return fmt.Sprintf("%d times, %s old", restoresInSeries, age), func() {}
 }
 
 // restoreAtChange changes the configuration just before the store goes back and just after.
 func restoreAtChange(i *injector, random *rand.Rand) (string, func()) {
 	age := upTo(random, greatestCopyAge)
-	copied := i.deployment.store.Copy()
+	copied := i.deployment.store.Snapshot()
 	time.Sleep(age)
 	i.deployment.configure(i.deployment.history.newest().Shards)
 	time.Sleep(upTo(random, 50*time.Millisecond))
 	i.deployment.goBack(copied, upTo(random, greatestStoreAway/3))
 	i.deployment.configure(i.deployment.history.newest().Shards)
 	time.Sleep(upTo(random, greatestWriteAgain))
-	i.deployment.store.WriteAgain()
+	i.deployment.store.RewriteLost()
 	return fmt.Sprintf("%s old", age), func() {}
 }
--- a/test/soak/servers_test.go
+++ b/test/soak/servers_test.go
@@ -108,7 +108,7 @@
 // startAgain lets a server start again, with a clock that may have been set.
 func (d *deployment) startAgain(chosen *server, random *rand.Rand) {
 	at := time.Now().Add(time.Duration(random.Int64N(int64(2*clockStep))) - clockStep)
-	if err := chosen.StartAgain(at); err != nil {
+	if err := chosen.Restart(at); err != nil {
 		d.history.violated("%s does not start again: %v", chosen.ID, err)
 	}
 }
--- a/test/soak/tenants_test.go
+++ b/test/soak/tenants_test.go
@@ -112,7 +112,7 @@
 // judgeTenants checks what servers were told of callers, and what callers with keys have got.
 func (d *deployment) judgeTenants(arrivals []arrival, timed bool) {
 	for _, each := range d.all() {
-		if seen := each.KeysSeen(); seen > 0 {
+		if seen := each.RequestsWithKey(); seen > 0 {
 			d.history.violated("%d requests reached %s with a key", seen, each.ID)
 		}
 	}
