--- a/pkg/owner/exclusion.go
+++ b/pkg/owner/exclusion.go
@@ -21,9 +21,9 @@
 	// lossMemoryFactor times the last probe delay is the time after an owner's return at which its
 	// losses are forgotten, if it was not lost again and has answered a question in time.
 	lossMemoryFactor = 50
-	// probationInterval is the minimum time between two questions to an owner on probation, which
-	// ends when a question is answered in time. It is longer than any request waits for an owner
-	// that does not report.
+	// probationInterval is the minimum time between two questions to a repeatedly late owner on
+	// probation, which ends when a question is answered in time. It is longer than any request
+	// waits for an owner that does not report.
 	probationInterval = 500 * time.Millisecond
 )
 
@@ -38,8 +38,8 @@
 	// time; zero if the node was never late.
 	leeway time.Duration
 	// isRepeatedlyLate is set if the node was late again after a return. Then only a probe that is
-	// answered in time readmits it. Otherwise any message does, since the node may only have
-	// seemed late because a message was lost.
+	// answered in time readmits it. Otherwise any report or answered probe does, since the node may
+	// only have seemed late because a message was lost.
 	isRepeatedlyLate bool
 	// probeDelay is the time from the loss to the first probe, probeInterval that from the last
 	// probe to the next.
@@ -53,7 +53,7 @@
 }
 
 // exclusions decides which nodes are excluded from the owners and when they return: with the first
-// message that arrives or, once they were late repeatedly, with a probe that is answered within
+// report or answered probe or, once they were late repeatedly, with a probe that is answered within
 // their leeway. The probe delay doubles for a node that is lost soon after its return. The map is
 // keyed by node name; its user has to guard it against concurrent use.
 type exclusions map[string]*exclusion
