--- a/pkg/membership/bridge.go
+++ b/pkg/membership/bridge.go
@@ -16,15 +16,15 @@
 	// summaryRounds is the number of rounds in which a bridge gets to every
 	// other zone once.
 	summaryRounds = 8
-	// zoneSilence is the time without any exchange after which the members of
+	// zoneSilenceTimeout is the time without any exchange after which the members of
 	// another zone are suspected.
-	zoneSilence = 20 * time.Second
-	// settleTime is the time after the start from which a node that found no
+	zoneSilenceTimeout = 20 * time.Second
+	// firstNodeSettleTime is the time after the start from which a node that found no
 	// other node of its zone takes itself to be the first one.
-	settleTime = 5 * time.Second
-	// completeTime is the time after the start from which a node takes its list
+	firstNodeSettleTime = 5 * time.Second
+	// listCompleteAfter is the time after the start from which a node takes its list
 	// to be complete, so that a member that it does not know is dead.
-	completeTime = time.Minute
+	listCompleteAfter = time.Minute
 	// seedAfterFailures is the number of failed exchanges with a zone after
 	// which its seeds are tried too.
 	seedAfterFailures = 2
@@ -34,23 +34,23 @@
 type zoneContact struct {
 	// tried is the time of the last attempt, heard that of the last exchange
 	// or of the first attempt.
-	tried    time.Time
-	heard    time.Time
-	failures int
+	lastAttempt  time.Time
+	lastExchange time.Time
+	failures     int
 	// failed holds the addresses that failed since the last exchange. Silent is
 	// set once all of them did.
-	failed map[peer.Address]bool
-	silent bool
+	failed    map[peer.Address]bool
+	allFailed bool
 	// size is the number of members that the zone last reported.
-	size int
+	reportedSize int
 }
 
-// zoneContacts holds the contact of a bridge with each other zone.
+// contacts holds the contact of a bridge with each other zone.
 type zoneContacts map[target.Zone]*zoneContact
 
 func (z zoneContacts) of(zone target.Zone, now time.Time) *zoneContact {
 	if z[zone] == nil {
-		z[zone] = &zoneContact{heard: now, failed: make(map[peer.Address]bool)}
+		z[zone] = &zoneContact{lastExchange: now, failed: make(map[peer.Address]bool)}
 	}
 	return z[zone]
 }
@@ -63,7 +63,7 @@
 	if m.table.isBridge(m.options.Bridges) {
 		zones = m.nextZones()
 	} else {
-		clear(m.zones)
+		clear(m.contacts)
 	}
 	m.mutex.Unlock()
 	if len(zones) == 0 {
@@ -90,10 +90,10 @@
 	count := (len(zones) + summaryRounds - 1) / summaryRounds
 	m.random.Shuffle(len(zones), func(i, j int) { zones[i], zones[j] = zones[j], zones[i] })
 	slices.SortStableFunc(zones, func(one, other target.Zone) int {
-		return m.zones.of(one, now).tried.Compare(m.zones.of(other, now).tried)
+		return m.contacts.of(one, now).lastAttempt.Compare(m.contacts.of(other, now).lastAttempt)
 	})
 	for _, zone := range zones[:count] {
-		m.zones.of(zone, now).tried = now
+		m.contacts.of(zone, now).lastAttempt = now
 	}
 	return zones[:count]
 }
@@ -102,7 +102,7 @@
 // seeds if that failed before.
 func (m *Membership) exchange(ctx context.Context, zone target.Zone) {
 	m.mutex.Lock()
-	address, ok := m.contactOf(zone)
+	address, ok := m.contactAddress(zone)
 	request := m.summaryRequest(zone)
 	stale := m.stale
 	m.mutex.Unlock()
@@ -126,42 +126,42 @@
 		return
 	}
 	if reply.Stale {
-		m.zones.of(zone, now).heard = now
-		m.noteReplaced(reply.Self, now)
+		m.contacts.of(zone, now).lastExchange = now
+		m.removeReplacedRemote(reply.Self, now)
 		return
 	}
-	m.zones[zone] = &zoneContact{tried: now, heard: now, size: int(reply.ZoneSize), failed: make(map[peer.Address]bool)}
-	m.noteReplaced(reply.Self, now)
+	m.contacts[zone] = &zoneContact{lastAttempt: now, lastExchange: now, reportedSize: int(reply.ZoneSize), failed: make(map[peer.Address]bool)}
+	m.removeReplacedRemote(reply.Self, now)
 	m.applyMembersOf(zone, reply.Members, now)
-	m.applyAll(m.aboutZone(reply.Corrections, zone), now, true)
+	m.applyAll(m.entriesOfZone(reply.Corrections, zone), now, true)
 	m.applyAll(otherZoneOnly(reply.Contacts, m.options.Self.Zone), now, true)
 }
 
 // exchangeFailed suspects the members of a zone that has been silent for long,
 // but not those that were heard of since. Only their own zone removes them. The caller holds the mutex.
 func (m *Membership) exchangeFailed(zone target.Zone, address peer.Address, now time.Time) {
-	contact := m.zones.of(zone, now)
+	contact := m.contacts.of(zone, now)
 	contact.failures++
 	contact.failed[address] = true
-	if now.Sub(contact.heard) < zoneSilence || !contact.silent {
+	if now.Sub(contact.lastExchange) < zoneSilenceTimeout || !contact.allFailed {
 		return
 	}
 	for _, r := range m.table.ranked(zone) {
-		heardOf := now.Sub(r.declared) < zoneSilence
-		if r.suspicion == nil && !heardOf && m.table.suspect(r, r.member.Incarnation, m.options.Self.ID, now) {
+		recentlyDeclared := now.Sub(r.declaredAt) < zoneSilenceTimeout
+		if r.suspicion == nil && !recentlyDeclared && m.table.suspect(r, r.member.Incarnation, m.options.Self.ID, now) {
 			m.queue.addEntry(accusationOf(r, m.options.Self.ID))
 		}
 	}
 }
 
-// contactOf returns the address to exchange with: one that did not fail since
+// contactAddress returns the address to exchange with: one that did not fail since
 // the last exchange, until all did. The caller holds the mutex.
-func (m *Membership) contactOf(zone target.Zone) (peer.Address, bool) {
+func (m *Membership) contactAddress(zone target.Zone) (peer.Address, bool) {
 	candidates := make(map[peer.Address]bool)
 	for _, r := range m.table.ranked(zone) {
 		candidates[r.member.Address] = true
 	}
-	contact := m.zones.of(zone, time.Now())
+	contact := m.contacts.of(zone, time.Now())
 	if len(candidates) == 0 || contact.failures >= seedAfterFailures {
 		for _, seed := range m.options.Seeds() {
 			if seed.Zone == zone {
@@ -178,7 +178,7 @@
 			return address, true
 		}
 	}
-	contact.silent = true
+	contact.allFailed = true
 	clear(contact.failed)
 	return all[0], true
 }
@@ -194,7 +194,7 @@
 	for _, known := range m.table.zones() {
 		request.Zones = append(request.Zones, string(known))
 	}
-	for _, r := range m.table.of(zone) {
+	for _, r := range m.table.membersOf(zone) {
 		request.Known = append(request.Known, &pb.Entry{Id: string(r.member.ID), State: r.wireState(), Incarnation: r.member.Incarnation})
 	}
 	return request
@@ -225,28 +225,28 @@
 	now := time.Now()
 	m.mutex.Lock()
 	defer m.unlock()
-	m.noticePause(now)
+	m.detectPause(now)
 	reply := &pb.SummaryReply{Self: entryOf(m.table.self)}
 	if m.stale || !m.settled(now) {
 		reply.Stale = true
 		return reply, nil
 	}
-	m.noteReplaced(request.Self, now)
+	m.removeReplacedRemote(request.Self, now)
 	m.applyMembersOf(target.Zone(request.Self.GetZone()), request.Members, now)
-	reply.Members = notKnown(m.announced(), request.Known)
+	reply.Members = withoutKnown(m.announced(), request.Known)
 	reply.ZoneSize = uint32(m.table.zoneSize)
 	reply.Corrections = m.corrections(request.Known, now)
-	reply.Contacts = m.contactsBeyond(request)
+	reply.Contacts = m.contactsInUnknownZones(request)
 	return reply, nil
 }
 
-// noteReplaced spreads that members of another zone are gone, because another
+// removeReplacedRemote spreads that members of another zone are gone, because another
 // process has their address. The caller holds the mutex.
-func (m *Membership) noteReplaced(self *pb.Entry, now time.Time) {
+func (m *Membership) removeReplacedRemote(self *pb.Entry, now time.Time) {
 	if !valid(self) || target.Zone(self.Zone) == m.options.Self.Zone {
 		return
 	}
-	for _, gone := range m.table.replacedBy(self, now) {
+	for _, gone := range m.table.markReplaced(self, now) {
 		m.queue.addEntry(entryOf(gone))
 	}
 }
@@ -261,8 +261,8 @@
 	}
 }
 
-// notKnown returns the declarations that the other side does not hold already.
-func notKnown(entries, known []*pb.Entry) []*pb.Entry {
+// withoutKnown returns the declarations that the other side does not hold already.
+func withoutKnown(entries, known []*pb.Entry) []*pb.Entry {
 	return slices.DeleteFunc(entries, func(entry *pb.Entry) bool {
 		return slices.ContainsFunc(known, func(held *pb.Entry) bool {
 			return held.GetId() == entry.Id && held.GetState() == entry.State && held.GetIncarnation() == entry.Incarnation
@@ -270,10 +270,10 @@
 	})
 }
 
-// contactsBeyond returns one living member of each zone that the asking node
+// contactsInUnknownZones returns one living member of each zone that the asking node
 // does not know, so that zones find each other through a third. The caller
 // holds the mutex.
-func (m *Membership) contactsBeyond(request *pb.SummaryRequest) []*pb.Entry {
+func (m *Membership) contactsInUnknownZones(request *pb.SummaryRequest) []*pb.Entry {
 	var contacts []*pb.Entry
 	for _, zone := range m.table.zones() {
 		known := slices.Contains(request.Zones, string(zone))
@@ -293,7 +293,7 @@
 // settled reports whether this node knows its own zone well enough to correct
 // others. The caller holds the mutex.
 func (m *Membership) settled(now time.Time) bool {
-	return m.joined || now.Sub(m.begun) >= settleTime
+	return m.joined || now.Sub(m.startedAt) >= firstNodeSettleTime
 }
 
 // corrections returns what is wrong in what another zone holds about members of
@@ -307,7 +307,7 @@
 		r := m.table.records[target.NodeID(held.GetId())]
 		switch {
 		case !valid(&pb.Entry{Id: held.GetId(), Incarnation: held.GetIncarnation()}):
-		case r == nil && now.Sub(m.begun) < completeTime:
+		case r == nil && now.Sub(m.startedAt) < listCompleteAfter:
 		case (r == nil || r.member.State == Dead) && held.State == pb.State_STATE_DEAD:
 		case r == nil || r.member.State == Dead:
 			corrections = append(corrections, &pb.Entry{Id: held.Id, State: pb.State_STATE_DEAD, Incarnation: held.Incarnation})
@@ -317,7 +317,7 @@
 			m.refute(held)
 			corrections = append(corrections, entryOf(r))
 		case accuses(held) && m.mayChallenge(r, held, now):
-			r.challenged = now
+			r.challengedAt = now
 			challenges = append(challenges, challenge{member: r.member, accusation: held})
 		}
 	}
@@ -325,8 +325,8 @@
 	return corrections
 }
 
-// aboutZone returns the entries about known members of one zone.
-func (m *Membership) aboutZone(entries []*pb.Entry, zone target.Zone) []*pb.Entry {
+// entriesOfZone returns the entries about known members of one zone.
+func (m *Membership) entriesOfZone(entries []*pb.Entry, zone target.Zone) []*pb.Entry {
 	return slices.DeleteFunc(slices.Clone(entries), func(entry *pb.Entry) bool {
 		known := m.table.records[target.NodeID(entry.GetId())]
 		return known == nil || known.member.Zone != zone
--- a/pkg/membership/news.go
+++ b/pkg/membership/broadcast.go
@@ -15,75 +15,77 @@
 const (
 	// MaxBroadcastBytes bounds the payload of one message.
 	MaxBroadcastBytes = 4096
-	// rememberedNews is the number of messages by which repeats are known.
-	rememberedNews = 4096
-	// keptNews is the number of latest messages that are kept for members that
-	// missed them, and keptNewsFor is how long.
-	keptNews    = 64
-	keptNewsFor = 30 * time.Second
+	// maxSeenBroadcasts is the number of messages by which repeats are known.
+	maxSeenBroadcasts = 4096
+	// maxKeptBroadcasts is the number of latest messages that are kept for members that
+	// missed them, and broadcastRetention is how long.
+	maxKeptBroadcasts  = 64
+	broadcastRetention = 30 * time.Second
 )
 
 // BroadcastHandler takes a message of another subsystem. It is called once for each
 // message, from the goroutine that received it, and must not block.
 type BroadcastHandler func(from target.NodeID, payload []byte)
 
-// newsKey identifies a message.
-func newsKey(news *pb.News) string { return fmt.Sprintf("news/%s/%d", news.Origin, news.Sequence) }
+// broadcastKey identifies a message.
+func broadcastKey(broadcast *pb.News) string {
+	return fmt.Sprintf("news/%s/%d", broadcast.Origin, broadcast.Sequence)
+}
 
-// newsLog remembers the latest messages, so that each is handed over once and
+// broadcastLog remembers the latest messages, so that each is handed over once and
 // can be given to members that missed it. It is not safe for concurrent use.
-type newsLog struct {
-	seen  map[string]struct{}
-	order []string
-	next  int
-	// kept holds the messages of the last keptNewsFor, oldest first.
-	kept []keptMessage
+type broadcastLog struct {
+	seen      map[string]struct{}
+	seenOrder []string
+	next      int
+	// kept holds the messages of the last broadcastRetention, oldest first.
+	kept []keptBroadcast
 }
 
-type keptMessage struct {
-	news *pb.News
-	hash uint64
-	at   time.Time
+type keptBroadcast struct {
+	broadcast  *pb.News
+	hash       uint64
+	receivedAt time.Time
 }
 
-func newNewsLog() *newsLog { return &newsLog{seen: make(map[string]struct{})} }
+func newBroadcastLog() *broadcastLog { return &broadcastLog{seen: make(map[string]struct{})} }
 
 // add reports whether a message is new, and keeps it.
-func (l *newsLog) add(news *pb.News, now time.Time) bool {
-	key := newsKey(news)
+func (l *broadcastLog) add(broadcast *pb.News, now time.Time) bool {
+	key := broadcastKey(broadcast)
 	if _, ok := l.seen[key]; ok {
 		return false
 	}
 	l.expire(now)
-	if len(l.kept) == keptNews {
+	if len(l.kept) == maxKeptBroadcasts {
 		l.kept = l.kept[1:]
 	}
-	l.kept = append(l.kept, keptMessage{news: news, hash: xxhash.Sum64String(key), at: now})
+	l.kept = append(l.kept, keptBroadcast{broadcast: broadcast, hash: xxhash.Sum64String(key), receivedAt: now})
 	l.remember(key)
 	return true
 }
 
 // remember notes a key, and forgets the oldest one if there are too many.
-func (l *newsLog) remember(key string) {
+func (l *broadcastLog) remember(key string) {
 	l.seen[key] = struct{}{}
-	if len(l.order) < rememberedNews {
-		l.order = append(l.order, key)
+	if len(l.seenOrder) < maxSeenBroadcasts {
+		l.seenOrder = append(l.seenOrder, key)
 		return
 	}
-	delete(l.seen, l.order[l.next])
-	l.order[l.next] = key
-	l.next = (l.next + 1) % rememberedNews
+	delete(l.seen, l.seenOrder[l.next])
+	l.seenOrder[l.next] = key
+	l.next = (l.next + 1) % maxSeenBroadcasts
 }
 
 // expire drops the messages that are no longer kept.
-func (l *newsLog) expire(now time.Time) {
-	for len(l.kept) > 0 && now.Sub(l.kept[0].at) >= keptNewsFor {
+func (l *broadcastLog) expire(now time.Time) {
+	for len(l.kept) > 0 && now.Sub(l.kept[0].receivedAt) >= broadcastRetention {
 		l.kept = l.kept[1:]
 	}
 }
 
 // recent returns the hashes of the kept messages.
-func (l *newsLog) recent(now time.Time) []uint64 {
+func (l *broadcastLog) recent(now time.Time) []uint64 {
 	l.expire(now)
 	hashes := make([]uint64, 0, len(l.kept))
 	for _, message := range l.kept {
@@ -93,12 +95,12 @@
 }
 
 // missing returns the kept messages whose hashes are not among the given ones.
-func (l *newsLog) missing(hashes []uint64, now time.Time) []*pb.News {
+func (l *broadcastLog) missing(hashes []uint64, now time.Time) []*pb.News {
 	l.expire(now)
 	var missing []*pb.News
 	for _, message := range l.kept {
 		if !slices.Contains(hashes, message.hash) {
-			missing = append(missing, message.news)
+			missing = append(missing, message.broadcast)
 		}
 	}
 	return missing
@@ -109,7 +111,7 @@
 func (m *Membership) HandleBroadcast(kind string, handler BroadcastHandler) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.newsHandlers[kind] = handler
+	m.broadcastHandlers[kind] = handler
 }
 
 // Broadcast sends a small message to every node of the zone. It returns at
@@ -122,35 +124,35 @@
 	}
 	m.mutex.Lock()
 	defer m.unlock()
-	m.newsSequence++
-	news := &pb.News{
+	m.broadcastSequence++
+	broadcast := &pb.News{
 		Origin:   string(m.options.Self.ID),
-		Sequence: m.newsSequence,
+		Sequence: m.broadcastSequence,
 		Kind:     kind,
 		Payload:  append([]byte(nil), payload...),
 	}
-	m.news.add(news, time.Now())
-	m.queue.addNews(news)
+	m.broadcasts.add(broadcast, time.Now())
+	m.queue.addBroadcast(broadcast)
 	return nil
 }
 
 // delivery is a message on its way to its handler.
 type delivery struct {
-	handler BroadcastHandler
-	news    *pb.News
+	handler   BroadcastHandler
+	broadcast *pb.News
 }
 
-// receiveNews notes messages and returns those to hand over. The caller holds
+// receiveBroadcasts notes messages and returns those to hand over. The caller holds
 // the mutex.
-func (m *Membership) receiveNews(received []*pb.News, now time.Time) []delivery {
+func (m *Membership) receiveBroadcasts(received []*pb.News, now time.Time) []delivery {
 	var deliveries []delivery
-	for _, news := range received {
-		if news == nil || len(news.Payload) > MaxBroadcastBytes || !m.news.add(news, now) {
+	for _, broadcast := range received {
+		if broadcast == nil || len(broadcast.Payload) > MaxBroadcastBytes || !m.broadcasts.add(broadcast, now) {
 			continue
 		}
-		m.queue.addNews(news)
-		if handler := m.newsHandlers[news.Kind]; handler != nil {
-			deliveries = append(deliveries, delivery{handler: handler, news: news})
+		m.queue.addBroadcast(broadcast)
+		if handler := m.broadcastHandlers[broadcast.Kind]; handler != nil {
+			deliveries = append(deliveries, delivery{handler: handler, broadcast: broadcast})
 		}
 	}
 	return deliveries
@@ -159,7 +161,7 @@
 // deliver hands messages over. The caller does not hold the mutex.
 func (m *Membership) deliver(deliveries []delivery) {
 	for _, each := range deliveries {
-		each.handler(target.NodeID(each.news.Origin), each.news.Payload)
-		m.counters.newsDelivered.Add(1)
+		each.handler(target.NodeID(each.broadcast.Origin), each.broadcast.Payload)
+		m.counters.broadcastsDelivered.Add(1)
 	}
 }
--- a/pkg/membership/cluster_test.go
+++ b/pkg/membership/cluster_test.go
@@ -135,7 +135,7 @@
 }
 
 // truth returns the IDs of the running processes of a zone, sorted.
-func (c *cluster) truth(zone target.Zone) []target.NodeID {
+func (c *cluster) running(zone target.Zone) []target.NodeID {
 	var ids []target.NodeID
 	for _, node := range c.nodes {
 		if node.options.Self.Zone == zone {
@@ -152,11 +152,11 @@
 	for _, address := range c.addresses() {
 		node := c.nodes[address]
 		own := node.options.Self.Zone
-		if held, truth := idsIn(node, own, Alive), c.truth(own); !slices.Equal(held, truth) {
-			return fmt.Sprintf("%s holds %v, truth is %v", address, held, truth)
+		if held, running := idsIn(node, own, Alive), c.running(own); !slices.Equal(held, running) {
+			return fmt.Sprintf("%s holds %v, truth is %v", address, held, running)
 		}
 		for _, zone := range c.zones() {
-			if text := c.wrongAbout(node, zone); zone != own && text != "" {
+			if text := c.remoteZoneProblem(node, zone); zone != own && text != "" {
 				return text
 			}
 		}
@@ -164,16 +164,16 @@
 	return ""
 }
 
-// wrongAbout checks what a node holds about another zone: as many living
+// remoteZoneProblem checks what a node holds about another zone: as many living
 // members as it should know, and only living ones.
-func (c *cluster) wrongAbout(node *testNode, zone target.Zone) string {
-	held, truth := idsIn(node, zone, Alive), c.truth(zone)
-	wanted := min(len(truth), DefaultMembersPerZone)
+func (c *cluster) remoteZoneProblem(node *testNode, zone target.Zone) string {
+	held, running := idsIn(node, zone, Alive), c.running(zone)
+	wanted := min(len(running), DefaultMembersPerZone)
 	if len(held) != wanted {
-		return fmt.Sprintf("%s holds %v of zone %s, truth is %v", node.address, held, zone, truth)
+		return fmt.Sprintf("%s holds %v of zone %s, truth is %v", node.address, held, zone, running)
 	}
 	for _, id := range held {
-		if !slices.Contains(truth, id) {
+		if !slices.Contains(running, id) {
 			return fmt.Sprintf("%s holds %s of zone %s, which is gone", node.address, id, zone)
 		}
 	}
@@ -245,10 +245,10 @@
 }
 
 // total adds up a counter over all running nodes.
-func (c *cluster) total(of func(Stats) uint64) uint64 {
+func (c *cluster) total(counter func(Stats) uint64) uint64 {
 	var sum uint64
 	for _, node := range c.nodes {
-		sum += of(node.Stats())
+		sum += counter(node.Stats())
 	}
 	return sum
 }
--- a/pkg/membership/health.go
+++ b/pkg/membership/health.go
@@ -11,10 +11,10 @@
 type health struct{ score int }
 
 // worse raises the score by the weight of a sign.
-func (h *health) worse(weight int) { h.score = min(h.score+weight, maxHealthScore) }
+func (h *health) degrade(weight int) { h.score = min(h.score+weight, maxHealthScore) }
 
 // better lowers the score after a probe that was answered in time.
-func (h *health) better() { h.score = max(h.score-1, 0) }
+func (h *health) improve() { h.score = max(h.score-1, 0) }
 
 // stretch returns a time-out as it applies at the present score.
 func (h *health) stretch(timeout time.Duration) time.Duration {
--- a/pkg/membership/join.go
+++ b/pkg/membership/join.go
@@ -68,11 +68,11 @@
 // the seeds of this zone, or of an unknown one, that no living member has. A
 // node that is alone asks other zones too. The caller holds the mutex.
 func (m *Membership) rejoinAddresses(now time.Time) []peer.Address {
-	lonely := len(m.table.others) == 0
-	wanted := make(map[peer.Address]bool)
+	isolated := len(m.table.others) == 0
+	candidates := make(map[peer.Address]bool)
 	for _, r := range m.table.records {
 		if r.member.State == Dead && !r.left && !r.remote {
-			wanted[r.member.Address] = true
+			candidates[r.member.Address] = true
 		}
 	}
 	for _, seed := range m.options.Seeds() {
@@ -80,21 +80,21 @@
 		if zone == "" {
 			zone = m.seedZones.of(seed.Address, now)
 		}
-		if zone == "" || zone == m.options.Self.Zone || lonely {
-			wanted[seed.Address] = true
+		if zone == "" || zone == m.options.Self.Zone || isolated {
+			candidates[seed.Address] = true
 		}
 	}
 	for _, r := range m.table.records {
 		if r.member.State != Dead {
-			delete(wanted, r.member.Address)
+			delete(candidates, r.member.Address)
 		}
 	}
-	return m.shuffledAddresses(wanted)
+	return m.shuffledAddresses(candidates)
 }
 
-func (m *Membership) shuffledAddresses(wanted map[peer.Address]bool) []peer.Address {
-	addresses := make([]peer.Address, 0, len(wanted))
-	for address := range wanted {
+func (m *Membership) shuffledAddresses(candidates map[peer.Address]bool) []peer.Address {
+	addresses := make([]peer.Address, 0, len(candidates))
+	for address := range candidates {
 		addresses = append(addresses, address)
 	}
 	slices.Sort(addresses)
@@ -136,8 +136,8 @@
 	m.applyAll(otherZoneOnly(reply.Entries, m.options.Self.Zone), now, true)
 	named := make(map[peer.Address]bool)
 	for _, entry := range reply.Entries {
-		own := valid(entry) && target.Zone(entry.Zone) == m.options.Self.Zone
-		if own && m.table.records[target.NodeID(entry.Id)] == nil {
+		ownZone := valid(entry) && target.Zone(entry.Zone) == m.options.Self.Zone
+		if ownZone && m.table.records[target.NodeID(entry.Id)] == nil {
 			named[peer.Address(entry.Address)] = true
 		}
 	}
@@ -149,10 +149,10 @@
 }
 
 // otherZoneOnly returns the declarations about members of other zones.
-func otherZoneOnly(entries []*pb.Entry, own target.Zone) []*pb.Entry {
+func otherZoneOnly(entries []*pb.Entry, ownZone target.Zone) []*pb.Entry {
 	var others []*pb.Entry
 	for _, entry := range entries {
-		if valid(entry) && entry.Zone != "" && target.Zone(entry.Zone) != own {
+		if valid(entry) && entry.Zone != "" && target.Zone(entry.Zone) != ownZone {
 			others = append(others, entry)
 		}
 	}
--- a/pkg/membership/leave.go
+++ b/pkg/membership/leave.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// goodbyeTimeout bounds the time to say that this node is gone.
-	goodbyeTimeout = time.Second
-	// goodbyeFanout is the number of members that are told.
-	goodbyeFanout = 5
+	// departureTimeout bounds the time to say that this node is gone.
+	departureTimeout = time.Second
+	// departureFanout is the number of members that are told.
+	departureFanout = 5
 	// leavePoll is the time between two looks whether the announcement was
 	// passed on often enough.
 	leavePoll = 50 * time.Millisecond
@@ -47,7 +47,7 @@
 // about to exit does not look alive.
 func (m *Membership) whileRunning(handler peer.Handler) peer.Handler {
 	return func(ctx context.Context, from target.NodeID, body []byte) (proto.Message, error) {
-		if m.gone.Load() {
+		if m.stopped.Load() {
 			return nil, &outcome.Error{
 				Step:    "answer peer",
 				Peer:    string(from),
@@ -60,7 +60,7 @@
 }
 
 // answers reports whether a failed call shows that the peer's membership runs.
-func answers(err error) bool {
+func showsRunning(err error) bool {
 	return peer.IsRemote(err) && outcome.ReasonOf(err) != outcome.ReasonDraining
 }
 
@@ -84,19 +84,19 @@
 	return len(m.table.others) > 0 && m.queue.has(entryKey(string(m.options.Self.ID)))
 }
 
-// sayGoodbye tells some members of this zone and one of each other zone that
+// announceDeparture tells some members of this zone and one of each other zone that
 // this node is gone, if it left.
-func (m *Membership) sayGoodbye() {
+func (m *Membership) announceDeparture() {
 	m.mutex.Lock()
 	self := m.table.self
 	leaving := self.member.State == Leaving
-	chosen := append(m.randomOthers(goodbyeFanout, ""), m.oneOfEachZone()...)
-	goodbye := &pb.Entry{Id: string(self.member.ID), State: pb.State_STATE_LEFT, Incarnation: self.member.Incarnation}
+	chosen := append(m.randomOthers(departureFanout, ""), m.oneOfEachZone()...)
+	departure := &pb.Entry{Id: string(self.member.ID), State: pb.State_STATE_LEFT, Incarnation: self.member.Incarnation}
 	m.mutex.Unlock()
 	if !leaving {
 		return
 	}
 	for _, member := range chosen {
-		m.start(func() { m.ping(context.Background(), member, goodbyeTimeout, []*pb.Entry{goodbye}) })
+		m.start(func() { m.ping(context.Background(), member, departureTimeout, []*pb.Entry{departure}) })
 	}
 }
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -16,12 +16,12 @@
 const (
 	// quarantine is the time after a pause in which gossip is not taken in,
 	// because it may have waited in socket buffers during the pause.
-	quarantine = time.Second
-	// staleLimit is the time after a pause in which the node tries to fetch
+	gossipQuarantine = time.Second
+	// recoveryTimeout is the time after a pause in which the node tries to fetch
 	// the list from others before it goes on with its own.
-	staleLimit = 3 * time.Second
-	// pauseWeight is how much a pause counts against a node's own health.
-	pauseWeight = 2
+	recoveryTimeout = 3 * time.Second
+	// pauseHealthPenalty is how much a pause counts against a node's own health.
+	pauseHealthPenalty = 2
 	// reapPeriod is the time between two looks for members to forget.
 	reapPeriod = 30 * time.Second
 )
@@ -37,24 +37,24 @@
 	// ended is guarded by startMutex.
 	ended bool
 	// gone is set when Run ends; peers get no answer from then on.
-	gone atomic.Bool
+	stopped atomic.Bool
 	// recovering, joining and summarizing keep a duty from running twice at
 	// the same time.
 	recovering, joining, syncing, summarizing atomic.Bool
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
-	random       *rand.Rand
-	table        *table
-	queue        *queue
-	health       health
-	round        []target.NodeID
-	schedule     schedule
-	news         *newsLog
-	newsSequence uint64
-	newsHandlers map[string]BroadcastHandler
-	zones        zoneContacts
-	seedZones    seedZones
+	random            *rand.Rand
+	table             *table
+	queue             *queue
+	health            health
+	probeRound        []target.NodeID
+	schedule          schedule
+	broadcasts        *broadcastLog
+	broadcastSequence uint64
+	broadcastHandlers map[string]BroadcastHandler
+	contacts          zoneContacts
+	seedZones         seedZones
 	// stale is set from the end of a pause until the list was fetched anew.
 	stale           bool
 	staleSince      time.Time
@@ -62,11 +62,11 @@
 	// joined is set after the first exchange with a node of the zone.
 	joined bool
 	// begun is when Run started.
-	begun       time.Time
-	snapshot    []Member
-	snapshotOf  uint64
-	published   uint64
-	subscribers map[chan struct{}]struct{}
+	startedAt        time.Time
+	snapshot         []Member
+	snapshotVersion  uint64
+	publishedVersion uint64
+	subscribers      map[chan struct{}]struct{}
 }
 
 // schedule holds when timed work is due next.
@@ -84,16 +84,16 @@
 func New(options Options) *Membership {
 	options = options.withDefaults()
 	m := &Membership{
-		options:      options,
-		logger:       options.Logger.Named("membership"),
-		random:       rand.New(rand.NewPCG(options.Seed, 0)),
-		table:        newTable(options.Self, options.MembersPerZone),
-		queue:        newQueue(),
-		news:         newNewsLog(),
-		newsHandlers: make(map[string]BroadcastHandler),
-		zones:        make(zoneContacts),
-		seedZones:    make(seedZones),
-		subscribers:  make(map[chan struct{}]struct{}),
+		options:           options,
+		logger:            options.Logger.Named("membership"),
+		random:            rand.New(rand.NewPCG(options.Seed, 0)),
+		table:             newTable(options.Self, options.MembersPerZone),
+		queue:             newQueue(),
+		broadcasts:        newBroadcastLog(),
+		broadcastHandlers: make(map[string]BroadcastHandler),
+		contacts:          make(zoneContacts),
+		seedZones:         make(seedZones),
+		subscribers:       make(map[chan struct{}]struct{}),
 	}
 	options.Transport.Handle(kindPing, m.whileRunning(m.handlePing))
 	options.Transport.Handle(kindProbe, m.whileRunning(m.handleProbe))
@@ -114,8 +114,8 @@
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			m.gone.Store(true)
-			m.sayGoodbye()
+			m.stopped.Store(true)
+			m.announceDeparture()
 			return nil
 		case <-timer.C:
 		}
@@ -127,7 +127,7 @@
 	m.mutex.Lock()
 	defer m.unlock()
 	timing := m.options.Timing
-	m.begun = now
+	m.startedAt = now
 	m.schedule = schedule{
 		lastTick: now,
 		probe:    now.Add(m.jitter(timing.ProbePeriod)),
@@ -147,7 +147,7 @@
 // tick does the timed work that is due.
 func (m *Membership) tick(ctx context.Context, now time.Time) {
 	m.mutex.Lock()
-	m.noticePause(now)
+	m.detectPause(now)
 	m.schedule.lastTick = now
 	if m.stale {
 		m.giveUpRecovery(now)
@@ -157,7 +157,7 @@
 		m.startOnce(&m.recovering, func() { m.recover(ctx) })
 		return
 	}
-	work := append(m.lastChecks(now), m.due(now)...)
+	work := append(m.finalProbes(now), m.due(now)...)
 	m.unlock()
 	for _, start := range work {
 		start(ctx)
@@ -235,8 +235,8 @@
 
 // unlock releases the mutex after telling subscribers of changes.
 func (m *Membership) unlock() {
-	changed := m.published != m.table.version
-	m.published = m.table.version
+	changed := m.publishedVersion != m.table.version
+	m.publishedVersion = m.table.version
 	if changed {
 		for subscriber := range m.subscribers {
 			select {
@@ -254,9 +254,9 @@
 func (m *Membership) Members() []Member {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.snapshot == nil || m.snapshotOf != m.table.version {
+	if m.snapshot == nil || m.snapshotVersion != m.table.version {
 		m.snapshot = m.table.members()
-		m.snapshotOf = m.table.version
+		m.snapshotVersion = m.table.version
 	}
 	return m.snapshot
 }
@@ -308,13 +308,13 @@
 	}
 	now := time.Now()
 	m.mutex.Lock()
-	m.noticePause(now)
+	m.detectPause(now)
 	if now.Before(m.quarantineUntil) {
 		m.unlock()
 		return false
 	}
 	accused := m.applyAll(gossip.Entries, now, true)
-	deliveries := m.receiveNews(gossip.News, now)
+	deliveries := m.receiveBroadcasts(gossip.News, now)
 	m.unlock()
 	m.deliver(deliveries)
 	return accused
@@ -343,13 +343,13 @@
 // node declares, a higher incarnation overrides it. The caller holds the mutex.
 func (m *Membership) refute(entry *pb.Entry) bool {
 	self := m.table.self
-	accused := contradicts(entry)
+	accused := claimsNotRunning(entry)
 	fromFuture := entry.Incarnation > self.member.Incarnation
 	if !fromFuture && !(accused && entry.Incarnation == self.member.Incarnation) {
 		return accused
 	}
 	m.counters.refutations.Add(1)
-	m.health.worse(1)
+	m.health.degrade(1)
 	m.declare(self.member.State, entry.Incarnation+1)
 	return true
 }
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -162,7 +162,7 @@
 		c.settle(joinBound)
 		frozen := addressOf("oslo", 7)
 		c.freeze(frozen)
-		guest := c.start("oslo", 20).options.Self.ID
+		shortLived := c.start("oslo", 20).options.Self.ID
 		time.Sleep(time.Minute)
 		c.kill(addressOf("oslo", 20))
 		time.Sleep(3 * time.Minute)
@@ -170,7 +170,7 @@
 		for range 1000 {
 			time.Sleep(20 * time.Millisecond)
 			for _, node := range c.nodes {
-				if node.address != frozen && c.holds(node, guest) {
+				if node.address != frozen && c.holds(node, shortLived) {
 					t.Fatalf("%s holds a member again that it had forgotten", node.address)
 				}
 			}
--- a/pkg/membership/pause.go
+++ b/pkg/membership/pause.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// noticePause finds out that this process was paused, from timed work that is
+// detectPause finds out that this process was paused, from timed work that is
 // far too late. What the node believed before may be long out of date, so it
 // accuses nobody, passes nothing on, and fetches the list anew. The caller
 // holds the mutex.
-func (m *Membership) noticePause(now time.Time) {
+func (m *Membership) detectPause(now time.Time) {
 	last := m.schedule.lastTick
 	if last.IsZero() || now.Sub(last) <= m.options.Timing.PauseLimit {
 		return
@@ -17,10 +17,10 @@
 	m.schedule.lastTick = now
 	m.stale = true
 	m.staleSince = now
-	m.quarantineUntil = now.Add(quarantine)
+	m.quarantineUntil = now.Add(gossipQuarantine)
 	m.queue.clear()
 	m.table.restartSuspicions(now)
-	m.health.worse(pauseWeight)
+	m.health.degrade(pauseHealthPenalty)
 	m.counters.pauses.Add(1)
 	m.logger.Warn("process was paused", "seconds", now.Sub(last).Seconds())
 }
@@ -29,7 +29,7 @@
 // one, for example because all nodes were paused together. The caller holds the
 // mutex.
 func (m *Membership) giveUpRecovery(now time.Time) {
-	if now.Sub(m.staleSince) < staleLimit {
+	if now.Sub(m.staleSince) < recoveryTimeout {
 		return
 	}
 	m.stale = false
--- a/pkg/membership/probe.go
+++ b/pkg/membership/probe.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// indirectFactor is the wait for the answer of a helper, as a multiple of
+	// indirectTimeoutFactor is the wait for the answer of a helper, as a multiple of
 	// the helper's own wait.
-	indirectFactor = 2
+	indirectTimeoutFactor = 2
 	// maxGossipBytes bounds the gossip on one message.
 	maxGossipBytes = 8192
 )
@@ -22,7 +22,7 @@
 // startProbe probes the next member.
 func (m *Membership) startProbe(ctx context.Context) {
 	m.mutex.Lock()
-	probed, ok := m.nextProbed()
+	probed, ok := m.nextToProbe()
 	timeout := m.health.stretch(m.options.Timing.ProbeTimeout)
 	m.mutex.Unlock()
 	if !ok {
@@ -31,26 +31,26 @@
 	m.start(func() { m.probe(ctx, probed, timeout) })
 }
 
-// nextProbed returns the next member to probe. Each round goes over all members
+// nextToProbe returns the next member to probe. Each round goes over all members
 // in random order, so that the time until a member is probed is bounded. The
 // caller holds the mutex.
-func (m *Membership) nextProbed() (Member, bool) {
-	if probed, ok := m.nextOfRound(); ok {
+func (m *Membership) nextToProbe() (Member, bool) {
+	if probed, ok := m.nextInRound(); ok {
 		return probed, true
 	}
-	m.round = m.round[:0]
+	m.probeRound = m.probeRound[:0]
 	for _, other := range m.table.others {
-		m.round = append(m.round, other.member.ID)
+		m.probeRound = append(m.probeRound, other.member.ID)
 	}
-	m.random.Shuffle(len(m.round), func(i, j int) { m.round[i], m.round[j] = m.round[j], m.round[i] })
-	return m.nextOfRound()
+	m.random.Shuffle(len(m.probeRound), func(i, j int) { m.probeRound[i], m.probeRound[j] = m.probeRound[j], m.probeRound[i] })
+	return m.nextInRound()
 }
 
-func (m *Membership) nextOfRound() (Member, bool) {
-	for len(m.round) > 0 {
-		last := len(m.round) - 1
-		probed := m.table.records[m.round[last]]
-		m.round = m.round[:last]
+func (m *Membership) nextInRound() (Member, bool) {
+	for len(m.probeRound) > 0 {
+		last := len(m.probeRound) - 1
+		probed := m.table.records[m.probeRound[last]]
+		m.probeRound = m.probeRound[:last]
 		if probed != nil && probed.member.State != Dead {
 			return probed.member, true
 		}
@@ -65,9 +65,9 @@
 	switch result := m.reach(ctx, probed, timeout); result {
 	case reached:
 		m.probeAnswered()
-	case notReached, cutOff:
+	case unreachable, noHelperAnswered:
 		m.counters.failedProbes.Add(1)
-		m.accuse(probed, result == notReached)
+		m.accuse(probed, result == unreachable)
 	}
 }
 
@@ -75,13 +75,13 @@
 type reachResult int
 
 const (
-	// noResult means that the attempt says nothing: it was ended, or this
+	// inconclusive means that the attempt says nothing: it was ended, or this
 	// process itself stood still.
-	noResult reachResult = iota
+	inconclusive reachResult = iota
 	reached
-	notReached
-	// cutOff means that no helper answered either.
-	cutOff
+	unreachable
+	// noHelperAnswered means that no helper answered either.
+	noHelperAnswered
 )
 
 // reach asks a member for an answer, first itself, then through others. There
@@ -92,40 +92,40 @@
 		return reached
 	}
 	if ctx.Err() != nil {
-		return noResult
+		return inconclusive
 	}
-	acked, helped := m.probeThroughOthers(ctx, probed, timeout)
-	limit := timeout*(1+indirectFactor) + m.options.Timing.PauseLimit
+	acked, helperAnswered := m.probeThroughOthers(ctx, probed, timeout)
+	limit := timeout*(1+indirectTimeoutFactor) + m.options.Timing.PauseLimit
 	switch {
 	case ctx.Err() != nil || time.Since(started) > limit:
-		return noResult
+		return inconclusive
 	case acked:
 		return reached
-	case helped:
-		return notReached
+	case helperAnswered:
+		return unreachable
 	default:
-		return cutOff
+		return noHelperAnswered
 	}
 }
 
-// lastChecks returns the work of asking the suspected members whose time to
+// finalProbes returns the work of asking the suspected members whose time to
 // refute is over for the last time. A node that missed a refutation learns it
 // from the answer, so that it never removes a member that it can reach. The
 // caller holds the mutex.
-func (m *Membership) lastChecks(now time.Time) []func(ctx context.Context) {
+func (m *Membership) finalProbes(now time.Time) []func(ctx context.Context) {
 	timeout := m.health.stretch(m.options.Timing.ProbeTimeout)
 	var work []func(ctx context.Context)
 	for _, r := range m.table.expired(now, m.options.Timing.ProbePeriod) {
-		r.checking = true
+		r.finalProbeRunning = true
 		work = append(work, func(ctx context.Context) {
-			m.start(func() { m.lastCheck(ctx, r, timeout) })
+			m.start(func() { m.finalProbe(ctx, r, timeout) })
 		})
 	}
 	return work
 }
 
-// lastCheck removes a suspected member that cannot be reached.
-func (m *Membership) lastCheck(ctx context.Context, r *record, timeout time.Duration) {
+// finalProbe removes a suspected member that cannot be reached.
+func (m *Membership) finalProbe(ctx context.Context, r *record, timeout time.Duration) {
 	m.mutex.Lock()
 	checked := r.member
 	m.mutex.Unlock()
@@ -133,17 +133,17 @@
 	now := time.Now()
 	m.mutex.Lock()
 	defer m.unlock()
-	m.noticePause(now)
-	r.checking = false
+	m.detectPause(now)
+	r.finalProbeRunning = false
 	current := m.table.records[checked.ID] == r && r.suspicion != nil && r.member.Incarnation == checked.Incarnation
-	if m.stale || !current || result == noResult {
+	if m.stale || !current || result == inconclusive {
 		return
 	}
 	if result == reached {
 		r.suspicion.since = now
 		return
 	}
-	m.table.bury(r, checked.Incarnation, false, now)
+	m.table.markDead(r, checked.Incarnation, false, now)
 	m.queue.addEntry(entryOf(r))
 	m.counters.removed.Add(1)
 	m.logger.Info("member removed", "member", checked.ID, "address", checked.Address)
@@ -153,10 +153,10 @@
 func (m *Membership) probeDirect(ctx context.Context, probed Member, timeout time.Duration) bool {
 	ack, err := m.ping(ctx, probed, timeout, nil)
 	if err != nil {
-		return answers(err)
+		return showsRunning(err)
 	}
 	if target.NodeID(ack.Id) != probed.ID {
-		m.replaced(probed)
+		m.removeReplaced(probed)
 	}
 	return true
 }
@@ -165,19 +165,19 @@
 func (m *Membership) probeAnswered() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.health.better()
+	m.health.improve()
 }
 
 // probeThroughOthers asks helpers to probe a member. Helped reports whether any
 // helper answered at all; there may be none to ask.
-func (m *Membership) probeThroughOthers(ctx context.Context, probed Member, timeout time.Duration) (acked, helped bool) {
+func (m *Membership) probeThroughOthers(ctx context.Context, probed Member, timeout time.Duration) (acked, helperAnswered bool) {
 	m.mutex.Lock()
 	helpers := m.randomOthers(m.options.IndirectProbes, probed.ID)
 	m.mutex.Unlock()
 	if len(helpers) == 0 {
 		return false, true
 	}
-	ctx, cancel := context.WithTimeout(ctx, timeout*indirectFactor)
+	ctx, cancel := context.WithTimeout(ctx, timeout*indirectTimeoutFactor)
 	defer cancel()
 	replies := make(chan *pb.ProbeReply, len(helpers))
 	for _, helper := range helpers {
@@ -187,12 +187,12 @@
 	}
 	for range helpers {
 		reply := <-replies
-		helped = helped || reply != nil
+		helperAnswered = helperAnswered || reply != nil
 		if reply.GetAcked() {
 			return true, true
 		}
 	}
-	return false, helped
+	return false, helperAnswered
 }
 
 // askHelper returns the helper's reply, or nil if it did not answer.
@@ -212,20 +212,20 @@
 
 // accuse suspects a member that could not be reached. A leaving member is
 // removed at once, because it said that it would end.
-func (m *Membership) accuse(probed Member, helped bool) {
+func (m *Membership) accuse(probed Member, helperAnswered bool) {
 	now := time.Now()
 	m.mutex.Lock()
 	defer m.unlock()
-	m.noticePause(now)
-	if !helped {
-		m.health.worse(1)
+	m.detectPause(now)
+	if !helperAnswered {
+		m.health.degrade(1)
 	}
 	known := m.table.records[probed.ID]
 	if m.stale || known == nil || known.member.Incarnation != probed.Incarnation {
 		return
 	}
 	if known.member.State == Leaving {
-		if m.table.bury(known, probed.Incarnation, false, now) {
+		if m.table.markDead(known, probed.Incarnation, false, now) {
 			m.queue.addEntry(entryOf(known))
 		}
 		return
@@ -242,11 +242,11 @@
 }
 
 // replaced removes a member whose address is served by another process.
-func (m *Membership) replaced(probed Member) {
+func (m *Membership) removeReplaced(probed Member) {
 	m.mutex.Lock()
 	defer m.unlock()
 	known := m.table.records[probed.ID]
-	if known != nil && m.table.bury(known, known.member.Incarnation, true, time.Now()) {
+	if known != nil && m.table.markDead(known, known.member.Incarnation, true, time.Now()) {
 		m.queue.addEntry(entryOf(known))
 	}
 }
@@ -306,6 +306,6 @@
 	m.receive(request.Gossip)
 	probed := Member{ID: target.NodeID(request.Target), Address: peer.Address(request.Address)}
 	ack, err := m.ping(ctx, probed, m.options.Timing.ProbeTimeout, nil)
-	acked := answers(err) || (err == nil && ack.Id == request.Target)
+	acked := showsRunning(err) || (err == nil && ack.Id == request.Target)
 	return &pb.ProbeReply{Acked: acked, Gossip: m.takeGossip()}, nil
 }
--- a/pkg/membership/property_test.go
+++ b/pkg/membership/property_test.go
@@ -12,9 +12,9 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// quietBound is the virtual time after the last fault in which all lists must
+// convergenceBound is the virtual time after the last fault in which all lists must
 // agree with the truth.
-const quietBound = 90 * time.Second
+const convergenceBound = 90 * time.Second
 
 // faultKind is what happens to a cluster.
 type faultKind int
@@ -124,7 +124,7 @@
 }
 
 // quiet ends every fault.
-func (s scenario) quiet(c *cluster) {
+func (s scenario) endFaults(c *cluster) {
 	c.network.Heal()
 	c.network.SetLoss(0)
 	for _, address := range c.addresses() {
@@ -134,7 +134,7 @@
 
 // play runs a scenario in virtual time and returns what was wrong at its end.
 // After each step, check is called.
-func (s scenario) play(t *testing.T, check func(c *cluster) string) string {
+func (s scenario) run(t *testing.T, check func(c *cluster) string) string {
 	var problem string
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
@@ -148,8 +148,8 @@
 				return
 			}
 		}
-		s.quiet(c)
-		problem = c.settleWithin(quietBound)
+		s.endFaults(c)
+		problem = c.settleWithin(convergenceBound)
 	})
 	return problem
 }
@@ -162,7 +162,7 @@
 	kinds := []faultKind{killNode, startNode, freezeNode, thawNode, cutTwoWays, cutOneWay, healCuts, loseMessages}
 	rapid.Check(t, func(rt *rapid.T) {
 		drawn := drawScenario(rt, kinds)
-		if text := drawn.play(t, func(*cluster) string { return "" }); text != "" {
+		if text := drawn.run(t, func(*cluster) string { return "" }); text != "" {
 			rt.Fatal(text)
 		}
 	})
@@ -182,7 +182,7 @@
 			}
 			return accusedHealthyNode(c, everFrozen)
 		}
-		if text := drawn.play(t, check); text != "" {
+		if text := drawn.run(t, check); text != "" {
 			rt.Fatal(text)
 		}
 	})
--- a/pkg/membership/queue.go
+++ b/pkg/membership/queue.go
@@ -15,11 +15,11 @@
 // item is one piece of gossip that is passed on a number of times. Either entry
 // or news is set.
 type item struct {
-	key      string
-	entry    *pb.Entry
-	news     *pb.News
-	size     int
-	replaced bool
+	key        string
+	entry      *pb.Entry
+	broadcast  *pb.News
+	size       int
+	superseded bool
 }
 
 // queue holds the gossip that this node passes on, the least often sent first.
@@ -43,14 +43,14 @@
 // has reports whether an item waits to be passed on.
 func (q *queue) has(key string) bool { return q.byKey[key] != nil }
 
-// addNews queues a message of another subsystem.
-func (q *queue) addNews(news *pb.News) {
-	q.add(&item{key: newsKey(news), news: news, size: news.SizeVT() + entryOverhead})
+// addBroadcast queues a message of another subsystem.
+func (q *queue) addBroadcast(broadcast *pb.News) {
+	q.add(&item{key: broadcastKey(broadcast), broadcast: broadcast, size: broadcast.SizeVT() + entryOverhead})
 }
 
 func (q *queue) add(added *item) {
 	if old := q.byKey[added.key]; old != nil {
-		old.replaced = true
+		old.superseded = true
 	}
 	q.byKey[added.key] = added
 	if len(q.tiers) == 0 {
@@ -68,7 +68,7 @@
 		for len(q.tiers[tier]) > 0 {
 			dropped := q.tiers[tier][0]
 			q.tiers[tier] = q.tiers[tier][1:]
-			if !dropped.replaced {
+			if !dropped.superseded {
 				delete(q.byKey, dropped.key)
 				return
 			}
@@ -98,7 +98,7 @@
 		rest := q.tiers[tier][:0]
 		for _, candidate := range q.tiers[tier] {
 			switch {
-			case candidate.replaced:
+			case candidate.superseded:
 			case candidate.size > maxBytes:
 				rest = append(rest, candidate)
 			default:
@@ -115,7 +115,7 @@
 		if taken.entry != nil {
 			gossip.Entries = append(gossip.Entries, taken.entry)
 		} else {
-			gossip.News = append(gossip.News, taken.news)
+			gossip.News = append(gossip.News, taken.broadcast)
 		}
 	}
 	return gossip
--- a/pkg/membership/stats.go
+++ b/pkg/membership/stats.go
@@ -33,7 +33,7 @@
 	refutations, pauses   atomic.Uint64
 	syncs, syncsDiffering atomic.Uint64
 	summaries             atomic.Uint64
-	newsDelivered         atomic.Uint64
+	broadcastsDelivered   atomic.Uint64
 }
 
 // Stats returns the counts so far.
@@ -48,6 +48,6 @@
 		Syncs:               m.counters.syncs.Load(),
 		SyncsDiffering:      m.counters.syncsDiffering.Load(),
 		Summaries:           m.counters.summaries.Load(),
-		BroadcastsDelivered: m.counters.newsDelivered.Load(),
+		BroadcastsDelivered: m.counters.broadcastsDelivered.Load(),
 	}
 }
--- a/pkg/membership/suspicion.go
+++ b/pkg/membership/suspicion.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// suspicionPeriods is the shortest time to refute, in probe periods for
+	// minSuspicionPeriods is the shortest time to refute, in probe periods for
 	// each factor of ten in the number of members.
-	suspicionPeriods = 2
-	// suspicionStretch is the time to refute while only one member accuses, as
+	minSuspicionPeriods = 2
+	// maxSuspicionFactor is the time to refute while only one member accuses, as
 	// a multiple of the shortest time.
-	suspicionStretch = 3
+	maxSuspicionFactor = 3
 	// confirmations is the number of further accusers that shorten the time to
 	// refute to its minimum.
-	confirmations = 3
+	maxConfirmations = 3
 )
 
 // suspicion is the accusation of one member.
@@ -27,7 +27,7 @@
 
 // confirm adds an accuser; false if it accused already or no more are needed.
 func (s *suspicion) confirm(accuser target.NodeID) bool {
-	if len(s.accusers) > confirmations {
+	if len(s.accusers) > maxConfirmations {
 		return false
 	}
 	for _, known := range s.accusers {
@@ -45,15 +45,15 @@
 // small to have further accusers it is the minimum.
 func (s *suspicion) timeout(members int, probePeriod time.Duration) time.Duration {
 	scale := math.Max(1, math.Log10(float64(members+1)))
-	shortest := time.Duration(suspicionPeriods * scale * float64(probePeriod))
-	possible := min(confirmations, members-2)
+	minimum := time.Duration(minSuspicionPeriods * scale * float64(probePeriod))
+	possible := min(maxConfirmations, members-2)
 	if possible <= 0 {
-		return shortest
+		return minimum
 	}
 	confirmed := min(len(s.accusers)-1, possible)
 	share := math.Log(float64(confirmed+1)) / math.Log(float64(possible+1))
-	longest := suspicionStretch * shortest
-	return longest - time.Duration(share*float64(longest-shortest))
+	maximum := maxSuspicionFactor * minimum
+	return maximum - time.Duration(share*float64(maximum-minimum))
 }
 
 // retransmits returns how often a node passes on one item of news in a zone of
@@ -61,13 +61,13 @@
 // falls as exp(-n) with the number n, so the expected number of members that
 // miss an item is about 1 in 100 in small zones and less in large ones.
 func retransmits(members int) int {
-	return gossipBase + int(math.Ceil(gossipFactor*math.Log10(float64(members+1))))
+	return retransmitBase + int(math.Ceil(retransmitFactor*math.Log10(float64(members+1))))
 }
 
 const (
-	// gossipBase is the number of times that news is passed on in any zone.
-	gossipBase = 2
-	// gossipFactor is the number of further times for each factor of ten in
+	// retransmitBase is the number of times that news is passed on in any zone.
+	retransmitBase = 2
+	// retransmitFactor is the number of further times for each factor of ten in
 	// the number of members.
-	gossipFactor = 4
+	retransmitFactor = 4
 )
--- a/pkg/membership/sync.go
+++ b/pkg/membership/sync.go
@@ -14,8 +14,8 @@
 const (
 	// syncTimeout bounds one exchange of lists.
 	syncTimeout = 3 * time.Second
-	// challengePause is the least time between two challenges of a member.
-	challengePause = 5 * time.Second
+	// challengeInterval is the least time between two challenges of a member.
+	challengeInterval = 5 * time.Second
 	// challengeWorkers bounds the challenges that run at once.
 	challengeWorkers = 8
 )
@@ -61,7 +61,7 @@
 func (m *Membership) compare(ctx context.Context, address peer.Address) (*pb.SyncReply, error) {
 	m.mutex.Lock()
 	digests := m.table.digests
-	recent := m.news.recent(time.Now())
+	recent := m.broadcasts.recent(time.Now())
 	m.mutex.Unlock()
 	m.counters.syncs.Add(1)
 	return m.callSync(ctx, address, &pb.SyncRequest{Digests: digests[:], RecentNews: recent})
@@ -108,14 +108,14 @@
 	now := time.Now()
 	m.mutex.Lock()
 	defer m.unlock()
-	m.noticePause(now)
+	m.detectPause(now)
 	reply := &pb.SyncReply{Self: entryOf(m.table.self)}
 	if m.stale {
 		reply.Stale = true
 		return reply, nil
 	}
 	if request.Self.GetZone() != string(m.options.Self.Zone) {
-		reply.Entries = append(m.announced(), m.knownOf(target.Zone(request.Self.GetZone()))...)
+		reply.Entries = append(m.announced(), m.knownEntries(target.Zone(request.Self.GetZone()))...)
 		return reply, nil
 	}
 	m.applyAll([]*pb.Entry{request.Self}, now, true)
@@ -125,9 +125,9 @@
 	return reply, nil
 }
 
-// knownOf returns the living members of another zone. The caller holds the
+// knownEntries returns the living members of another zone. The caller holds the
 // mutex.
-func (m *Membership) knownOf(zone target.Zone) []*pb.Entry {
+func (m *Membership) knownEntries(zone target.Zone) []*pb.Entry {
 	var entries []*pb.Entry
 	for _, r := range m.table.ranked(zone) {
 		entries = append(entries, entryOf(r))
@@ -144,7 +144,7 @@
 	if len(request.Digests) == 0 {
 		return
 	}
-	reply.News = m.news.missing(request.RecentNews, time.Now())
+	reply.News = m.broadcasts.missing(request.RecentNews, time.Now())
 	differ := m.table.digests.differing(request.Digests)
 	for bucket, differs := range differ {
 		if differs {
@@ -183,7 +183,7 @@
 			continue
 		}
 		if known != nil && m.mayChallenge(known, entry, now) {
-			known.challenged = now
+			known.challengedAt = now
 			challenges = append(challenges, challenge{member: known.member, accusation: entry})
 		}
 	}
@@ -197,7 +197,7 @@
 	return known.member.State != Dead &&
 		accusation.Incarnation >= known.member.Incarnation &&
 		!known.remote &&
-		now.Sub(known.challenged) >= challengePause
+		now.Sub(known.challengedAt) >= challengeInterval
 }
 
 // missingIn returns the entries of the differing buckets that the reply lacks
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -21,11 +21,11 @@
 	// deadSince is set for dead members.
 	deadSince time.Time
 	// checking is set while a suspected member is asked for the last time.
-	checking bool
+	finalProbeRunning bool
 	// declared is when this node last learned a new declaration of the member.
-	declared time.Time
+	declaredAt time.Time
 	// challenged is when the member was last told that others call it dead.
-	challenged time.Time
+	challengedAt time.Time
 	// remote is set for members of another zone than this node's.
 	remote bool
 	// rank orders the members of a zone for its duties; see outranks.
@@ -155,21 +155,21 @@
 	known := t.records[target.NodeID(entry.Id)]
 	switch entry.State {
 	case pb.State_STATE_ALIVE, pb.State_STATE_LEAVING:
-		return t.applyDeclared(known, entry, now)
+		return t.applyDeclaration(known, entry, now)
 	case pb.State_STATE_SUSPECT:
 		return known != nil && t.suspect(known, entry.Incarnation, target.NodeID(entry.Accuser), now)
 	case pb.State_STATE_DEAD, pb.State_STATE_LEFT:
-		return known != nil && t.bury(known, entry.Incarnation, entry.State == pb.State_STATE_LEFT, now)
+		return known != nil && t.markDead(known, entry.Incarnation, entry.State == pb.State_STATE_LEFT, now)
 	default:
 		return false
 	}
 }
 
-// applyDeclared takes in what a member said about itself.
-func (t *table) applyDeclared(known *record, entry *pb.Entry, now time.Time) bool {
+// applyDeclaration takes in what a member said about itself.
+func (t *table) applyDeclaration(known *record, entry *pb.Entry, now time.Time) bool {
 	if known == nil {
 		added := newRecord(memberOf(entry))
-		added.declared = now
+		added.declaredAt = now
 		t.insert(added)
 		return t.trim(target.Zone(entry.Zone), target.NodeID(entry.Id))
 	}
@@ -178,7 +178,7 @@
 	}
 	t.change(known, func() {
 		known.member = memberOf(entry)
-		known.declared = now
+		known.declaredAt = now
 		known.suspicion = nil
 		known.left = false
 		known.deadSince = time.Time{}
@@ -202,7 +202,7 @@
 }
 
 // bury marks a member as dead.
-func (t *table) bury(known *record, incarnation uint64, left bool, now time.Time) bool {
+func (t *table) markDead(known *record, incarnation uint64, left bool, now time.Time) bool {
 	if known.member.State == Dead || incarnation < known.member.Incarnation {
 		return false
 	}
@@ -276,7 +276,7 @@
 	}
 	var found []*record
 	for _, r := range t.records {
-		if r.suspicion == nil || r.checking || r.remote {
+		if r.suspicion == nil || r.finalProbeRunning || r.remote {
 			continue
 		}
 		if now.Sub(r.suspicion.since) >= r.suspicion.timeout(t.zoneSize, probePeriod) {
@@ -292,11 +292,11 @@
 // way, and those of a zone that stays silent for remoteSilentRetention.
 func (t *table) reap(now time.Time, retention time.Duration) {
 	for _, r := range t.records {
-		kept := retention
+		keepFor := retention
 		if r.remote {
-			kept = min(retention, remoteDeadRetention)
+			keepFor = min(retention, remoteDeadRetention)
 		}
-		dead := r.member.State == Dead && now.Sub(r.deadSince) >= kept
+		dead := r.member.State == Dead && now.Sub(r.deadSince) >= keepFor
 		silent := r.remote && r.suspicion != nil && now.Sub(r.suspicion.since) >= remoteSilentRetention
 		if dead || silent {
 			t.remove(r)
@@ -313,15 +313,15 @@
 	remoteSilentRetention = 3 * time.Hour
 )
 
-// replacedBy marks as gone the other members that were at the address of a
+// markReplaced marks as gone the other members that were at the address of a
 // process that speaks for itself. It returns them.
-func (t *table) replacedBy(self *pb.Entry, now time.Time) []*record {
+func (t *table) markReplaced(self *pb.Entry, now time.Time) []*record {
 	var gone []*record
 	for _, r := range t.records {
 		if !r.remote || string(r.member.Address) != self.GetAddress() || string(r.member.ID) == self.GetId() {
 			continue
 		}
-		if t.bury(r, r.member.Incarnation, true, now) {
+		if t.markDead(r, r.member.Incarnation, true, now) {
 			gone = append(gone, r)
 		}
 	}
@@ -373,7 +373,7 @@
 }
 
 // of returns the members of a zone, dead ones too, sorted by ID.
-func (t *table) of(zone target.Zone) []*record {
+func (t *table) membersOf(zone target.Zone) []*record {
 	var found []*record
 	for _, r := range t.records {
 		if r.member.Zone == zone {
--- a/pkg/membership/table_test.go
+++ b/pkg/membership/table_test.go
@@ -42,11 +42,11 @@
 		accused.confirm(target.NodeID(accuser))
 	}
 	together := accused.timeout(300, time.Second)
-	if alone != suspicionStretch*together || accused.confirm("e") {
+	if alone != maxSuspicionFactor*together || accused.confirm("e") {
 		t.Errorf("alone %v, together %v", alone, together)
 	}
 	small := (&suspicion{accusers: accused.accusers[:1]}).timeout(2, time.Second)
-	if small != suspicionPeriods*time.Second {
+	if small != minSuspicionPeriods*time.Second {
 		t.Errorf("in a zone of two: %v", small)
 	}
 }
--- a/pkg/membership/wire.go
+++ b/pkg/membership/wire.go
@@ -70,7 +70,7 @@
 }
 
 // contradicts reports whether an entry says that a member does not run.
-func contradicts(entry *pb.Entry) bool {
+func claimsNotRunning(entry *pb.Entry) bool {
 	return accuses(entry) || entry.State == pb.State_STATE_LEFT
 }
 
