--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -185,7 +185,7 @@
 	options := front.Options{
 		Dialect: n.options.Dialect, State: n.state, Fleet: n.state.fleet, Budget: n.state.budgets, Policies: rules,
 		Events: recorder, Random: newRandom(), MaxInFlight: maxInFlight,
-		Quarantine: n.quarantine, KeyNews: n.keyFreshness, Room: n.admission,
+		Quarantine: n.quarantine, KeyFreshness: n.keyFreshness, Admission: n.admission,
 	}
 	if n.owners != nil {
 		options.Owners = n.owners
@@ -201,9 +201,9 @@
 	if err != nil {
 		return err
 	}
-	listener.SetMost(n.options.Settings.clientConnections())
+	listener.SetMaxConnections(n.options.Settings.clientConnections())
 	n.listener = listener
-	n.state.setIdleTimeout = listener.SetIdle
+	n.state.setIdleTimeout = listener.SetIdleTimeout
 	return nil
 }
 
--- a/internal/edge/keys.go
+++ b/internal/edge/keys.go
@@ -8,13 +8,13 @@
 
 // keyFreshness returns whether the node's copy of callers' keys is current, old, or so old that keys are
 // refused.
-func (n *Node) keyFreshness() front.KeyNews {
+func (n *Node) keyFreshness() front.KeyFreshness {
 	settings := n.settings.Load()
 	switch {
 	case settings.Bounds.RefuseUnconfirmedKeys && !n.follower.IsFreshWithin(settings.revocationAge()):
 		return front.KeysLapsed
 	case !n.follower.IsFresh():
-		return front.KeysOld
+		return front.KeysStale
 	}
 	return front.KeysCurrent
 }
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -109,7 +109,7 @@
 		return front.Starting{RetryAfter: storeLostWait}
 	}
 	return front.Starting{
-		Patience: startingPatience, RetryAfter: min(max(minStartingWait, time.Since(s.startedAt)), maxStartingWait),
+		MaxWait: startingPatience, RetryAfter: min(max(minStartingWait, time.Since(s.startedAt)), maxStartingWait),
 	}
 }
 
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -15,32 +15,32 @@
 
 // The causes, in the words that operators read.
 const (
-	CauseServed        Cause = "none: it was served whole"
-	CauseStarting      Cause = "the node knew no configuration yet"
-	CauseOverloaded    Cause = "the node served as many requests as it may"
-	CauseNotOffered    Cause = "overload: no server had room for it in time, so it was not run"
-	CauseNoRoom        Cause = "overload: servers had no room for it"
-	CauseUnknownKey    Cause = "no tenant of the configuration in force holds the caller's key"
-	CauseNoKey         Cause = "the caller sent no key, or several, on a route that wants one"
-	CauseOldKeys       Cause = "the node's news of the configuration was too old to confirm the caller's key"
-	CauseOverLimit     Cause = "its tenant was beyond its limit over all nodes"
-	CauseLimitAlone    Cause = "the node reached no coordinator of limits, and its part of the tenant's limit was used up"
-	CauseNoRoute       Cause = "no route of the configuration in force fits"
-	CauseBadRequest    Cause = "the request itself: its body could not be taken"
-	CauseClientLeft    Cause = "the client left before the answer"
-	CauseNoServer      Cause = "a service had no server that could be asked"
-	CauseBusy          Cause = "all servers of a service were busy with this node's requests"
-	CauseRefused       Cause = "servers refused to run it"
-	CauseUnreachable   Cause = "servers could not be reached"
-	CauseQuarantined   Cause = "servers ended while they had it, so it was kept from others"
-	CauseSilent        Cause = "servers did not answer in time"
-	CauseSilentBudget  Cause = "servers did not answer in time, and the extra-load budget was used up"
-	CauseServerFailed  Cause = "servers ran it and failed"
-	CauseBroken        Cause = "connections broke after it was sent"
-	CauseOwnerSilent   Cause = "the owner of some shards did not answer, and their servers were asked too late instead"
-	CauseThinSilent    Cause = "answered without some shards, whose servers did not answer in time"
-	CauseThinNoServer  Cause = "answered without some shards, which had no server"
-	CauseThinAttempted Cause = "answered without some shards, whose servers failed or could not be reached"
+	CauseServed          Cause = "none: it was served whole"
+	CauseStarting        Cause = "the node knew no configuration yet"
+	CauseOverloaded      Cause = "the node served as many requests as it may"
+	CauseNotOffered      Cause = "overload: no server had room for it in time, so it was not run"
+	CauseNoCapacity      Cause = "overload: servers had no room for it"
+	CauseUnknownKey      Cause = "no tenant of the configuration in force holds the caller's key"
+	CauseNoKey           Cause = "the caller sent no key, or several, on a route that wants one"
+	CauseStaleKeys       Cause = "the node's news of the configuration was too old to confirm the caller's key"
+	CauseOverLimit       Cause = "its tenant was beyond its limit over all nodes"
+	CauseLimitIsolated   Cause = "the node reached no coordinator of limits, and its part of the tenant's limit was used up"
+	CauseNoRoute         Cause = "no route of the configuration in force fits"
+	CauseBadRequest      Cause = "the request itself: its body could not be taken"
+	CauseClientLeft      Cause = "the client left before the answer"
+	CauseNoServer        Cause = "a service had no server that could be asked"
+	CauseBusy            Cause = "all servers of a service were busy with this node's requests"
+	CauseRefused         Cause = "servers refused to run it"
+	CauseUnreachable     Cause = "servers could not be reached"
+	CauseQuarantined     Cause = "servers ended while they had it, so it was kept from others"
+	CauseTimeout         Cause = "servers did not answer in time"
+	CauseTimeoutNoBudget Cause = "servers did not answer in time, and the extra-load budget was used up"
+	CauseServerFailed    Cause = "servers ran it and failed"
+	CauseBroken          Cause = "connections broke after it was sent"
+	CauseOwnerTimeout    Cause = "the owner of some shards did not answer, and their servers were asked too late instead"
+	CausePartialTimeout  Cause = "answered without some shards, whose servers did not answer in time"
+	CausePartialNoServer Cause = "answered without some shards, which had no server"
+	CausePartialFailed   Cause = "answered without some shards, whose servers failed or could not be reached"
 )
 
 // withOwned adds to the line of a request what its owners did for the services that it
@@ -73,9 +73,9 @@
 	case line.Reason == string(outcome.ReasonUnauthenticated):
 		return CauseUnknownKey
 	case line.Reason == string(outcome.ReasonKeysUnconfirmed):
-		return CauseOldKeys
+		return CauseStaleKeys
 	case line.Reason == string(outcome.ReasonOverLimit) && line.QuotaDecidedBy == quota.Isolated.String():
-		return CauseLimitAlone
+		return CauseLimitIsolated
 	case line.Reason == string(outcome.ReasonOverLimit):
 		return CauseOverLimit
 	case line.Reason == "cancelled":
@@ -95,13 +95,13 @@
 func causeOfThin(line Line) Cause {
 	switch causeOfFailure(line) {
 	case CauseNoServer, CauseBusy:
-		return CauseThinNoServer
-	case CauseSilent, CauseSilentBudget:
-		return CauseThinSilent
-	case CauseOwnerSilent:
-		return CauseOwnerSilent
+		return CausePartialNoServer
+	case CauseTimeout, CauseTimeoutNoBudget:
+		return CausePartialTimeout
+	case CauseOwnerTimeout:
+		return CauseOwnerTimeout
 	}
-	return CauseThinAttempted
+	return CausePartialFailed
 }
 
 // causeOfFailure judges by the sub-requests that came last for what is missing.
@@ -114,11 +114,11 @@
 	case line.Reason == string(fanout.StopOverloaded) && line.Shed > 0:
 		return CauseNotOffered
 	case line.Shed > 0 && line.Parts < line.Required:
-		return CauseNoRoom
-	case tally[CauseSilent] > 0 && line.Denied > 0:
-		return CauseSilentBudget
-	case tally[CauseSilent] > 0:
-		return CauseSilent
+		return CauseNoCapacity
+	case tally[CauseTimeout] > 0 && line.Denied > 0:
+		return CauseTimeoutNoBudget
+	case tally[CauseTimeout] > 0:
+		return CauseTimeout
 	case tally[CauseServerFailed] > 0:
 		return CauseServerFailed
 	case tally[CauseBroken] > 0:
@@ -128,7 +128,7 @@
 	case tally[CauseUnreachable] > 0:
 		return CauseUnreachable
 	case slices.ContainsFunc(line.Owners, isUnanswered):
-		return CauseOwnerSilent
+		return CauseOwnerTimeout
 	case strings.Contains(line.Error, "busy"):
 		return CauseBusy
 	}
@@ -143,7 +143,7 @@
 	case attempt.Result == "answered":
 		return CauseServed
 	case attempt.Result == "pending" || strings.Contains(attempt.Result, "timeout"):
-		return CauseSilent
+		return CauseTimeout
 	case attempt.Result == "status 503" || attempt.Result == "status 421" || attempt.Result == "status 429":
 		return CauseRefused
 	case strings.HasPrefix(attempt.Result, "status "):
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -39,10 +39,10 @@
 		says  []string
 	}{
 		{"64b4f2f0ebcbdc59", explain.CauseBusy, []string{"answered 503", "0 of 15 parts", "before: dependency regained (store)"}},
-		{"496cbb0faf4354e1", explain.CauseThinSilent, []string{"answered 200, target; 9 of 10 parts", "pending after 108 ms"}},
-		{"69c0f4757721e019", explain.CauseThinAttempted, []string{"connection refused", "unexpected EOF", "14 of 15 parts"}},
+		{"496cbb0faf4354e1", explain.CausePartialTimeout, []string{"answered 200, target; 9 of 10 parts", "pending after 108 ms"}},
+		{"69c0f4757721e019", explain.CausePartialFailed, []string{"connection refused", "unexpected EOF", "14 of 15 parts"}},
 		{"d1c4988924e9e51d", explain.CauseServerFailed, []string{"answered 504", "status 504 after 384 ms"}},
-		{"0a9029d193cb7384", explain.CauseSilent, []string{"answered 502", "pending after 57 ms"}},
+		{"0a9029d193cb7384", explain.CauseTimeout, []string{"answered 502", "pending after 57 ms"}},
 		{"b885f4a24d3a4b60", explain.CauseNoRoute, []string{
 			"an older configuration: edge-setubal-sala-a-1 had version 37 in force 59 ms before",
 		}},
@@ -68,7 +68,7 @@
 	story, err := explain.Explain(linesOf(t, "testdata/owners.log"), "dd38e8a6bd64c044")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(story.Tries).To(HaveLen(1))
-	g.Expect(story.Tries[0].Cause).To(Equal(explain.CauseThinSilent))
+	g.Expect(story.Tries[0].Cause).To(Equal(explain.CausePartialTimeout))
 	var text bytes.Buffer
 	story.Write(&text)
 	for _, part := range []string{
@@ -90,7 +90,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	story, err := explain.Explain(lines, "r")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(story.Tries[0].Cause).To(Equal(explain.CauseOwnerSilent))
+	g.Expect(story.Tries[0].Cause).To(Equal(explain.CauseOwnerTimeout))
 	var text bytes.Buffer
 	story.Write(&text)
 	g.Expect(text.String()).To(ContainSubstring("before: owner lost (b) no report came in time"))
@@ -107,7 +107,7 @@
 		"842d6d83a8d798bc": {explain.CauseNotOffered, []string{
 			"before: overload (kade41a: 94 sub-requests wait for a free server)", "0 of 10 parts, 9 wanted", "retry after 120 ms",
 		}},
-		"0d5f99e88e38d915": {explain.CauseNoRoom, []string{"answered 504, deadline", "2 of 10 parts, 9 wanted"}},
+		"0d5f99e88e38d915": {explain.CauseNoCapacity, []string{"answered 504, deadline", "2 of 10 parts, 9 wanted"}},
 	} {
 		t.Run(id, func(t *testing.T) {
 			g := NewWithT(t)
@@ -188,7 +188,7 @@
 			"an older configuration: b had version 5 in force 700 ms before",
 		}},
 		"none": {explain.CauseNoKey, []string{"answered 401, unauthenticated"}},
-		"old": {explain.CauseOldKeys, []string{
+		"old": {explain.CauseStaleKeys, []string{
 			"before: keys lapsed", "of hash 5e884898", "the client was told to retry after 200 ms",
 		}},
 		"limit": {explain.CauseOverLimit, []string{"request limit of tenant \"desk\" on route", "answered 429, over_limit"}},
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -74,7 +74,7 @@
 	Tenant       string                 `json:"tenant"`
 	Missing      []string               `json:"missing"`
 	Attempts     []fanout.AttemptRecord `json:"attempts"`
-	AskedBy      string                 `json:"asked_by"`
+	RequestedBy  string                 `json:"asked_by"`
 	Owner        string                 `json:"owner"`
 	Owners       []fanout.OwnerRecord   `json:"owners"`
 	Error        string                 `json:"error"`
@@ -89,10 +89,10 @@
 	QuotaShare     float64 `json:"quota_share"`
 	QuotaShareAge  int64   `json:"quota_share_age_ms"`
 	QuotaDecidedBy string  `json:"quota_decided_by"`
-	// AskedPerSecond is the rate of a tenant's requests over all nodes, as its coordinator has it, and
+	// RequestedPerSecond is the rate of a tenant's requests over all nodes, as its coordinator has it, and
 	// LimitPerSecond the rate of its limit.
-	AskedPerSecond float64 `json:"asked_per_s"`
-	LimitPerSecond float64 `json:"limit_per_s"`
+	RequestedPerSecond float64 `json:"asked_per_s"`
+	LimitPerSecond     float64 `json:"limit_per_s"`
 	// Coordinator is the coordinator of limits that the node lost.
 	Coordinator string `json:"coordinator"`
 	Dependency  string `json:"dependency"`
--- a/internal/explain/quota_test.go
+++ b/internal/explain/quota_test.go
@@ -39,6 +39,6 @@
 	))
 	g.Expect(told("s")).To(SatisfyAll(
 		ContainSubstring("coordinator of limits lost (c) deadline"),
-		ContainSubstring("cause: "+string(explain.CauseLimitAlone)),
+		ContainSubstring("cause: "+string(explain.CauseLimitIsolated)),
 	))
 }
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -201,7 +201,7 @@
 	case line.Dependency != "":
 		return fmt.Sprintf(" (%s) %s", line.Dependency, line.Error)
 	case line.Message == messageAtLimit:
-		return fmt.Sprintf(" (%s at %s: asked %.0f a second, limit %.0f)", line.Tenant, line.Node, line.AskedPerSecond, line.LimitPerSecond)
+		return fmt.Sprintf(" (%s at %s: asked %.0f a second, limit %.0f)", line.Tenant, line.Node, line.RequestedPerSecond, line.LimitPerSecond)
 	case line.Message == messageCoordinatorLost:
 		return fmt.Sprintf(" (%s) %s", line.Coordinator, line.Error)
 	case line.Version != 0:
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -84,7 +84,7 @@
 		writer.WriteHeader(http.StatusNoContent)
 	}))
 	g.Expect(err).NotTo(HaveOccurred())
-	listener.SetMost(2)
+	listener.SetMaxConnections(2)
 	served := make(chan error, 1)
 	go func() { served <- listener.Serve() }()
 	ask := func() (net.Conn, *bufio.Reader) {
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -32,7 +32,7 @@
 // Starting says what to do with requests while no configuration is known.
 type Starting struct {
 	// Patience is how long a request waits for the configuration.
-	Patience time.Duration
+	MaxWait time.Duration
 	// RetryAfter is after how long the client may retry then.
 	RetryAfter time.Duration
 }
@@ -51,7 +51,7 @@
 	// first service of their route.
 	overloads *episodes
 	limits    Limits
-	keyNews   func() KeyNews
+	keyNews   func() KeyFreshness
 	events    Recorder
 	// inFlight has an element for each request that is served.
 	inFlight chan struct{}
@@ -68,13 +68,13 @@
 	Owners fanout.Owners
 	// Room is what nodes tell each other of the room at services; nil for one that this node
 	// keeps for itself.
-	Room     *fanout.AdmissionControl
-	Policies Policies
+	Admission *fanout.AdmissionControl
+	Policies  Policies
 	// Limits holds tenants to their limits; nil for none.
 	Limits Limits
-	// KeyNews tells how far what is known of keys may be trusted; nil if it is always current.
-	KeyNews func() KeyNews
-	Events  Recorder
+	// KeyFreshness tells how far what is known of keys may be trusted; nil if it is always current.
+	KeyFreshness func() KeyFreshness
+	Events       Recorder
 	// Quarantine keeps requests from servers that end when they run them; nil for none.
 	Quarantine *quarantine.Guard
 	// Random is not shared with other users.
@@ -93,17 +93,17 @@
 		dialect: options.Dialect, state: options.State, policies: options.Policies, events: options.Events,
 		splitter: newSplitter(options.Random), inFlight: make(chan struct{}, options.MaxInFlight),
 		overloads: newEpisodes(), fleet: options.Fleet, quarantine: options.Quarantine, limits: options.Limits,
-		keyNews: options.KeyNews,
+		keyNews: options.KeyFreshness,
 	}
 	if handler.limits == nil {
 		handler.limits = noLimits{}
 	}
 	if handler.keyNews == nil {
-		handler.keyNews = func() KeyNews { return KeysCurrent }
+		handler.keyNews = func() KeyFreshness { return KeysCurrent }
 	}
 	runner := fanout.Runner{
 		Fleet: options.Fleet, Budget: options.Budget, Dialect: &handler.dialect.Dialect, Linger: lingerAfterAnswer,
-		Quarantine: options.Quarantine, Admission: options.Room,
+		Quarantine: options.Quarantine, Admission: options.Admission,
 	}
 	if runner.Admission == nil {
 		runner.Admission = fanout.NewAdmissionControl(options.Fleet)
@@ -179,7 +179,7 @@
 // awaitTable returns the configuration in force, if need be after a wait.
 func (h *Handler) awaitTable() *route.Table {
 	table := h.state.Table()
-	for waited := time.Duration(0); table == nil && waited < h.state.Starting().Patience; waited += startingPoll {
+	for waited := time.Duration(0); table == nil && waited < h.state.Starting().MaxWait; waited += startingPoll {
 		time.Sleep(startingPoll)
 		table = h.state.Table()
 	}
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -87,8 +87,8 @@
 // Address returns where clients connect.
 func (l *Listener) Address() string { return l.listener.Addr().String() }
 
-// SetIdle takes for how long a connection may rest.
-func (l *Listener) SetIdle(idle time.Duration) {
+// SetIdleTimeout takes for how long a connection may rest.
+func (l *Listener) SetIdleTimeout(idle time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if idle > 0 {
@@ -96,9 +96,9 @@
 	}
 }
 
-// SetMost bounds the connections that are kept: beyond it, a new one ends the
+// SetMaxConnections bounds the connections that are kept: beyond it, a new one ends the
 // one that has rested for longest. Zero is no bound.
-func (l *Listener) SetMost(most int) {
+func (l *Listener) SetMaxConnections(most int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.most = most
--- a/internal/front/tenant.go
+++ b/internal/front/tenant.go
@@ -10,15 +10,15 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// KeyNews says how far a node may trust what it knows of callers' keys.
-type KeyNews int
+// KeyFreshness says how far a node may trust what it knows of callers' keys.
+type KeyFreshness int
 
 // What a node may know of keys.
 const (
 	// KeysCurrent are as new as the deployment asks for.
-	KeysCurrent KeyNews = iota
-	// KeysOld are served on with, but a key that is not among them may have been added since.
-	KeysOld
+	KeysCurrent KeyFreshness = iota
+	// KeysStale are served on with, but a key that is not among them may have been added since.
+	KeysStale
 	// KeysLapsed are so old that each of them may have been removed since.
 	KeysLapsed
 )
@@ -50,7 +50,7 @@
 	c.tenant = table.TenantOf(c.keys[0])
 	news := c.handler.keyNews()
 	switch {
-	case news == KeysLapsed || c.tenant == nil && news == KeysOld:
+	case news == KeysLapsed || c.tenant == nil && news == KeysStale:
 		c.refuse(http.StatusServiceUnavailable, outcome.ReasonKeysUnconfirmed, keysWait)
 	case c.tenant == nil:
 		c.refuseUnauthenticated()
--- a/internal/front/tenant_test.go
+++ b/internal/front/tenant_test.go
@@ -46,13 +46,13 @@
 func (silentOwner) MarkSilent() {}
 
 // keyedNode is a handler of one gathered route for the tenant "desk" with the key "k-desk".
-func keyedNode(owners fanout.Owners, news func() KeyNews) *Handler {
+func keyedNode(owners fanout.Owners, news func() KeyFreshness) *Handler {
 	rules, err := policy.Build(policy.Spec{})
 	if err != nil {
 		panic(err)
 	}
 	return NewHandler(Options{
-		Dialect: keyedDialect(), Owners: owners, KeyNews: news, Random: rand.New(rand.NewPCG(1, 1)), MaxInFlight: 10,
+		Dialect: keyedDialect(), Owners: owners, KeyFreshness: news, Random: rand.New(rand.NewPCG(1, 1)), MaxInFlight: 10,
 		State: simState{route.NewTable(&route.Configuration{
 			Version: 1, Tenants: []route.Tenant{{Name: "desk", Keys: []string{"k-desk"}, Priority: 1, HasPriority: true}},
 			Routes: []route.Route{
@@ -98,16 +98,16 @@
 	// reached stands for a request that is let in.
 	const reached = 0
 	for _, each := range []struct {
-		news   KeyNews
+		news   KeyFreshness
 		path   string
 		key    string
 		status int
 	}{
-		{KeysCurrent, "/x", "k-desk", reached}, {KeysOld, "/x", "k-desk", reached}, {KeysLapsed, "/x", "k-desk", 503},
-		{KeysCurrent, "/x", "k-new", 401}, {KeysOld, "/x", "k-new", 503}, {KeysLapsed, "/x", "k-new", 503},
-		{KeysCurrent, "/x", "", 401}, {KeysOld, "/x", "", 401}, {KeysLapsed, "/x", "", 401},
+		{KeysCurrent, "/x", "k-desk", reached}, {KeysStale, "/x", "k-desk", reached}, {KeysLapsed, "/x", "k-desk", 503},
+		{KeysCurrent, "/x", "k-new", 401}, {KeysStale, "/x", "k-new", 503}, {KeysLapsed, "/x", "k-new", 503},
+		{KeysCurrent, "/x", "", 401}, {KeysStale, "/x", "", 401}, {KeysLapsed, "/x", "", 401},
 		{KeysLapsed, "/open/x", "", reached}, {KeysLapsed, "/open/x", "k-desk", 503},
-		{KeysCurrent, "/open/x", "k-new", 401}, {KeysOld, "/open/x", "k-new", 503},
+		{KeysCurrent, "/open/x", "k-new", 401}, {KeysStale, "/open/x", "k-new", 503},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
@@ -116,7 +116,7 @@
 				headers.Set("Key", each.key)
 			}
 			owner := silentOwner{asked: make(chan fanout.Question, 1)}
-			answer := ask(keyedNode(owner, func() KeyNews { return each.news }), each.path, headers)
+			answer := ask(keyedNode(owner, func() KeyFreshness { return each.news }), each.path, headers)
 			g.Expect(len(owner.asked) == 1).To(Equal(each.status == reached), "%+v", each)
 			if each.status != reached {
 				g.Expect(answer.Code).To(Equal(each.status), "%+v", each)
