--- a/pkg/configsync/bootstrap.go
+++ b/pkg/configsync/bootstrap.go
@@ -7,28 +7,28 @@
 	"github.com/bramblemast/bramblemast/pkg/template/stored"
 )
 
-// Waits between the attempts of a node that is not ready.
+// Time limits of a node that is not ready.
 const (
 	initialBootstrapBackoff = 250 * time.Millisecond
 	maxBootstrapBackoff     = 4 * time.Second
-	// storeReadTimeout bounds a read of the store by a node without peers; a
-	// node with peers waits only for CallTimeout.
+	// storeReadTimeout bounds a full read of the store. During bootstrap it applies only if no ready
+	// peer was reached; otherwise CallTimeout applies.
 	storeReadTimeout = 15 * time.Second
-	// peerPollInterval is the time between looks for a first peer.
+	// peerPollInterval is the time between checks for a first peer.
 	peerPollInterval = 100 * time.Millisecond
 )
 
-// evidence is what one attempt to fetch everything has reached.
+// fetchResult says which sources one bootstrap attempt has reached.
 type fetchResult struct {
-	// store is whether the whole of the store was read.
+	// storeRead is set if the whole store was read.
 	storeRead bool
-	// peers counts the ready peers that were compared with.
+	// readyPeers counts the ready peers with which a comparison succeeded.
 	readyPeers int
 }
 
-// bootstrap fetches what peers and the store hold, until that is enough to be
-// ready: the store and every peer that was asked and answers, or without the
-// store at least one peer that is ready itself.
+// bootstrap fetches the templates from peers and the store until the node may become ready. It needs
+// the store or, if the store is unavailable, at least one peer that is ready itself. Each attempt
+// also merges the documents of every selected peer that answers.
 func (r *Replica) bootstrap(ctx context.Context) {
 	started := time.Now()
 	r.awaitFirstPeer(ctx)
@@ -39,7 +39,7 @@
 			r.becomeReady(result)
 			return
 		}
-		r.logger.Warn("not ready: neither the store nor a ready peer was reached", "waited", time.Since(started).String())
+		r.logger.Warn("not ready: neither the store nor a ready peer could be reached", "waited", time.Since(started).String())
 		if !r.pause(ctx, backoff) {
 			return
 		}
@@ -47,7 +47,7 @@
 	}
 }
 
-// awaitFirstPeer waits a while for membership to find a first peer.
+// awaitFirstPeer waits up to PeerWait for membership to find a first peer.
 func (r *Replica) awaitFirstPeer(ctx context.Context) {
 	deadline := time.Now().Add(r.options.PeerWait)
 	for len(r.alivePeers()) == 0 && time.Now().Before(deadline) {
@@ -57,9 +57,9 @@
 	}
 }
 
-// backoffLimit bounds the wait between two attempts so that all nodes
-// together, should all of them start during an outage, keep within the store's
-// share of calls.
+// backoffLimit returns the longest wait between two attempts. It grows with the number of nodes, so
+// that all nodes together stay within StoreCallsPerSecond even if all of them start during an
+// outage.
 func (r *Replica) backoffLimit() time.Duration {
 	nodes := len(r.zoneOrder(0)) * r.zoneCount()
 	return max(maxBootstrapBackoff, seconds(float64(nodes)/r.options.StoreCallsPerSecond))
@@ -76,14 +76,14 @@
 	r.notify()
 }
 
-// fetch asks some peers and the store once each. Peers come first: what they
-// hold is then known when the store is read, so a store that went back shows.
+// fetchAll compares with some peers and reads the store, once each. Peers come first: their
+// documents are then known when the store is read, so a store that was rolled back is detected.
 func (r *Replica) fetchAll(ctx context.Context) fetchResult {
 	var result fetchResult
 	for _, partner := range r.bootstrapPeers() {
 		isReady, err := r.exchange(ctx, partner, SourceBootstrap)
 		if err != nil {
-			r.logger.Debug("peer not reached", "peer", partner.ID, "error", err)
+			r.logger.Debug("bootstrap comparison with peer failed", "peer", partner.ID, "error", err)
 			continue
 		}
 		if isReady {
@@ -98,8 +98,8 @@
 	return result
 }
 
-// bootstrapPeers picks random peers, one of them of another zone if there is
-// one.
+// bootstrapPeers picks up to BootstrapPeers random peers, at least one of them from another zone if
+// there is one.
 func (r *Replica) bootstrapPeers() []Peer {
 	var sameZone, elsewhere []Peer
 	r.mutex.Lock()
@@ -120,7 +120,8 @@
 	return append(sameZone, elsewhere[:min(len(elsewhere), r.options.BootstrapPeers-len(sameZone))]...)
 }
 
-// fetchStore reads all templates of the store with one call.
+// fetchStore reads all templates from the store with one call. It reports whether the read
+// succeeded.
 func (r *Replica) fetchStore(ctx context.Context, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -128,7 +129,7 @@
 	entries, index, err := r.options.Store.List(ctx, stored.Root)
 	r.recordStoreCall(index, err)
 	if err != nil {
-		r.logger.Warn("store not read", "error", err)
+		r.logger.Warn("bootstrap read of the store failed", "error", err)
 		return false
 	}
 	r.applyStoreState(stored.Root, entries, started, SourceBootstrap)
--- a/pkg/configsync/bootstrap_test.go
+++ b/pkg/configsync/bootstrap_test.go
@@ -13,7 +13,7 @@
 		c.store.SetUnavailable(true)
 		c.restart(c.nodes[3])
 		if c.nodes[3].replica.Ready() {
-			t.Fatal("ready without asking anyone")
+			t.Fatal("ready before any peer or the store was reached")
 		}
 		time.Sleep(startTime)
 		if !c.nodes[3].replica.Ready() {
--- a/pkg/configsync/cluster_test.go
+++ b/pkg/configsync/cluster_test.go
@@ -17,11 +17,11 @@
 	"github.com/bramblemast/bramblemast/pkg/template/stored"
 )
 
-// detectionTime is how long a node that stopped is still listed as alive.
+// detectionTime is how long a stopped node is still listed as alive.
 const detectionTime = 3 * time.Second
 
-// cluster is some nodes on an in-memory network with a store. It is used inside
-// a synctest bubble.
+// cluster is a set of nodes on an in-memory network with one store. It must be used inside a
+// synctest bubble.
 type cluster struct {
 	network *peer.Network
 	store   *configstore.Memory
@@ -36,7 +36,7 @@
 	violations []string
 }
 
-// testNode is one machine; its process may be replaced.
+// testNode is one machine. Its process may be replaced, which gives it a new ID.
 type testNode struct {
 	Peer
 	replica   *Replica
@@ -48,11 +48,11 @@
 	done      chan struct{}
 }
 
-// reachableStore is a node's way to the store, which can be cut.
+// reachableStore is a node's connection to the store, which can be cut.
 type reachableStore struct {
 	*configstore.Memory
 	isCut atomic.Bool
-	// replyDelay holds up the answers to reads.
+	// replyDelay delays the replies to List and Watch.
 	replyDelay time.Duration
 }
 
@@ -115,7 +115,8 @@
 	return c
 }
 
-// latency is the brief's: 1 ms within a region of one zone here, 12 ms between.
+// latency returns the one-way latency between two nodes: 1 ms within a zone, which is a region of
+// its own here, and 12 ms between zones.
 func (c *cluster) latency(from, to peer.Address) time.Duration {
 	var source, destination int
 	_, _ = fmt.Sscanf(string(from), "node%d", &source)
@@ -126,7 +127,7 @@
 	return 12 * time.Millisecond
 }
 
-// start starts a process at a machine.
+// start starts a process on a machine.
 func (c *cluster) start(node *testNode) {
 	c.mutex.Lock()
 	c.starts++
@@ -138,9 +139,9 @@
 	last := map[template.Key]template.Version{}
 	options := Options{
 		Self: node.Peer, Peers: c.peers, Transport: node.transport, Store: node.store, Seed: uint64(c.starts),
-		onReplace: func(next template.Published) {
+		onAccept: func(next template.Published) {
 			if next.Version().Compare(last[next.Key()]) <= 0 {
-				c.violation("%s went from %v to %v", node.ID, last[next.Key()], next.Version())
+				c.violation("%s: version went down from %v to %v", node.ID, last[next.Key()], next.Version())
 			}
 			last[next.Key()] = next.Version()
 		},
@@ -178,7 +179,7 @@
 	c.listed = append(c.listed, node.Peer)
 }
 
-// stop kills a process. The others go on to list it for a while.
+// stop kills a process. The other nodes list it as alive for another detectionTime.
 func (c *cluster) stop(node *testNode) {
 	node.cancel()
 	node.transport.Close()
@@ -216,7 +217,7 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, arguments...))
 }
 
-// close ends everything, so that the bubble can end.
+// close stops all nodes and waits until nothing runs, so that the bubble can end.
 func (c *cluster) close() {
 	c.network.Heal()
 	for _, node := range c.nodes {
@@ -244,7 +245,7 @@
 	}
 }
 
-// publish publishes over what the node holds.
+// publish publishes a revision on top of the one that the node holds.
 func (n *testNode) publish(key template.Key, author string) (publish.Result, error) {
 	held, _ := n.replica.Held(key)
 	expected := uint64(0)
@@ -254,7 +255,7 @@
 	return n.publisher.Publish(n.context, content(key, author), expected)
 }
 
-// storedVersion returns the version in the store, faults aside.
+// storedVersion returns the version in the store, bypassing injected faults.
 func (c *cluster) storedVersion(key template.Key) template.Version {
 	for entryKey, entry := range c.store.Entries() {
 		if entryKey != stored.Key(key) {
@@ -289,7 +290,8 @@
 	return template.Version{Revision: result.Template.Revision, ChangeID: result.Template.ChangeID}
 }
 
-// wantEverywhere checks what every node holds.
+// wantEverywhere checks that every node holds the wanted version of ticker and that no violation was
+// recorded.
 func (c *cluster) wantEverywhere(t *testing.T, want template.Version) {
 	t.Helper()
 	for _, node := range c.nodes {
--- a/pkg/configsync/digest.go
+++ b/pkg/configsync/digest.go
@@ -10,10 +10,11 @@
 	"github.com/bramblemast/bramblemast/pkg/template/stored"
 )
 
-// keyHash identifies a template in a digest.
+// keyHash returns the hash that identifies a template in a digest.
 func keyHash(key template.Key) uint64 { return xxhash.Sum64String(key.String()) }
 
-// digestOf is the version of a document as it travels in a listing.
+// digestOf returns the digest of a document as sent in listings and offers: the hash of its key, its
+// revision and the hash of its change id.
 func digestOf(published template.Published) *pb.EntryDigest {
 	return &pb.EntryDigest{
 		Key:      keyHash(published.Key()),
@@ -22,13 +23,13 @@
 	}
 }
 
-// fingerprint is a hash over key and version of a document.
+// fingerprint returns a hash over the key and version of a document.
 func fingerprint(published template.Published) uint64 {
 	digest := digestOf(published)
 	return hashNumbers(digest.Key, digest.Revision, digest.Change)
 }
 
-// hashNumbers hashes a few numbers into one.
+// hashNumbers combines numbers into one hash.
 func hashNumbers(numbers ...uint64) uint64 {
 	const width = 8
 	buffer := make([]byte, 0, width*len(numbers))
@@ -38,14 +39,14 @@
 	return xxhash.Sum64(buffer)
 }
 
-// shardSums has, for each shard, the exclusive or of its documents'
-// fingerprints. It changes in constant time with each document.
+// shardSums holds, for each shard, the exclusive or of its documents' fingerprints, which can be
+// updated in constant time when a document changes.
 type shardSums [stored.ShardCount]uint64
 
-// replace exchanges one document's fingerprint for another; zero for none.
+// replace swaps one document's fingerprint for another; zero means no document.
 func (s *shardSums) replace(shard stored.Shard, before, after uint64) {
 	s[shard] ^= before ^ after
 }
 
-// summary is a hash over all shards.
+// summary returns a hash over all shards.
 func (s *shardSums) summary() uint64 { return hashNumbers(s[:]...) }
--- a/pkg/configsync/exchange.go
+++ b/pkg/configsync/exchange.go
@@ -8,17 +8,19 @@
 	"github.com/bramblemast/bramblemast/pkg/template/stored"
 )
 
-// Bounds of one comparison. A frame may have 1 MiB.
+// Bounds of one comparison. They keep messages within the 1 MiB limit of a frame.
 const (
-	// maxListedEntries bounds the entries of a request.
+	// maxListedEntries bounds the entries listed in one request. A single shard that is larger is
+	// still listed whole.
 	maxListedEntries = 4096
-	// maxReplyBytes bounds the documents of a reply, and of a push after it.
+	// maxReplyBytes bounds the documents in a reply, and in the push that follows it.
 	maxReplyBytes = 256 << 10
-	// maxRounds bounds the requests of one comparison.
+	// maxRounds bounds the compare-and-reconcile rounds of one comparison.
 	maxRounds = 1000
 )
 
-// exchangeLoop compares with a random peer again and again.
+// exchangeLoop runs anti-entropy: it compares with a random peer about once per ExchangePeriod until
+// ctx ends.
 func (r *Replica) exchangeLoop(ctx context.Context) {
 	for r.pause(ctx, r.options.ExchangePeriod) {
 		partner, exists := r.randomPeer()
@@ -27,13 +29,13 @@
 		}
 		if _, err := r.exchange(ctx, partner, SourceExchange); err != nil {
 			r.counters.exchangesFailed.Add(1)
-			r.logger.Debug("comparison failed", "peer", partner.ID, "error", err)
+			r.logger.Debug("comparison with peer failed", "peer", partner.ID, "error", err)
 		}
 	}
 }
 
-// exchange makes this node and a peer hold the same. It returns whether the
-// peer is ready itself.
+// exchange compares with a peer and transfers documents until both hold the same versions, no
+// progress is made or maxRounds is reached. It returns whether the peer is ready itself.
 func (r *Replica) exchange(ctx context.Context, partner Peer, source Source) (bool, error) {
 	r.counters.exchanges.Add(1)
 	isReady := false
@@ -54,7 +56,7 @@
 	return isReady, nil
 }
 
-// compare returns the shards in which a peer differs.
+// compare returns the shards in which a peer differs, and whether the peer is ready.
 func (r *Replica) compare(ctx context.Context, partner Peer) ([]stored.Shard, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.CallTimeout)
 	defer cancel()
@@ -66,8 +68,9 @@
 	return r.table.differing(reply.ShardSums), reply.Ready, nil
 }
 
-// reconcile lists this node's documents of some shards to a peer, takes what
-// the peer returns and sends what it wants. More is true if something is left.
+// reconcile sends a peer a listing of this node's documents in some shards, applies the documents
+// that the peer returns and pushes those that it requests. It returns true if the exchange made
+// progress and documents remain.
 func (r *Replica) reconcile(ctx context.Context, partner Peer, shards []stored.Shard, source Source) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.CallTimeout)
 	defer cancel()
@@ -89,7 +92,7 @@
 	return progress && (reply.More || !complete || !sentAll), nil
 }
 
-// handleCompare tells a peer whether the two hold the same.
+// handleCompare replies with this node's shard sums if the summary of the peer differs.
 func (r *Replica) handleCompare(request *pb.CompareRequest) *pb.CompareReply {
 	reply := &pb.CompareReply{Ready: r.Ready()}
 	sums := r.table.shardSums()
@@ -99,7 +102,8 @@
 	return reply
 }
 
-// handleReconcile answers a listing with what is newer here and what is wanted.
+// handleReconcile answers a listing with the documents that are newer here and the key hashes of
+// those that are newer at the peer.
 func (r *Replica) handleReconcile(request *pb.ReconcileRequest) *pb.ReconcileReply {
 	reply := &pb.ReconcileReply{}
 	size := 0
@@ -132,8 +136,8 @@
 	return sums.summary()
 }
 
-// differing returns the shards whose sums are not those of a peer. Sums of
-// another length, of another release, make all shards differ.
+// differing returns the shards whose sums differ from a peer's; none if the peer sent no sums.
+// Shards that the peer sent no sum for, because another release has fewer shards, differ too.
 func (t *table) differing(others []uint64) []stored.Shard {
 	if len(others) == 0 {
 		return nil
@@ -148,8 +152,8 @@
 	return shards
 }
 
-// listing lists the documents of some shards. Complete is false if not all of
-// the shards had room.
+// listing lists the documents of some shards. Complete is false if not all of the shards fit within
+// maxListedEntries.
 func (t *table) listing(shards []stored.Shard) (request *pb.ReconcileRequest, complete bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -169,10 +173,10 @@
 	return request, true
 }
 
-// diffListing compares one shard with a peer's listing of it: the documents
-// that are newer here, and the key hashes of those that are newer there. Of two
-// documents with the same revision and different change ids both are exchanged,
-// since only the whole change id tells which is higher.
+// diffListing compares one shard with a peer's listing of it. It returns the documents that are
+// newer here, and the key hashes of those that are newer at the peer. If two documents have the same
+// revision but different change ids, both are exchanged, since only the whole change id, not its
+// hash, determines which is higher.
 func (t *table) diffListing(shard stored.Shard, entries []*pb.EntryDigest) (documents []template.Published, wanted []uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -198,8 +202,8 @@
 	return documents, wanted
 }
 
-// documentsByHash returns the encoded documents of some key hashes. Complete is false
-// if not all of them had room.
+// documentsByHash returns the encoded documents with the given key hashes. Complete is false if not
+// all of them fit within maxReplyBytes.
 func (t *table) documentsByHash(hashes []uint64) (documents [][]byte, complete bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/pkg/configsync/fuzz_test.go
+++ b/pkg/configsync/fuzz_test.go
@@ -14,8 +14,8 @@
 	"github.com/bramblemast/bramblemast/pkg/template/stored"
 )
 
-// FuzzMessages checks that no message makes a handler fail or the held version
-// go down.
+// FuzzMessages checks that no message body makes a handler panic, lowers the held version or
+// corrupts the index by key hash.
 func FuzzMessages(f *testing.F) {
 	document := content(ticker, "fuzz")
 	document.Revision, document.ChangeID = 9, "x"
@@ -43,17 +43,17 @@
 		}
 		held, isHeld := node.Held(ticker)
 		if !isHeld || held.Version().Compare(sealed.Version()) < 0 {
-			t.Fatalf("held %v", held.Version())
+			t.Fatalf("held version went down to %v", held.Version())
 		}
 		for hash, key := range node.table.byHash {
 			if keyHash(key) != hash || node.table.entries[key] == nil {
-				t.Fatalf("the index of %v is wrong", key)
+				t.Fatalf("index by key hash is wrong for %v", key)
 			}
 		}
 	})
 }
 
-// handlerTransport only collects handlers, for tests that call them directly.
+// handlerTransport only records handlers, for tests that call them directly. All its calls fail.
 type handlerTransport struct {
 	handlers map[peer.Kind]peer.Handler
 }
--- a/pkg/configsync/machine_test.go
+++ b/pkg/configsync/machine_test.go
@@ -31,14 +31,14 @@
 	stepWait
 )
 
-// stepKinds lists the kinds as often as they come up in proportion.
+// stepKinds lists each kind as often as its weight in the random selection.
 var stepKinds = []stepKind{
 	stepPublish, stepPublish, stepPublish, stepPublish, stepPublish, stepPublish, stepRace, stepRace,
 	stepWait, stepWait, stepWait, stepHeal, stepPartition, stepCutStore, stepRestart, stepOutage,
 	stepBackup, stepRollback, stepWriteFault, stepLimit, stepLoss,
 }
 
-// step is one event. Number and Mask pick nodes, keys, faults and times.
+// step is one event. Number and Mask select nodes, keys, faults and durations.
 type step struct {
 	Kind   stepKind
 	Number int
@@ -55,22 +55,21 @@
 	})
 }
 
-// convergence bounds the virtual time after which all nodes and the store hold
-// the same again, once every fault has ended. It is set by a store that went
-// back to the very index that a watch waits on: that shows only when the watch
-// ends, after DefaultWatchWait.
+// convergence bounds the virtual time until all nodes and the store hold the same versions after
+// every fault has ended. The slowest case is a store that was rolled back to exactly the index that
+// a watch waits on: it is detected only when the watch ends, after DefaultWatchWait.
 const convergence = DefaultWatchWait + 10*time.Second
 
-// machine runs steps against a cluster. Its oracle is the highest version of
-// each key that any live node or the store holds: it may fall only when a
-// machine or the store's state is taken away, and in the end it is what
-// everyone holds.
+// machine runs steps against a cluster. Its oracle is the highest version of each key that any live
+// node or the store holds. It may fall only when a node is replaced or the store is rolled back, and
+// at the end every node and the store must hold it.
 type machine struct {
 	*cluster
 	keys    []template.Key
 	backup  configstore.Snapshot
 	highest map[template.Key]template.Version
-	// accepted counts publications, for a look at how far the steps reach.
+	// accepted counts successful publications and deletions, to check that the steps get past
+	// refusals.
 	accepted int
 }
 
@@ -84,7 +83,7 @@
 	return m
 }
 
-// run returns what went wrong.
+// run applies the steps and returns the violations.
 func (m *machine) run(steps []step) []string {
 	defer m.close()
 	time.Sleep(startTime)
@@ -138,7 +137,7 @@
 	}
 }
 
-// waitUnit scales the waits, so that short and long ones both come up.
+// waitUnit scales the waits, so that both short and long ones occur.
 func (s step) waitUnit() uint { return uint(1 + 10*s.Number) }
 
 func (m *machine) publish(node *testNode, key template.Key, mask uint) {
@@ -172,7 +171,8 @@
 	m.network.Cut(m.addresses(one...), m.addresses(other...))
 }
 
-// observe updates the oracle.
+// observe updates the oracle. It records a violation if the highest version of a key fell and
+// mayFall is false.
 func (m *machine) observe(mayFall bool) {
 	for _, key := range m.keys {
 		current := m.storedVersion(key)
@@ -203,29 +203,30 @@
 	for _, key := range m.keys {
 		want := m.storedVersion(key)
 		if want.Compare(m.highest[key]) < 0 {
-			m.violation("%s: the store ends with %v, but %v was held", key, want, m.highest[key])
+			m.violation("%s: the store ends with %v, want at least %v, the highest version held", key, want, m.highest[key])
 		}
 		for _, node := range m.nodes {
 			if got := node.version(key); got != want || !node.replica.Ready() {
-				m.violation("%s: %s ends with %v, ready %v; the store has %v", key, node.ID, got, node.replica.Ready(), want)
+				m.violation("%s: node %s ends with version %v, ready %v; the store has version %v", key, node.ID, got, node.replica.Ready(), want)
 			}
 			m.checkInForce(node, key)
 		}
 	}
 }
 
-// checkInForce compares what requests see with what the node holds.
+// checkInForce checks that the template that requests use is the one that the node holds.
 func (m *machine) checkInForce(node *testNode, key template.Key) {
 	held, isHeld := node.replica.Held(key)
 	compiled, isInForce := node.replica.Get(key)
 	isLive := isHeld && !held.Template.Deleted
 	if isInForce != isLive || (isLive && compiled.Template.Revision != held.Template.Revision) {
-		m.violation("%s: %s holds %v, but runs %v", key, node.ID, held.Template, compiled)
+		m.violation("%s: node %s holds %v, but has %v in force", key, node.ID, held.Template, compiled)
 	}
 }
 
-// TestAcceptedChangesNeverRevert runs random steps of operators, faults and
-// replaced machines.
+// TestAcceptedChangesNeverRevert runs random sequences of publications, faults and node
+// replacements, and checks that no accepted change is reverted and that all nodes converge
+// afterwards.
 func TestAcceptedChangesNeverRevert(t *testing.T) {
 	accepted, runs := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
--- a/pkg/configsync/measure_test.go
+++ b/pkg/configsync/measure_test.go
@@ -26,17 +26,17 @@
 
 var measureLarge = flag.Bool("measure", false, "measure with up to 1,000 nodes in one process")
 
-// The load and the bounds of the measurement, in virtual time.
+// The load and the bounds of the measurement. Times are virtual.
 const (
 	measuredTime = 60 * time.Second
-	// changeRate is the letter's 96,000 changes a day.
+	// changeRate is in changes per second: the stated load of 96,000 changes a day.
 	changeRate = 96_000.0 / 86_400
-	// knownPeersPerZone is how many nodes of another zone membership knows.
+	// knownPeersPerZone is the number of nodes of each other zone that a node knows.
 	knownPeersPerZone = 5
-	// documentSize is about that of the largest example with its comment.
+	// documentSize is in bytes, about the size of the largest example including its comment.
 	documentSize = 1000
 
-	// storeLatency is the time of a call to the store.
+	// storeLatency is the duration of a read call to the store.
 	storeLatency = 3 * time.Millisecond
 
 	maxSpreadHealthy = 2 * time.Second
@@ -47,7 +47,7 @@
 type condition struct {
 	name  string
 	bound time.Duration
-	// before and after are run around each change.
+	// before and after run before and after each change.
 	before, after func(store *configstore.Memory)
 }
 
@@ -62,12 +62,12 @@
 	}
 }
 
-// size is a number of nodes and how they are spread, and of the templates that
-// the store holds before they start.
+// size is the number of nodes, the number of zones that they are spread over, and the number of
+// templates in the store before the nodes start.
 type size struct{ nodes, zones, templates int }
 
-// TestMeasureSpread measures the time from acceptance to in force at every
-// node, and what it costs each node, with changes at the letter's rate.
+// TestMeasureSpread measures the time from the acceptance of a change until it is in force at every
+// node, and the cost for each node, with changes at changeRate.
 func TestMeasureSpread(t *testing.T) {
 	sizes := []size{{3, 3, 100}, {30, 3, 100}}
 	if *measureLarge {
@@ -116,10 +116,10 @@
 		float64(messages)/seconds/float64(size.nodes), 100*processor.Seconds()/seconds/float64(size.nodes), m.heap(),
 		float64(calls.Reads-storeCalls.Reads)/seconds, float64(calls.Writes-storeCalls.Writes)/seconds)
 	if last := m.quantile(1); last > condition.bound {
-		t.Errorf("a change took %v to be in force everywhere", last)
+		t.Errorf("a change took %v to be in force at every node", last)
 	}
 	if want := m.changes * size.nodes; len(m.spreads) != want {
-		t.Errorf("%d of %d times known: some node missed a change", len(m.spreads), want)
+		t.Errorf("%d of %d spread times recorded: a node missed a change", len(m.spreads), want)
 	}
 }
 
@@ -130,7 +130,7 @@
 	random  *rand.Rand
 	views   atomic.Pointer[map[target.Zone][]Peer]
 	changes int
-	// records guards acceptedAt and taken.
+	// recordsMutex guards acceptedAt and inForceAt, which are keyed by change id.
 	recordsMutex sync.Mutex
 	acceptedAt   map[string]time.Time
 	inForceAt    map[string][]time.Time
@@ -149,14 +149,14 @@
 		all = append(all, self)
 		options.Peers = func() []Peer { return (*m.views.Load())[self.Zone] }
 		options.Store.(*reachableStore).replyDelay = storeLatency
-		options.onReplace = func(next template.Published) { m.recordInForce(next.Template.ChangeID) }
+		options.onAccept = func(next template.Published) { m.recordInForce(next.Template.ChangeID) }
 	})
 	views := viewsOf(all)
 	m.views.Store(&views)
 	return m
 }
 
-// preload makes a store that holds the templates in their first revision.
+// newPopulatedStore returns a store that holds the templates in their first revision.
 func (m *measurement) newPopulatedStore() *configstore.Memory {
 	store := configstore.NewMemory()
 	publisher, err := publish.New(publish.Options{Store: store})
@@ -171,14 +171,15 @@
 	return store
 }
 
-// document makes the content of one template.
+// document returns the content of one template, of about documentSize bytes.
 func (m *measurement) document(number int) *template.Template {
 	document := content(template.Key{Tenant: "tenant", Name: fmt.Sprint("template", number%m.size.templates)}, "operator")
 	document.Comment = strings.Repeat("x", documentSize-200)
 	return document
 }
 
-// viewsOf gives each zone its own members and a few of each other zone.
+// viewsOf returns the peers known in each zone: all of its own members and up to knownPeersPerZone
+// of each other zone.
 func viewsOf(all []Peer) map[target.Zone][]Peer {
 	views, zones := map[target.Zone][]Peer{}, map[target.Zone][]Peer{}
 	for _, node := range all {
@@ -201,7 +202,8 @@
 	m.inForceAt[changeID] = append(m.inForceAt[changeID], time.Now())
 }
 
-// publishSteadily publishes changes at random nodes.
+// publishSteadily publishes changes through random nodes at changeRate for measuredTime, and then
+// collects the spread times.
 func (m *measurement) publishSteadily(condition condition) {
 	interval := time.Duration(float64(time.Second) / changeRate)
 	deadline := time.Now().Add(measuredTime)
@@ -215,8 +217,8 @@
 	m.recordsMutex.Lock()
 	defer m.recordsMutex.Unlock()
 	for changeID, acceptedAt := range m.acceptedAt {
-		for _, inForceAt := range m.inForceAt[changeID] {
-			m.spreads = append(m.spreads, max(inForceAt.Sub(acceptedAt), 0))
+		for _, enforcedAt := range m.inForceAt[changeID] {
+			m.spreads = append(m.spreads, max(enforcedAt.Sub(acceptedAt), 0))
 		}
 	}
 }
@@ -274,7 +276,7 @@
 	return float64(stats.HeapAlloc) / 1024 / float64(m.size.nodes)
 }
 
-// processorTime returns the processor time of this process.
+// processorTime returns the user and system processor time of this process.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/pkg/configsync/members.go
+++ b/pkg/configsync/members.go
@@ -8,15 +8,15 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// member is an alive peer with its place in the order for one document or one
-// prefix. The order is a rendezvous hash: it differs for each subject, and a
-// member that comes or goes does not move the others.
+// member is an alive peer with its hash for one subject, a document or a prefix, which determines
+// its position in the order for that subject. This is rendezvous hashing: the order differs for each
+// subject, and a member that joins or leaves does not change the order of the others.
 type member struct {
 	Peer
 	hash uint64
 }
 
-// memberHash is a member's place in the order for a subject.
+// memberHash returns the hash by which a member is ordered for a subject.
 func memberHash(subject uint64, id target.NodeID) uint64 {
 	return rendezvous.ScoreHashed(subject, string(id))
 }
@@ -49,7 +49,7 @@
 	return zones
 }
 
-// alivePeers returns the alive peers without this node.
+// alivePeers returns the alive peers, excluding this node.
 func (r *Replica) alivePeers() []Peer {
 	var alive []Peer
 	for _, known := range r.options.Peers() {
@@ -66,8 +66,8 @@
 	})
 }
 
-// randomPeer picks a random alive peer: mostly of the own zone, now and then
-// of another. It returns false if there is none.
+// randomPeer picks a random alive peer, from this node's zone or, with probability otherZoneShare,
+// from another. It returns false if there is no alive peer.
 func (r *Replica) randomPeer() (Peer, bool) {
 	const otherZoneShare = 0.2
 	var sameZone, elsewhere []Peer
--- a/pkg/configsync/options.go
+++ b/pkg/configsync/options.go
@@ -23,10 +23,10 @@
 	Alive   bool
 }
 
-// Repairer writes a document back into a store that went back to an older
-// state. publish.Publisher implements it.
+// Repairer writes a document back into a store that was rolled back to an older state.
+// publish.Publisher implements it.
 type Repairer interface {
-	// Repair returns false if the store's document is as new as held.
+	// Repair returns false, without writing, if the store's document is at least as new as held.
 	Repair(ctx context.Context, held template.Published) (bool, error)
 }
 
@@ -44,59 +44,56 @@
 	DefaultBootstrapPeers   = 3
 )
 
-// Options sets up a Replica. Self, Peers, Transport and Store are required; the
-// zero value of another field stands for its default.
+// Options configures a Replica. Self, Peers, Transport and Store are required; a zero value of a
+// field that has a default selects that default.
 type Options struct {
 	// Self is this node.
 	Self Peer
-	// Peers returns the nodes that this node knows: all of its zone and some of
-	// each other zone, with or without itself. It is called often and must not
-	// block.
+	// Peers returns the nodes that this node knows: all of its zone and some of each other zone. The
+	// node itself may be included. It is called often and must not block.
 	Peers     func() []Peer
 	Transport peer.Transport
 	Store     configstore.Store
-	// Repairer repairs the store; it is not repaired if nil.
+	// Repairer repairs a store that was rolled back; if nil, the store is not repaired.
 	Repairer Repairer
 	Logger   hclog.Logger
-	// Seed starts the random numbers.
+	// Seed seeds the random number generator, together with the id of the node.
 	Seed uint64
 
-	// WatchersPerZone is the number of nodes of each zone that watch the same
-	// prefix of the store.
+	// WatchersPerZone is the number of nodes of each zone that watch the same prefix of the store.
 	WatchersPerZone int
-	// MaxBytesPerWatch bounds the documents, in bytes, that one watch should read
-	// with each change. The templates are watched by 1, 16 or 256 prefixes as it
-	// demands, so that the reading is spread over more nodes.
+	// MaxBytesPerWatch is the target bound on the bytes of documents that one watch reads with each
+	// change. The templates are watched under 1, 16 or 256 prefixes, depending on their total size,
+	// so that reads are spread over more nodes.
 	MaxBytesPerWatch int
-	// StoreCallsPerSecond bounds the calls of all watchers of all nodes
-	// together; each keeps to its share.
+	// StoreCallsPerSecond bounds the rate of store calls by the watchers of all nodes together; each
+	// watcher limits itself to its share.
 	StoreCallsPerSecond float64
-	// WatchWait is how long the store may hold a watch that sees no change, at
-	// the least: where there are many watches they wait longer, to keep to
-	// StoreCallsPerSecond.
+	// WatchWait is the minimum time that the store may hold a watch that sees no change. With many
+	// watches the wait is longer, to stay within StoreCallsPerSecond.
 	WatchWait time.Duration
-	// ExchangePeriod is the time between two comparisons that this node starts
-	// with a random peer.
+	// ExchangePeriod is the mean time between two comparisons that this node starts with a random
+	// peer.
 	ExchangePeriod time.Duration
-	// Fanout is the number of members that a node passes a document on to.
+	// Fanout is the number of parts into which a node divides the members that it passes a document
+	// on to.
 	Fanout int
-	// PushTimeout bounds one push, CallTimeout one call of a comparison.
+	// PushTimeout bounds one push, CallTimeout one call of a comparison or a survey.
 	PushTimeout time.Duration
 	CallTimeout time.Duration
 
-	// BootstrapPeers is the number of peers that a new node asks.
+	// BootstrapPeers is the number of peers that a new node compares with in each attempt.
 	BootstrapPeers int
-	// PeerWait is how long a new node waits for a first peer before it takes
-	// the store's word alone.
+	// PeerWait is how long a new node waits for a first peer before it relies on the store alone.
 	PeerWait time.Duration
-	// StandaloneAfter lets a new node that reaches neither the store nor a ready
-	// peer become ready, without templates, after this time. Zero means never,
-	// which is right wherever the store holds templates.
+	// StandaloneAfter is the time after which a new node that reaches neither the store nor a ready
+	// peer becomes ready without templates. Zero means never, which is right wherever the store
+	// holds templates.
 	StandaloneAfter time.Duration
 
-	// onReplace, set by tests, is called under the table's mutex with each
-	// document that replaces another.
-	onReplace func(template.Published)
+	// onAccept is a hook for tests. It is called under the table's mutex with each document that
+	// the table accepts.
+	onAccept func(template.Published)
 }
 
 // withDefaults checks the options and fills in defaults.
--- a/pkg/configsync/relay.go
+++ b/pkg/configsync/relay.go
@@ -8,45 +8,45 @@
 	"github.com/bramblemast/bramblemast/pkg/template"
 )
 
-// A document spreads in a zone along a tree. Its members are ordered by a hash
-// of document and member, so the tree differs for each document and the work is
-// even over many. The first of the order is the root. Each node that passes a
-// document on splits the members that it is responsible for, a range of the
-// order, into Fanout parts, and hands each part to the part's first member. If
-// that member does not answer, the next one gets the rest of the part; after
-// maxHeadsTried members in a row the node divides the rest anew, so that no number of
-// members that are down hides those behind them. A range is of hashes and not of
-// positions, so members that only one of two nodes knows of do not shift the
-// others.
+// A document spreads in a zone along a tree. The members of the zone are ordered by a hash of
+// document and member, so the tree differs for each document and the load is even over many
+// documents. The first member of the order is the root. Each node that passes a document on splits
+// the range of the order that it is responsible for into Fanout parts, and sends each part to its
+// first member, the head. If the head does not answer, the next member becomes the head of the rest
+// of the part. After maxHeadsTried heads in a row have failed, the node splits the rest again, so
+// that members that are down can't keep a document from those after them, however many they are.
+// Ranges are given as hashes, not positions, so a member that only one of two nodes knows does not
+// shift the others.
 //
-// Whoever learns a document outside the tree hands it to the root, which starts
-// the tree once and offers the document to each other zone.
+// A node that receives a document outside the tree hands it to the root, which starts the tree once
+// and offers the document to each other zone.
 
 const (
-	// pushQueueCapacity bounds the pushes that wait; what exceeds it is left to the
-	// comparisons.
+	// pushQueueCapacity bounds the pushes that wait in each queue. Pushes beyond it are dropped; the
+	// periodic comparisons deliver those documents.
 	pushQueueCapacity = 1024
-	// localSenders and remoteSenders bound the pushes that are under way.
+	// localSenders and remoteSenders bound the concurrent pushes within the zone and to other zones.
 	localSenders  = 8
 	remoteSenders = 4
-	// maxHeadsTried bounds the members that are tried one after the other for one part of
-	// the zone, so that those behind them wait for four pushes at most.
+	// maxHeadsTried bounds the heads that are tried one after the other for one part, so that the
+	// members after them wait for four push timeouts at most.
 	maxHeadsTried = 4
 )
 
-// push is a document on its way to one of some members.
+// pushTask is a document to be sent to the first of some members that answers.
 type pushTask struct {
 	published template.Published
 	route     pb.Route
-	// heads are tried in order until one takes the document. It gets the range
-	// from its own hash to last.
+	// heads are tried in order until one answers. It becomes responsible for the range from its own
+	// hash to lastHash; on the route to the root the range starts at 0.
 	heads    []member
 	lastHash uint64
-	// failed is called if none took the document; nil for nothing.
+	// onFailure is called if none of the tried heads answered; may be nil.
 	onFailure func()
 }
 
-// introduce hands a document to the root of this node's zone, once.
+// handToRoot hands a version to the root of this node's zone, once. This node acts as the root
+// itself if it is first in the order or none of the members tried before it answers.
 func (r *Replica) handToRoot(published template.Published) {
 	if !r.table.markHandedToRoot(published) {
 		return
@@ -69,7 +69,7 @@
 	})
 }
 
-// root starts the zone's tree and tells the other zones, once.
+// startTree starts the zone's tree for a version and offers the version to the other zones, once.
 func (r *Replica) startTree(published template.Published) {
 	if !r.table.markTreeStarted(published) {
 		return
@@ -80,7 +80,8 @@
 	}
 }
 
-// branch passes a document on to the members with hashes from first to last.
+// relayRange passes a document on to the members with hashes from firstHash to lastHash, both
+// inclusive, except this node and the sender.
 func (r *Replica) relayRange(published template.Published, firstHash, lastHash uint64, sender string) {
 	var members []member
 	for _, candidate := range r.zoneOrder(fingerprint(published)) {
@@ -92,8 +93,8 @@
 	r.enqueueParts(published, members, lastHash)
 }
 
-// divide hands ordered members, whose last hash is at most last, to the heads of
-// their parts.
+// enqueueParts splits ordered members, whose hashes are at most lastHash, into parts and enqueues a
+// push to the heads of each.
 func (r *Replica) enqueueParts(published template.Published, members []member, lastHash uint64) {
 	for _, part := range split(members, r.options.Fanout, lastHash) {
 		part.published, part.route = published, pb.Route_ROUTE_BRANCH
@@ -101,7 +102,7 @@
 	}
 }
 
-// split cuts ordered members into at most count parts of even size.
+// split divides ordered members into at most count parts of nearly equal size.
 func split(members []member, count int, lastHash uint64) []pushTask {
 	count = min(count, len(members))
 	parts := make([]pushTask, 0, count)
@@ -124,7 +125,7 @@
 	}
 }
 
-// sendLoop sends the pushes of a queue.
+// sendLoop sends the pushes of a queue until ctx ends.
 func (r *Replica) sendLoop(ctx context.Context, queue <-chan pushTask) {
 	for {
 		select {
@@ -136,7 +137,8 @@
 	}
 }
 
-// send offers a document to one head after the other.
+// send tries the heads of a push in order until one answers, maxHeadsTried at most. The rest of a
+// part whose tried heads all failed is split again.
 func (r *Replica) send(ctx context.Context, item pushTask) {
 	tried := min(len(item.heads), maxHeadsTried)
 	for _, head := range item.heads[:tried] {
@@ -159,7 +161,8 @@
 	}
 }
 
-// sendTo reports whether the member answered.
+// sendTo sends a push to one head and reports whether it answered. A push to another zone is
+// preceded by an offer, so that the document is sent only if the head wants it.
 func (r *Replica) sendTo(ctx context.Context, head member, item pushTask, firstHash uint64) bool {
 	request := &pb.Push{
 		Documents: [][]byte{item.published.Encoded}, Route: item.route, First: firstHash, Last: item.lastHash,
@@ -181,20 +184,21 @@
 	return true
 }
 
-// sendPush sends one message; false if it was not answered.
+// sendPush sends one push message. It returns false if there was no answer.
 func (r *Replica) sendPush(ctx context.Context, head member, request *pb.Push) (*pb.PushReply, bool) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.PushTimeout)
 	defer cancel()
 	reply := &pb.PushReply{}
 	if err := r.call(ctx, head.Peer, kindPush, request, reply); err != nil {
 		r.counters.pushesFailed.Add(1)
-		r.logger.Debug("push failed", "peer", head.ID, "error", err)
+		r.logger.Debug("push to peer failed", "peer", head.ID, "error", err)
 		return nil, false
 	}
 	return reply, true
 }
 
-// handlePush takes documents from a peer and passes them on as it asks.
+// handlePush applies the documents of a peer, passes them on as the route of the request demands,
+// and replies with newer documents of this node and the offers that it wants.
 func (r *Replica) handlePush(sender string, request *pb.Push) *pb.PushReply {
 	reply := &pb.PushReply{}
 	for _, encoded := range request.Documents {
@@ -215,7 +219,7 @@
 	return reply
 }
 
-// wants reports whether an offered document may be newer than the held one.
+// mayBeNewer reports whether an offered document may be newer than the held one.
 func (t *table) mayBeNewer(offer *pb.EntryDigest) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -227,8 +231,8 @@
 	return offer.Revision > local.Revision || (offer.Revision == local.Revision && offer.Change != local.Change)
 }
 
-// receive takes one document and passes it on in the role that the route gives
-// this node. It returns this node's document if that is newer.
+// receivePushed applies one document and passes it on in the role that the route assigns to this
+// node. It returns this node's encoded document if that is newer and the push came along a tree.
 func (r *Replica) receivePushed(sender string, published template.Published, request *pb.Push) []byte {
 	if request.Route == pb.Route_ROUTE_NONE {
 		r.applyAndSpread(published, SourceExchange)
--- a/pkg/configsync/replica.go
+++ b/pkg/configsync/replica.go
@@ -1,14 +1,14 @@
-// Package configsync keeps the published templates in force at every node.
+// Package configsync replicates the published templates to every node.
 //
-// Each node holds the highest version of each template, in memory only. A
-// change spreads from the node through which it was published, or from the few
-// watchers that each zone has at the store, along a tree over the zone's
-// members that differs for each change, and once to each other zone. Random
-// comparisons between nodes repair what the trees miss. A node that starts
-// fetches all from peers and from the store before it is ready.
+// Each node holds the highest version of each template, in memory only. A change spreads from the
+// node through which it was published, or from the few nodes of each zone that watch the store.
+// Within a zone it follows a tree over the members that differs for each change, and it is sent once
+// to each other zone. Periodic comparisons between random nodes (anti-entropy) deliver what the
+// trees miss. A node that starts fetches all templates from peers and from the store before it is
+// ready.
 //
-// The invariant of this package: the version of a template that is in force at
-// a node never goes down, whatever the store or a peer says; see table.offer.
+// The invariant of this package: the version of a template that a node holds never decreases while
+// its process runs, whatever the store or a peer sends; see table.offer.
 //
 // docs/design/configuration.md explains the choices.
 package configsync
@@ -32,8 +32,8 @@
 	table    *table
 	counters counters
 	ready    atomic.Bool
-	// local and remote queue the pushes within the zone and to other zones, so
-	// that zones which are cut off don't hold up the node's own.
+	// localQueue and remoteQueue hold the pushes within the zone and to other zones. They are
+	// separate so that pushes to unreachable zones don't delay those within the node's own zone.
 	localQueue  chan pushTask
 	remoteQueue chan pushTask
 	watches     *watchManager
@@ -46,8 +46,8 @@
 	subscribers map[chan struct{}]struct{}
 }
 
-// New checks the options and makes a Replica. It registers its handlers at the
-// transport, which must not serve yet.
+// New creates a Replica and registers its handlers at the transport, which must not serve yet. It
+// returns an error if a required option is missing.
 func New(options Options) (*Replica, error) {
 	options, err := options.withDefaults()
 	if err != nil {
@@ -56,7 +56,7 @@
 	created := &Replica{
 		options:     options,
 		logger:      options.Logger,
-		table:       newTable(options.onReplace),
+		table:       newTable(options.onAccept),
 		localQueue:  make(chan pushTask, pushQueueCapacity),
 		remoteQueue: make(chan pushTask, pushQueueCapacity),
 		random:      rand.New(rand.NewPCG(options.Seed, nodeSeed(options.Self))),
@@ -67,10 +67,10 @@
 	return created, nil
 }
 
-// nodeSeed tells nodes apart that were given the same seed.
+// nodeSeed gives nodes with the same Options.Seed different random numbers.
 func nodeSeed(self Peer) uint64 { return memberHash(0, self.ID) }
 
-// Run keeps the replica up to date until ctx ends.
+// Run keeps the replica up to date until ctx ends. It always returns nil.
 func (r *Replica) Run(ctx context.Context) error {
 	var group sync.WaitGroup
 	group.Go(func() { r.bootstrap(ctx) })
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// Get returns the template in force, without a lock.
+// Get returns the template in force without taking a lock. It returns false if there is none.
 func (r *Replica) Get(key template.Key) (*template.Compiled, bool) {
 	found, isKnown := r.table.inForce.Load(key)
 	if !isKnown {
@@ -95,10 +95,11 @@
 	return found.(*template.Compiled), true
 }
 
-// Held returns the document that this node holds, tombstones included.
+// Held returns the document that this node holds for a key, which may be a tombstone. It returns
+// false if there is none.
 func (r *Replica) Held(key template.Key) (template.Published, bool) { return r.table.get(key) }
 
-// List returns every template in force.
+// List returns every template in force, sorted by key.
 func (r *Replica) List() []*template.Compiled {
 	var all []*template.Compiled
 	r.table.inForce.Range(func(_, compiled any) bool {
@@ -112,14 +113,15 @@
 // Ready reports whether the replica has fetched what peers and the store hold.
 func (r *Replica) Ready() bool { return r.ready.Load() }
 
-// Announce takes a change that was accepted through this node and passes it on
-// at once. It does not block.
+// Announce applies a change that was published through this node and passes it on at once. It does
+// not wait for other nodes.
 func (r *Replica) Announce(published template.Published) {
 	r.applyAndSpread(published, SourceLocal)
 }
 
-// Subscribe returns a channel that gets a value after a template or the
-// readiness changed; values that are not read are merged. Stop ends it.
+// Subscribe returns a channel that receives a value after a template or the readiness of the replica
+// has changed. Notifications that have not been read are merged into one. Stop ends the
+// subscription; it does not close the channel.
 func (r *Replica) Subscribe() (changes <-chan struct{}, stop func()) {
 	subscriber := make(chan struct{}, 1)
 	r.mutex.Lock()
@@ -143,9 +145,9 @@
 	}
 }
 
-// learn offers a document that came from outside the zone's tree to the table,
-// and hands it to the tree if it is new. A node that is not ready fetches what
-// the others have long had, and passes on only its own changes.
+// applyAndSpread offers a document that came from outside the zone's tree to the table, and hands it
+// to the root of the tree if it is new. A node that is not ready passes on only changes published
+// through it, since the documents that it fetches are already known to the others.
 func (r *Replica) applyAndSpread(published template.Published, source Source) {
 	result := r.apply(published, source)
 	if result == resultNewer && (r.Ready() || source == SourceLocal) {
@@ -153,7 +155,8 @@
 	}
 }
 
-// take offers a document to the table.
+// apply offers a document to the table, counts the result, and logs and notifies subscribers if the
+// document is new.
 func (r *Replica) apply(published template.Published, source Source) offerResult {
 	result := r.table.offer(published, source, time.Now())
 	r.counters.addOffer(source, result)
@@ -166,7 +169,7 @@
 	return result
 }
 
-// pause waits for about duration, half of it more or less at random; false if
+// pause waits for a random time between half and one and a half times duration. It returns false if
 // ctx ended.
 func (r *Replica) pause(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration/2 + r.randomDuration(duration))
@@ -179,7 +182,7 @@
 	}
 }
 
-// randomDuration returns a duration from 0 to below limit.
+// randomDuration returns a random duration in [0, limit), or 0 if limit is not positive.
 func (r *Replica) randomDuration(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
--- a/pkg/configsync/replica_test.go
+++ b/pkg/configsync/replica_test.go
@@ -17,13 +17,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startTime is enough virtual time for every node to become ready.
+// startTime is the virtual time within which every node becomes ready.
 const startTime = 5 * time.Second
 
-// spreadTime is the virtual time in which the trees reach every node.
+// spreadTime is the virtual time within which the trees reach every node.
 const spreadTime = 200 * time.Millisecond
 
-// runInCluster runs a test in virtual time with nodes that are ready.
+// runInCluster runs a test in virtual time with a cluster of nodes that are ready.
 func runInCluster(t *testing.T, size, zones int, tune func(*Options), body func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -90,8 +90,9 @@
 	})
 }
 
-// TestChangeReachesTheRestOfAPartWhoseHeadsAreFrozen freezes as many members at
-// the start of one part of the tree as are tried for it.
+// TestChangeReachesTheRestOfAPartWhoseHeadsAreFrozen freezes the first maxHeadsTried members of one
+// part of the tree. Unless the rest of the part is split again after these have failed, its members
+// never receive the document.
 func TestChangeReachesTheRestOfAPartWhoseHeadsAreFrozen(t *testing.T) {
 	treesOnly := func(o *Options) { o.ExchangePeriod = 24 * time.Hour }
 	runInCluster(t, 40, 1, treesOnly, func(t *testing.T, c *cluster) {
@@ -158,7 +159,7 @@
 		version := mustPublish(t, rest[0], "first")
 		time.Sleep(time.Minute)
 		if got := cut[0].version(ticker); got != (template.Version{}) {
-			t.Fatalf("a node that is cut off holds %v", got)
+			t.Fatalf("a node that is cut off holds %v, want nothing", got)
 		}
 		c.network.Heal() // the store stays out of reach: only the comparisons are left
 		time.Sleep(30 * time.Second)
@@ -229,7 +230,7 @@
 			everything.Shards = append(everything.Shards, &pb.ShardListing{Shard: shard})
 		}
 		if reply := c.nodes[0].replica.handleReconcile(everything); reply.SizeVT() > 2*maxReplyBytes || !reply.More {
-			t.Errorf("a reply has %d bytes, more is %v", reply.SizeVT(), reply.More)
+			t.Errorf("reply of %d bytes with More %v, want a bounded reply with More set", reply.SizeVT(), reply.More)
 		}
 		if _, err := c.nodes[1].replica.exchange(t.Context(), c.nodes[0].Peer, SourceExchange); err != nil {
 			t.Fatal(err)
@@ -251,6 +252,6 @@
 
 func TestOptionsAreChecked(t *testing.T) {
 	if _, err := New(Options{}); err == nil {
-		t.Error("options without a store were taken")
+		t.Error("New accepted options without required fields")
 	}
 }
--- a/pkg/configsync/stats.go
+++ b/pkg/configsync/stats.go
@@ -4,8 +4,8 @@
 	"sync/atomic"
 )
 
-// Stats counts what a replica did since it was made. Bytes are those of the
-// messages, without frames; the transport counts those.
+// Stats holds counters of a replica since its creation. Bytes are those of the message bodies,
+// without framing; the transport counts frames.
 type Stats struct {
 	// MessagesOut and MessagesIn count requests and replies alike.
 	MessagesOut uint64
@@ -13,13 +13,13 @@
 	BytesOut    uint64
 	BytesIn     uint64
 
-	// Taken counts the documents that replaced an older one, by source.
+	// Applied counts the documents that were accepted as new or newer, by source.
 	Applied map[Source]uint64
-	// Duplicates counts the documents that were held already, Refused those
-	// that were older than the held one.
+	// Duplicates counts the offered documents that were held already, Refused those that were older
+	// than the held one.
 	Duplicates uint64
 	Refused    uint64
-	// Malformed counts documents that could not be read.
+	// Malformed counts documents that could not be decoded.
 	Malformed uint64
 
 	PushesFailed    uint64
@@ -29,17 +29,18 @@
 
 	StoreCalls  uint64
 	StoreErrors uint64
-	// StoreBytes counts the bytes of the values that were read.
+	// StoreBytes counts the bytes of the values read from the store.
 	StoreBytes uint64
-	// StoreBehind counts documents that a read of the store showed in an older
-	// version, each time; Repaired those that this node wrote back.
+	// StoreBehind counts documents that the store was found to have lost or to hold in an older
+	// version, once for each read; Repaired counts those that this node wrote back.
 	StoreBehind uint64
 	Repaired    uint64
-	// Forks counts pairs of documents with the same revision.
+	// Forks counts held documents for which another document with the same revision and a different
+	// change id was offered.
 	Forks uint64
 }
 
-// counters is the live form of Stats.
+// counters holds the live values of Stats.
 type counters struct {
 	messagesOut, messagesIn, bytesOut, bytesIn        atomic.Uint64
 	local, store, push, exchange, bootstrap           atomic.Uint64
@@ -68,7 +69,7 @@
 	c.addSent(replyBytes)
 }
 
-// offered counts a document that was offered to the table.
+// addOffer counts a document that was offered to the table.
 func (c *counters) addOffer(source Source, result offerResult) {
 	switch result {
 	case resultOlder:
--- a/pkg/configsync/status.go
+++ b/pkg/configsync/status.go
@@ -15,45 +15,45 @@
 	"github.com/bramblemast/bramblemast/pkg/template"
 )
 
-// TemplateStatus is what a node holds of one template.
+// TemplateStatus describes the document that a node holds for one template.
 type TemplateStatus struct {
 	Key     template.Key
 	Version template.Version
 	Deleted bool
-	// InForce is false for a tombstone, and for a document that this node
-	// can't run; Invalid says why not. An earlier one is in force then.
+	// InForce is false for a tombstone, and for a document that this node can't compile. In the
+	// latter case Invalid holds the error, and an earlier document stays in force if there was one.
 	InForce bool
 	Invalid string
 	Source  Source
-	// Since is when this node took the document.
+	// Since is the time at which this node accepted the document.
 	Since time.Time
-	// Lag is the time from the making of the change to Since, by the clocks of
-	// both nodes; zero if the change id does not tell.
+	// Lag is the time from the creation of the change to Since, subject to the clock difference
+	// between the two nodes; zero if the change id carries no time.
 	Lag time.Duration
-	// StoreBehind is set while the store holds an older version.
+	// StoreBehind is set while the store has lost the document or holds an older version.
 	StoreBehind bool
-	// Fork is set if another change with the same revision was seen.
+	// Fork is set if another change with the same revision was received.
 	Fork bool
 }
 
-// StoreStatus is what a node knows of the store.
+// StoreStatus describes the store as this node sees it.
 type StoreStatus struct {
-	// Watched are the prefixes that this node watches; most nodes watch none.
+	// WatchedPrefixes are the prefixes that this node watches; most nodes watch none.
 	WatchedPrefixes []string
-	// Index and ReadAt are of the last read; zero if this node never read.
+	// Index and ReadAt are the store index and the time of the last successful read; zero if there
+	// was none.
 	Index  uint64
 	ReadAt time.Time
 	// LastError is the error of the last call; empty if it succeeded.
 	LastError string
-	// Behind counts the templates of which the store holds an older version.
+	// Behind counts the templates that the store has lost or holds in an older version.
 	Behind int
 }
 
 // Status is the state of a replica.
 type Status struct {
 	Ready bool
-	// Summary is a hash over all documents; it is equal at nodes that hold the
-	// same.
+	// Summary is a hash over all documents; it is equal at nodes that hold the same versions.
 	Summary   uint64
 	Templates []TemplateStatus
 	Store     StoreStatus
@@ -87,8 +87,8 @@
 	return status
 }
 
-// lag returns the age of a change at a moment. Change ids are UUIDs of
-// version 7, which carry their time.
+// lag returns the age of a change at the given time. Change ids are UUIDs of version 7, which carry
+// their creation time; the lag of any other change id is zero.
 func lag(changeID string, at time.Time) time.Duration {
 	const timeOrdered = 7
 	id, err := uuid.Parse(changeID)
@@ -125,7 +125,7 @@
 	r.storeError = err
 }
 
-// Report is what one node answers about a template.
+// Report is the answer of one node about a template.
 type Report struct {
 	Node   target.NodeID
 	Zone   target.Zone
@@ -143,12 +143,11 @@
 	Templates int
 }
 
-// maxConcurrentSurveyCalls bounds the nodes that are asked at once.
+// maxConcurrentSurveyCalls bounds the concurrent calls of one survey.
 const maxConcurrentSurveyCalls = 32
 
-// Survey asks every peer that this node knows to be alive, and this node
-// itself, for its version of a template. The reports are sorted by zone and
-// node.
+// Survey queries every peer that this node considers alive, and this node itself, for its version of
+// a template. The reports are sorted by zone and node.
 func (r *Replica) Survey(ctx context.Context, key template.Key) []Report {
 	peers := append(r.alivePeers(), r.options.Self)
 	reports := make([]Report, len(peers))
@@ -183,7 +182,7 @@
 	return report
 }
 
-// handleStatus answers a survey.
+// handleStatus answers a survey with this node's state.
 func (r *Replica) handleStatus(request *pb.StatusRequest) *pb.StatusReply {
 	key := template.Key{Tenant: request.Tenant, Name: request.Name}
 	r.table.mutex.Lock()
--- a/pkg/configsync/store_test.go
+++ b/pkg/configsync/store_test.go
@@ -59,7 +59,7 @@
 			stats := node.replica.Stats()
 			reported, repaired = reported+stats.StoreBehind, repaired+stats.Repaired
 			if behind := node.replica.Status().Store.Behind; behind != 0 {
-				t.Errorf("%s still reports %d templates", node.ID, behind)
+				t.Errorf("%s still reports the store behind in %d templates", node.ID, behind)
 			}
 		}
 		if reported == 0 || repaired == 0 {
@@ -68,10 +68,10 @@
 	})
 }
 
-// TestStoreThatWentBackDuringAChangeIsRepaired was found by the state machine:
-// a change that is learned during a watch could be from after the state that
-// the watch returns, and was left out of the comparison until the watch after
-// next.
+// TestStoreThatWentBackDuringAChangeIsRepaired guards against a rollback that is detected late. A
+// change that is accepted during a watch may be newer than the state that the watch returns, so it
+// is left out of that comparison; without an immediate second read it was compared only by the watch
+// after next.
 func TestStoreThatWentBackDuringAChangeIsRepaired(t *testing.T) {
 	runInCluster(t, 6, 3, nil, func(t *testing.T, c *cluster) {
 		backup := c.store.Snapshot()
@@ -131,7 +131,7 @@
 			before := c.store.Counts().Reads
 			time.Sleep(seconds * time.Second)
 			if rate := float64(c.store.Counts().Reads-before) / seconds; rate > callsPerSecond {
-				t.Errorf("with the store away %v: %.1f calls a second", away, rate)
+				t.Errorf("store unavailable %v: %.1f calls per second", away, rate)
 			}
 		}
 	})
--- a/pkg/configsync/table.go
+++ b/pkg/configsync/table.go
@@ -9,7 +9,7 @@
 	"github.com/bramblemast/bramblemast/pkg/template/stored"
 )
 
-// Source says where a node learned a document.
+// Source says how a node obtained a document.
 type Source string
 
 // The sources.
@@ -17,55 +17,56 @@
 	// SourceLocal is a change that was published through this node.
 	SourceLocal Source = "local"
 	SourceStore Source = "store"
-	// SourcePush is a document that a peer passed on.
+	// SourcePush is a document that a peer passed on along a tree.
 	SourcePush Source = "push"
 	// SourceExchange is a comparison with a peer.
 	SourceExchange Source = "exchange"
-	// SourceBootstrap is a comparison with a peer before this node was ready.
+	// SourceBootstrap is a comparison with a peer, or a read of the store, before this node was
+	// ready.
 	SourceBootstrap Source = "bootstrap"
 )
 
-// verdict is what became of a document that was offered to the table.
+// offerResult is the outcome of offering a document to the table.
 type offerResult int
 
 const (
-	// older means that the table holds a higher version.
+	// resultOlder means that the table holds a higher version.
 	resultOlder offerResult = iota
-	// same means that the table holds this version.
+	// resultSame means that the table holds this version.
 	resultSame
-	// newer means that the document was taken.
+	// resultNewer means that the document was accepted.
 	resultNewer
 )
 
-// entry is what the table holds of one template.
+// entry is the state that the table holds for one template.
 type entry struct {
 	published template.Published
 	// storeKey is the key of the template in the store.
 	storeKey    string
 	fingerprint uint64
 	source      Source
-	// since is when the document was taken.
+	// since is the time at which the document was accepted.
 	since time.Time
-	// invalid is why the document can't be run here; an earlier one stays in
-	// force then.
+	// invalid is the error if the document can't be compiled here; an earlier one then stays in
+	// force.
 	invalid error
-	// introduced, rooted and branched are whether this node has passed this
-	// version on in each role; see relay.go.
+	// handedToRoot, treeStarted and relayed record whether this node has passed this version on in
+	// each role; see relay.go. A started tree counts as relayed too.
 	handedToRoot bool
 	treeStarted  bool
 	relayed      bool
-	// storeBehind is set while the store holds a lower version.
+	// storeBehind is set while the store has lost this document or holds a lower version.
 	storeBehind bool
-	// fork is set if another document with the same revision was seen.
+	// fork is set if another document with the same revision was offered.
 	fork bool
 }
 
-// table holds the highest version of each template. Its invariant: the version
-// of a key never goes down. It is safe for concurrent use.
+// table holds the highest version of each template. Its invariant: the version of a key never
+// decreases. It is safe for concurrent use.
 type table struct {
-	onReplace func(template.Published)
-	// inForce maps template.Key to *template.Compiled, for readers without a
-	// lock. It is written under mutex.
+	onAccept func(template.Published)
+	// inForce maps template.Key to *template.Compiled, for readers without a lock. It is
+	// written under mutex.
 	inForce sync.Map
 
 	// mutex guards the fields below.
@@ -75,23 +76,23 @@
 	shards  [stored.ShardCount]map[template.Key]*entry
 	sums    shardSums
 	forks   uint64
-	// bytes is the size of all held documents.
+	// bytes is the total encoded size of all held documents.
 	bytes int
 }
 
-func newTable(onReplace func(template.Published)) *table {
-	if onReplace == nil {
-		onReplace = func(template.Published) {}
+func newTable(onAccept func(template.Published)) *table {
+	if onAccept == nil {
+		onAccept = func(template.Published) {}
 	}
-	created := &table{onReplace: onReplace, entries: map[template.Key]*entry{}, byHash: map[uint64]template.Key{}}
+	created := &table{onAccept: onAccept, entries: map[template.Key]*entry{}, byHash: map[uint64]template.Key{}}
 	for shard := range created.shards {
 		created.shards[shard] = map[template.Key]*entry{}
 	}
 	return created
 }
 
-// offer takes a document if its version is higher than the one that is held.
-// This is the only place at which a node's configuration changes.
+// offer accepts a document if its version is higher than the held one. This is the only place where
+// a node's configuration changes.
 func (t *table) offer(published template.Published, source Source, now time.Time) offerResult {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -118,8 +119,9 @@
 	return resultNewer
 }
 
-// recordForkLocked notes two documents with the same revision. They come about
-// when a store goes back and is written again; the change id decides.
+// recordForkLocked records that another document with the same revision was offered. Such forks
+// arise when the store is rolled back and then written again. The change id decides which one is
+// kept.
 func (t *table) recordForkLocked(held *entry, offered template.Published) {
 	sameRevision := offered.Template.Revision == held.published.Template.Revision
 	if !sameRevision || offered.Template.ChangeID == held.published.Template.ChangeID {
@@ -144,11 +146,11 @@
 	t.shards[shard][key] = next
 	t.byHash[keyHash(key)] = key
 	t.putInForceLocked(key, next)
-	t.onReplace(next.published)
+	t.onAccept(next.published)
 }
 
-// putInForceLocked makes a document the one that requests use. One that can't
-// be run here, because it is of a newer release, leaves the earlier in force.
+// putInForceLocked makes a document the one that requests use. If it can't be compiled here, because
+// it was written for a newer release, the earlier document stays in force.
 func (t *table) putInForceLocked(key template.Key, next *entry) {
 	if next.published.Template.Deleted {
 		t.inForce.Delete(key)
@@ -173,7 +175,7 @@
 	return held.published, true
 }
 
-// size returns the bytes of all held documents.
+// size returns the total encoded size of all held documents, in bytes.
 func (t *table) size() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -191,8 +193,9 @@
 	return copied
 }
 
-// markHandedToRoot records that a version is handed to the zone's root. It
-// returns false if that was done before, or if the zone's tree was here.
+// markHandedToRoot records that a version is handed to the zone's root. It returns false if that was
+// done before, if the version already reached this node along the zone's tree, or if the version is
+// no longer held.
 func (t *table) markHandedToRoot(published template.Published) bool {
 	return t.mark(published, func(held *entry) bool {
 		first := !held.handedToRoot && !held.relayed
@@ -201,8 +204,8 @@
 	})
 }
 
-// markTreeStarted records that a version is passed on as the root of the zone's
-// tree. It returns false if that was done before.
+// markTreeStarted records that this node, as the root, starts the zone's tree for a version. It
+// returns false if that was done before or the version is no longer held.
 func (t *table) markTreeStarted(published template.Published) bool {
 	return t.mark(published, func(held *entry) bool {
 		first := !held.treeStarted
@@ -211,8 +214,8 @@
 	})
 }
 
-// markRelayed records that a version is passed on along the tree. It returns
-// false if that was done before.
+// markRelayed records that a version is passed on along the tree. It returns false if that was done
+// before or the version is no longer held.
 func (t *table) markRelayed(published template.Published) bool {
 	return t.mark(published, func(held *entry) bool {
 		first := !held.relayed
@@ -221,7 +224,7 @@
 	})
 }
 
-// mark runs a function on the entry of a version; false if it is not held.
+// mark returns the result of set on the entry of a version, or false if the version is not held.
 func (t *table) mark(published template.Published, set func(*entry) bool) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -232,18 +235,18 @@
 	return set(held)
 }
 
-// storeComparison is how the held documents compare with a state of the store.
+// storeComparison is the result of comparing the held documents with a state of the store.
 type storeComparison struct {
-	// behind are the documents that the store has lost or holds in a lower
-	// version.
+	// behind are the documents that the store has lost or holds in a lower version.
 	behind []template.Published
-	// isInconclusive is set if a document that looks behind was learned only after
-	// the read had begun, so that the state may be from before.
+	// isInconclusive is set if a document that the store seems to have lost, or to hold in a lower
+	// version, was accepted only after the read had started, so that the state read may predate it.
 	isInconclusive bool
 }
 
-// compareWithStore compares with a state of the store below a prefix that was
-// read after readStart.
+// compareWithStore compares the held documents below a prefix with the versions found in the store
+// by a read that started at readStart. It updates storeBehind of each document for which the
+// comparison is conclusive.
 func (t *table) compareWithStore(prefix string, found map[template.Key]template.Version, readStart time.Time) storeComparison {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/pkg/configsync/watch.go
+++ b/pkg/configsync/watch.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	// assignmentPeriod is the time between two looks at who watches what.
+	// assignmentPeriod is the mean time between two checks of which prefixes this node watches.
 	assignmentPeriod = time.Second
-	// initialStoreBackoff and maxStoreBackoff bound the wait after a failed call.
+	// initialStoreBackoff and maxStoreBackoff bound the backoff after a failed call.
 	initialStoreBackoff = 250 * time.Millisecond
 	maxStoreBackoff     = 5 * time.Second
-	// watchBurst is the number of calls of a watch that may follow each other.
+	// watchBurst is the number of calls that a watch may make without waiting.
 	watchBurst = 3
-	// idleWatchIntervals is the least time that an idle watch waits, in shares.
+	// idleWatchIntervals is the minimum wait of an idle watch, as a multiple of storeInterval, up to
+	// maxWatchWait.
 	idleWatchIntervals = 3
-	// maxWatchWait is the longest wait that the store's interface takes.
+	// maxWatchWait is the longest wait that the store's interface accepts.
 	maxWatchWait = 5 * time.Minute
 	// maxRepairsPerRead bounds the documents that are repaired between two reads.
 	maxRepairsPerRead = 16
 )
 
-// watchManager runs the watches of the store that this node has by rank. Each
-// prefix is watched by the first members of the zone in the order for that
-// prefix. Watching is idempotent, so no lease is needed: while two nodes
-// disagree on who is alive, or on the number of prefixes, one more or one fewer
-// watches for a moment.
+// watchManager runs the watches of the store that are assigned to this node. Each prefix is watched
+// by the first WatchersPerZone members of the zone in the order for that prefix. Watching is
+// idempotent, so no lease is needed: while nodes disagree on which members are alive, or on the
+// number of prefixes, a prefix has one watcher too many or too few for a moment.
 type watchManager struct {
 	replica *Replica
 
@@ -50,8 +50,8 @@
 // runningWatch is one watch of this node.
 type runningWatch struct {
 	cancel context.CancelFunc
-	// rank is this node's place among the zone's members for the prefix. Only
-	// the first repairs the store.
+	// rank is this node's position among the zone's members for the prefix. Only the first member,
+	// of rank 0, repairs the store.
 	rank int
 }
 
@@ -59,7 +59,8 @@
 	return &watchManager{replica: replica, prefixes: []string{stored.Root}, running: map[string]*runningWatch{}}
 }
 
-// run starts and ends watches as the zone's members come and go.
+// run starts and ends watches as the zone's members and the number of prefixes change, until ctx
+// ends.
 func (m *watchManager) run(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -76,9 +77,8 @@
 	}
 }
 
-// chooseDigits sets the number of prefixes by the size of all documents. It
-// returns true if that changed. The nodes hold the same documents and so come
-// to the same number.
+// chooseDigits sets the number of prefixes according to the size of all documents. It returns true
+// if the number changed. Nodes that hold the same documents choose the same number.
 func (m *watchManager) chooseDigits() bool {
 	const maxDigits, prefixesPerDigit = 2, 16
 	wanted, bytes := 0, m.replica.table.size()
@@ -99,7 +99,7 @@
 	return true
 }
 
-// membersHash changes with the alive members of the zone.
+// membersHash returns a hash over the alive members of the zone, to detect changes.
 func (m *watchManager) membersHash() uint64 {
 	sum := uint64(1)
 	for _, known := range m.replica.zoneOrder(0) {
@@ -108,7 +108,7 @@
 	return sum
 }
 
-// assign starts the watches that this node has by rank and ends the others.
+// assign starts the watches that are assigned to this node by rank and ends the others.
 func (m *watchManager) assign(ctx context.Context, group *sync.WaitGroup) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -135,14 +135,14 @@
 	}
 }
 
-// count returns the number of prefixes.
+// prefixCount returns the number of prefixes.
 func (m *watchManager) prefixCount() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return len(m.prefixes)
 }
 
-// rank returns this node's place among the zone's members for a prefix.
+// rank returns this node's position among the zone's members for a prefix.
 func (m *watchManager) rank(prefix string) int {
 	for position, candidate := range m.replica.zoneOrder(xxhash.Sum64String(prefix)) {
 		if candidate.ID == m.replica.options.Self.ID {
@@ -152,7 +152,7 @@
 	return 0 // not reached: the order holds this node
 }
 
-// isFirst reports whether this node is the zone's first for a prefix.
+// isFirst reports whether this node watches a prefix as the zone's first member for it.
 func (m *watchManager) isFirst(prefix string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -160,7 +160,7 @@
 	return current != nil && current.rank == 0
 }
 
-// watched returns the prefixes that this node watches.
+// watched returns the prefixes that this node watches, sorted.
 func (m *watchManager) watched() []string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -172,9 +172,9 @@
 	return prefixes
 }
 
-// watchLoop watches one prefix until ctx ends, within its share of the calls
-// that all watches may make. A few calls may follow each other at once, unless
-// they fail: then the share passes between two of them.
+// watchLoop watches one prefix until ctx ends, within its share of StoreCallsPerSecond. Up to
+// watchBurst successful calls may follow each other without a wait; after a failed call it waits for
+// the backoff or storeInterval, whichever is longer.
 func (r *Replica) watchLoop(ctx context.Context, prefix string) {
 	index, backoff := uint64(0), initialStoreBackoff
 	limiter := rate.NewLimiter(rate.Every(r.storeInterval()), watchBurst)
@@ -186,7 +186,7 @@
 		}
 		r.recordStoreCall(newIndex, err)
 		if err != nil {
-			r.logger.Warn("watch failed", "prefix", prefix, "error", err, "backoff", backoff.String())
+			r.logger.Warn("store watch failed", "prefix", prefix, "error", err, "backoff", backoff.String())
 			if !r.pause(ctx, max(backoff, r.storeInterval())) {
 				return
 			}
@@ -194,7 +194,7 @@
 			continue
 		}
 		if newIndex < index {
-			r.logger.Error("the store went back", "prefix", prefix, "from", index, "to", newIndex)
+			r.logger.Error("store index went back: the store was rolled back", "prefix", prefix, "from", index, "to", newIndex)
 		}
 		index, backoff = newIndex, initialStoreBackoff
 		comparison := r.applyStoreState(prefix, entries, started, SourceStore)
@@ -206,8 +206,7 @@
 	}
 }
 
-// readStore reads a prefix at once if nothing is known of it, and otherwise
-// waits for a change.
+// readStore reads a prefix at once if index is 0, and otherwise waits for a change after index.
 func (r *Replica) readStore(ctx context.Context, prefix string, index uint64) ([]configstore.Entry, uint64, error) {
 	if index == 0 {
 		ctx, cancel := context.WithTimeout(ctx, storeReadTimeout)
@@ -217,22 +216,22 @@
 	return r.options.Store.Watch(ctx, prefix, index, r.watchWait())
 }
 
-// watchWait is how long the store may hold a watch: long enough that idle
-// watches use a part of their share only.
+// watchWait returns how long the store may hold a watch: long enough that idle watches use only part
+// of their share of calls.
 func (r *Replica) watchWait() time.Duration {
 	return max(r.options.WatchWait, min(idleWatchIntervals*r.storeInterval(), maxWatchWait))
 }
 
-// storeInterval is the mean time between two calls of one watch at which the
-// watches of all zones together make the calls that they may.
+// storeInterval returns the mean time between two calls of one watch at which the watches of all
+// zones together make StoreCallsPerSecond calls.
 func (r *Replica) storeInterval() time.Duration {
-	watches := r.zoneCount() * r.options.WatchersPerZone * r.watches.prefixCount()
-	return seconds(float64(watches) / r.options.StoreCallsPerSecond)
+	total := r.zoneCount() * r.options.WatchersPerZone * r.watches.prefixCount()
+	return seconds(float64(total) / r.options.StoreCallsPerSecond)
 }
 
 func seconds(count float64) time.Duration { return time.Duration(count * float64(time.Second)) }
 
-// zoneCount counts the zones that are known, this node's included.
+// zoneCount returns the number of known zones, including this node's.
 func (r *Replica) zoneCount() int {
 	zones := map[target.Zone]bool{r.options.Self.Zone: true}
 	for _, known := range r.options.Peers() {
@@ -241,8 +240,8 @@
 	return len(zones)
 }
 
-// applyStoreState learns what the store holds below a prefix, and compares the
-// rest with it.
+// applyStoreState applies the documents that the store holds below a prefix, and compares the
+// documents held here with them.
 func (r *Replica) applyStoreState(prefix string, entries []configstore.Entry, readStart time.Time, source Source) storeComparison {
 	found := make(map[template.Key]template.Version, len(entries))
 	for _, item := range entries {
@@ -263,14 +262,15 @@
 	comparison := r.table.compareWithStore(prefix, found, readStart)
 	if behind := comparison.behind; len(behind) > 0 {
 		r.counters.storeBehind.Add(uint64(len(behind)))
-		r.logger.Error("the store is behind this node", "prefix", prefix, "templates", len(behind),
+		r.logger.Error("store has lost templates or holds older versions than this node", "prefix", prefix, "templates", len(behind),
 			"first", behind[0].Key(), "held", behind[0].Version(), "stored", found[behind[0].Key()])
 	}
 	return comparison
 }
 
-// repair writes documents back that the store has lost. The zone's first
-// watcher does it; the compare-and-swap settles which zone's wins.
+// repair writes back documents that the store has lost or holds in an older version, at most
+// maxRepairsPerRead. Only the zone's first watcher of the prefix does so; if several zones try,
+// compare-and-swap decides which write succeeds.
 func (r *Replica) repair(ctx context.Context, prefix string, behind []template.Published) {
 	if r.options.Repairer == nil || len(behind) == 0 || !r.watches.isFirst(prefix) {
 		return
@@ -281,7 +281,7 @@
 		}
 		repaired, err := r.options.Repairer.Repair(ctx, held)
 		if err != nil {
-			r.logger.Warn("repair failed", "template", held.Key(), "error", err)
+			r.logger.Warn("store repair failed", "template", held.Key(), "error", err)
 			return
 		}
 		if repaired {
--- a/pkg/configsync/wire.go
+++ b/pkg/configsync/wire.go
@@ -12,7 +12,7 @@
 	"github.com/bramblemast/bramblemast/pkg/template"
 )
 
-// The kinds of messages.
+// The kinds of peer messages.
 const (
 	kindPush      peer.Kind = "configsync.push"
 	kindCompare   peer.Kind = "configsync.compare"
@@ -27,7 +27,7 @@
 	UnmarshalVT(data []byte) error
 }
 
-// handle registers the handlers at the transport.
+// handle registers the message handlers at the transport.
 func (r *Replica) handle() {
 	serve(r, kindPush, func(from target.NodeID, request *pb.Push) message {
 		return r.handlePush(string(from), request)
@@ -43,13 +43,14 @@
 	})
 }
 
-// messagePointer is a pointer to T that is a message.
+// messagePointer constrains P to be a pointer to T that implements message.
 type messagePointer[T any] interface {
 	*T
 	message
 }
 
-// serve registers one handler with decoding and counting.
+// serve registers a handler for one kind of message. It decodes the request and counts both
+// messages.
 func serve[T any, P messagePointer[T]](r *Replica, kind peer.Kind, handler func(target.NodeID, P) message) {
 	r.options.Transport.Handle(kind, func(_ context.Context, from target.NodeID, body []byte) (proto.Message, error) {
 		request := P(new(T))
@@ -62,7 +63,7 @@
 	})
 }
 
-// call sends one request and counts it.
+// call sends one request, waits for the reply and counts both.
 func (r *Replica) call(ctx context.Context, to Peer, kind peer.Kind, request, reply message) error {
 	r.counters.addSent(request.SizeVT())
 	if err := r.options.Transport.Call(ctx, to.Address, kind, request, reply); err != nil {
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// applyEncoded learns a document that a peer sent.
+// applyEncoded decodes a document that a peer sent, applies it and passes it on if it is new.
 func (r *Replica) applyEncoded(encoded []byte, from target.NodeID, source Source) {
 	published, err := template.ReadPublished(encoded)
 	if err != nil {
@@ -82,8 +83,8 @@
 	r.applyAndSpread(published, source)
 }
 
-// refuse notes a document that can't be read.
+// rejectMalformed counts and logs a document that can't be decoded.
 func (r *Replica) rejectMalformed(sender string, err error) {
 	r.counters.malformed.Add(1)
-	r.logger.Warn("document refused", "sender", sender, "error", err)
+	r.logger.Warn("malformed document rejected", "sender", sender, "error", err)
 }
