--- a/internal/edge/budgets.go
+++ b/internal/edge/budgets.go
@@ -57,12 +57,12 @@
 func (b *budgets) window(service string, now time.Time) (*window.Window, float64, float64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	found := b.windows[service]
-	if found == nil {
-		found = window.New(b.span, now)
-		b.windows[service] = found
+	existing := b.windows[service]
+	if existing == nil {
+		existing = window.New(b.span, now)
+		b.windows[service] = existing
 	}
-	return found, b.ratio, b.extra / float64(b.nodes)
+	return existing, b.ratio, b.extra / float64(b.nodes)
 }
 
 // Earn implements fanout.Budget.
--- a/internal/edge/hedge_load_test.go
+++ b/internal/edge/hedge_load_test.go
@@ -13,7 +13,7 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// neighboured draws the service time of a server on a shared machine: 28 ms with a spread of a
+// noisyServiceTime draws the service time of a server on a shared machine: 28 ms with a spread of a
 // third, times 0.8, 1 or 1.3, 2.5 times as long in 15 of 100 cases, and after the rest of a pause of
 // 300 ms in 4 of 100.
 func noisyServiceTime(random *rand.Rand) time.Duration {
--- a/internal/edge/keys.go
+++ b/internal/edge/keys.go
@@ -6,8 +6,8 @@
 	"github.com/bramblemast/bramblemast/internal/front"
 )
 
-// keyFreshness returns whether the node's copy of callers' keys is current, old, or so old that keys are
-// refused.
+// keyFreshness returns whether the node's copy of callers' keys is current, old, or so old that
+// keys are refused.
 func (n *Node) keyFreshness() front.KeyFreshness {
 	settings := n.settings.Load()
 	switch {
--- a/internal/edge/limits_page.go
+++ b/internal/edge/limits_page.go
@@ -11,12 +11,12 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// minListInterval is the minimum time between two snapshots of all limits, because requests of tenants wait
-// while one is made. Requests within the interval get the last snapshot.
+// minListInterval is the minimum time between two snapshots of all limits, because requests of
+// tenants wait while one is made. Requests for the page within it get the last snapshot.
 const minListInterval = 200 * time.Millisecond
 
-// listCache holds the last snapshot of all limits. Snapshots are made on request only, so that they cost
-// nothing while nobody uses the page.
+// listCache holds the last snapshot of all limits. Snapshots are made on request only, so that they
+// cost nothing while nobody uses the page.
 type listCache struct {
 	// mutex guards the fields below, and is held while any snapshot is made: requests of tenants wait
 	// for one snapshot at most, however many callers the page has at once.
--- a/internal/edge/metric_set.go
+++ b/internal/edge/metric_set.go
@@ -18,7 +18,7 @@
 // latencyBuckets are the upper bounds of the latency histograms, in seconds.
 var latencyBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.175, 0.25, 0.5, 1, 2.5, 10}
 
-// figures are the node's metrics; docs/OPERATIONS.md explains each.
+// metricSet holds the node's metrics; docs/OPERATIONS.md explains each.
 type metricSet struct {
 	registry *prometheus.Registry
 
@@ -164,8 +164,8 @@
 	}
 }
 
-// age returns the seconds since a moment; -1 if there was none.
-func age(since time.Time) float64 {
+// secondsSince returns the seconds since a time; -1 for the zero time.
+func secondsSince(since time.Time) float64 {
 	if since.IsZero() {
 		return -1
 	}
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -60,10 +60,10 @@
 	})
 	n.metrics.gauge("store_contact_age_seconds", "Time since the store last answered; -1 for never.", func() float64 {
 		_, contactAt := n.follower.Revision()
-		return age(contactAt)
+		return secondsSince(contactAt)
 	})
 	n.metrics.gauge("store_news_age_seconds", "Time since the node's copy of the store was confirmed to be complete; -1 for never.", func() float64 {
-		return age(n.follower.ConfirmedAt())
+		return secondsSince(n.follower.ConfirmedAt())
 	})
 	n.metrics.gauge("servers", "Servers listed by the platform.", func() float64 { return float64(n.state.fleet.Len()) })
 	n.metrics.gauge("servers_pausing", "Servers that pause periodically and whose next pause is predicted.", func() float64 {
--- a/internal/edge/owners.go
+++ b/internal/edge/owners.go
@@ -14,8 +14,8 @@
 	owner.NewServer(owner.ServerOptions{
 		Transport: n.transport, Runner: handler.Collector(), Servers: n.state.fleet, Draining: n.state.Draining,
 		Policies: func(kind, requestID string) (policy.HedgePolicy, float64) {
-			found := rules.forKind(kind, true, requestID)
-			return found.Hedge, found.ExtraShare
+			chosen := rules.forKind(kind, true, requestID)
+			return chosen.Hedge, chosen.ExtraShare
 		},
 		Regions:   n.state.currentRegions,
 		Announcer: n.announcer,
@@ -25,12 +25,12 @@
 
 // currentRegions returns the regions in which another node's request may be served, according to the
 // newer of that node's configuration and this node's.
-func (s *state) currentRegions(asked owner.RequestScope) route.Regions {
+func (s *state) currentRegions(scope owner.RequestScope) route.Regions {
 	table := s.table.Load()
-	if table == nil || table.Version <= asked.Version {
-		return asked.Regions
+	if table == nil || table.Version <= scope.Version {
+		return scope.Regions
 	}
-	return table.RegionsOf(asked.Host, asked.Target, asked.Tenant, asked.Regions)
+	return table.RegionsOf(scope.Host, scope.Target, scope.Tenant, scope.Regions)
 }
 
 // ownerEvents logs which owners are lost and regained. It implements owner.Events.
--- a/internal/edge/policies.go
+++ b/internal/edge/policies.go
@@ -87,8 +87,8 @@
 }
 
 // For implements front.Policies.
-func (p *policies) For(found *route.Route, requestID string) front.Policy {
-	return p.forKind(found.Name, found.Gathered(), requestID)
+func (p *policies) For(matched *route.Route, requestID string) front.Policy {
+	return p.forKind(matched.Name, matched.Gathered(), requestID)
 }
 
 // forKind returns the policy of a request by the name of its route.
--- a/internal/edge/quota.go
+++ b/internal/edge/quota.go
@@ -18,8 +18,8 @@
 	// the others are counted together as otherTenants.
 	namedTenants = 10
 	otherTenants = "other"
-	// limitLogInterval is the minimum time between two log lines that the same tenant is at its limit, or
-	// that coordinators do not answer.
+	// limitLogInterval is the minimum time between two log lines that the same tenant is at its
+	// limit, or that coordinators do not answer.
 	limitLogInterval = 5 * time.Second
 )
 
--- a/internal/edge/registration.go
+++ b/internal/edge/registration.go
@@ -52,14 +52,14 @@
 	// store returns how much of the store is known, nodes the number of known nodes.
 	store storeView
 	nodes func() int
-	// written is the lease of the entry found in the store if that equals the one that this node would
-	// write; nil if there is none.
+	// adoptable is the lease of the entry found in the store if that equals the one that this node
+	// would write; nil if there is none.
 	adoptable atomic.Pointer[directory.Lease]
 	// eraChanged has an element when the store was restored from an older copy.
 	eraChanged chan struct{}
-	// hasStartedWriting says that this process has begun to write its entry, and wasListed that the store
-	// contained the entry before that. In that case the entries of other nodes that were lost together
-	// with this one are still in the store too.
+	// hasStartedWriting says that this process has begun to write its entry, and wasListed that the
+	// store contained the entry before that. In that case the entries of other nodes that were lost
+	// together with this one are still in the store too.
 	hasStartedWriting atomic.Bool
 	wasListed         atomic.Bool
 }
@@ -79,7 +79,8 @@
 	return &registration{registry: registry, node: node, logger: logger, store: store, nodes: nodes, eraChanged: make(chan struct{}, 1)}
 }
 
-// found handles an entry of a node in the store.
+// noteEntry handles an entry of a node in the store: it notes whether this node was listed before it
+// wrote its entry, and whether it can adopt the lease.
 func (r *registration) noteEntry(entry directory.Entry) {
 	if entry.Node.Name == r.node.Name && !r.hasStartedWriting.Load() {
 		// The address may differ: coordinators of tenant limits are chosen by name.
@@ -118,7 +119,7 @@
 		}
 		r.hasStartedWriting.Store(true)
 		next := renewInterval
-		if err := r.step(ctx, &lease); err != nil {
+		if err := r.registerOrRenew(ctx, &lease); err != nil {
 			r.logger.Warn("registration failed", "error", err.Error())
 			next = registerRetry(failures)
 			failures++
@@ -180,8 +181,8 @@
 	return span/2 + rand.N(span/2)
 }
 
-// step registers, or renews if there is a lease already.
-func (r *registration) step(ctx context.Context, lease *directory.Lease) error {
+// registerOrRenew registers the node, or renews the lease if there is one.
+func (r *registration) registerOrRenew(ctx context.Context, lease *directory.Lease) error {
 	callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	if lease.ID == 0 {
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -60,5 +60,5 @@
 	n.logger.Info("settings in force", "bounds", offered.Bounds, "peers", offered.Peers, "needs_restart", needsRestart)
 }
 
-// Hangups delivers signals that ask for a reload.
+// SignalChannel delivers signals that ask for a reload.
 type SignalChannel <-chan os.Signal
--- a/internal/edge/request_recorder.go
+++ b/internal/edge/request_recorder.go
@@ -20,7 +20,8 @@
 	sampleEvery = 200
 )
 
-// events counts and logs requests. It implements front.Recorder and is safe for concurrent use.
+// requestRecorder counts and logs requests. It implements front.Recorder and is safe for concurrent
+// use.
 type requestRecorder struct {
 	logger  hclog.Logger
 	metrics *metricSet
@@ -32,11 +33,11 @@
 	mutex sync.Mutex
 	// overloads limits the lines about overloads of services; guarded by mutex.
 	overloads *stateLogLimiter[string]
-	// second is the start of the current second, lines the number of lines written in it and leftOut
+	// second is the start of the current second, linesWritten the number of lines in it and leftOut
 	// that of lines left out in it; guarded by mutex.
-	second  time.Time
-	lines   int
-	leftOut int
+	second       time.Time
+	linesWritten int
+	leftOut      int
 }
 
 func newRequestRecorder(logger hclog.Logger, metrics *metricSet, storeAge func() time.Duration) *requestRecorder {
@@ -89,13 +90,13 @@
 	defer e.mutex.Unlock()
 	leftOut := 0
 	if now.Sub(e.second) >= time.Second {
-		leftOut, e.leftOut, e.lines, e.second = e.leftOut, 0, 0, now
+		leftOut, e.leftOut, e.linesWritten, e.second = e.leftOut, 0, 0, now
 	}
-	if e.lines >= linesPerSecond {
+	if e.linesWritten >= linesPerSecond {
 		e.leftOut++
 		return leftOut, false
 	}
-	e.lines++
+	e.linesWritten++
 	return leftOut, true
 }
 
--- a/internal/edge/room_log.go
+++ b/internal/edge/room_log.go
@@ -21,8 +21,8 @@
 	})
 }
 
-// roomLogInterval is the minimum time between two log lines that a service is short of room, because its
-// shares change several times a second.
+// roomLogInterval is the minimum time between two log lines that a service is short of room, because
+// its shares change several times a second.
 const roomLogInterval = time.Second
 
 // roomLog logs the admission shares that this node, as an owner, announces for services that are
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -36,7 +36,7 @@
 	mayBeOutdated func() bool
 	// absenceUncertainUntil returns until when a missing entry in the store does not prove that its
 	// server is gone.
-	uncertainUntil func(now time.Time) time.Time
+	absenceUncertainUntil func(now time.Time) time.Time
 	// evacuationSpan returns the span over which load is moved away from an evacuated zone.
 	evacuationSpan func() time.Duration
 
@@ -47,15 +47,15 @@
 	roster *owner.Roster
 	// limits receives the list of nodes; nil if tenant limits are not enforced.
 	limits *limits
-	// teller notifies the nodes of suspect requests; nil if the node has no peers.
+	// gossiper notifies the nodes of suspect requests; nil if the node has no peers.
 	gossiper *quarantine.Gossiper
-	// member receives the entries of nodes, and is notified of restores of the store.
+	// nodeEntry receives the entries of nodes, and is notified of restores of the store.
 	nodeEntry *registration
 
 	startedAt time.Time
 	table     atomic.Pointer[route.Table]
 	draining  atomic.Bool
-	// restored says that the contents of the store at the start have been applied.
+	// loaded says that the contents of the store at the start have been applied.
 	loaded atomic.Bool
 
 	mutex sync.Mutex
@@ -72,7 +72,7 @@
 		evacuationSpan: func() time.Duration { return node.settings.Load().evacuationSpan() },
 		storeLost:      func() bool { return node.follower.IsStoreLost() },
 		mayBeOutdated:  func() bool { return node.follower.AwaitsPeers() },
-		uncertainUntil: func(now time.Time) time.Time {
+		absenceUncertainUntil: func(now time.Time) time.Time {
 			return node.follower.AbsenceUncertainUntil(node.settings.Load().absenceUncertainSpan(), now)
 		},
 	}
@@ -273,7 +273,7 @@
 
 func (s *state) remove(entry directory.Entry) {
 	now := time.Now()
-	uncertainUntil := s.uncertainUntil(now)
+	uncertainUntil := s.absenceUncertainUntil(now)
 	if entry.ServerID != "" && s.fleet.Remove(entry.ServerID, uncertainUntil, now) {
 		s.logger.Info("server gone", "list_settles", uncertainUntil.After(now), "server", entry.ServerID, "revision", entry.Revision)
 		return
--- a/internal/edge/state_log_limiter.go
+++ b/internal/edge/state_log_limiter.go
@@ -19,7 +19,7 @@
 	return &stateLogLimiter[K]{interval: interval, lastBegin: make(map[K]time.Time), hasLoggedBegin: make(map[K]bool)}
 }
 
-// begins reports whether to log that a state has begun or continues.
+// shouldLogBegin reports whether to log that a state has begun or continues.
 func (t *stateLogLimiter[K]) shouldLogBegin(key K, now time.Time) bool {
 	if at, isKnown := t.lastBegin[key]; isKnown && now.Sub(at) < t.interval {
 		return false
@@ -28,12 +28,12 @@
 	return true
 }
 
-// ends reports whether to log that a state has ended, which is so if its beginning was logged.
+// shouldLogEnd reports whether to log that a state has ended, which is so if its beginning was logged.
 func (t *stateLogLimiter[K]) shouldLogEnd(key K, now time.Time) bool {
-	hadLoggedBegin := t.hasLoggedBegin[key]
+	wasLogged := t.hasLoggedBegin[key]
 	delete(t.hasLoggedBegin, key)
 	if now.Sub(t.lastBegin[key]) >= t.interval {
 		delete(t.lastBegin, key)
 	}
-	return hadLoggedBegin
+	return wasLogged
 }
--- a/internal/edge/suspects.go
+++ b/internal/edge/suspects.go
@@ -58,9 +58,9 @@
 }
 
 // peerAddresses returns the peer addresses of nodes.
-func peerAddresses(known []directory.Node) []peer.Address {
-	addresses := make([]peer.Address, 0, len(known))
-	for _, node := range known {
+func peerAddresses(nodes []directory.Node) []peer.Address {
+	addresses := make([]peer.Address, 0, len(nodes))
+	for _, node := range nodes {
 		addresses = append(addresses, peer.Address(node.PeerAddress))
 	}
 	return addresses
--- a/internal/edge/write_back.go
+++ b/internal/edge/write_back.go
@@ -20,8 +20,8 @@
 const (
 	writeBackInterval = 250 * time.Millisecond
 	writeBackTimeout  = time.Second
-	// writeBackStagger is the delay per rank: a node writes a key that much later than the node ranked
-	// before it, so that it finds the key written if that node succeeded. maxWriteBackRank bounds the rank.
+	// writeBackStagger is the delay per rank: a node writes a key that much later than the node
+	// ranked before it, so that it finds the key written if that node succeeded. maxWriteBackRank bounds the rank.
 	writeBackStagger = time.Second
 	maxWriteBackRank = 5
 )
