--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -256,7 +256,7 @@
 		g := NewWithT(t)
 		lost := false
 		starting := &state{startedAt: time.Now(), storeLost: func() bool { return lost }}
-		g.Expect(starting.Starting()).To(Equal(front.Starting{MaxWait: startingPatience, RetryAfter: minStartingWait}))
+		g.Expect(starting.Starting()).To(Equal(front.Starting{MaxWait: startingMaxWait, RetryAfter: minStartingWait}))
 		time.Sleep(600 * time.Millisecond)
 		g.Expect(starting.Starting().RetryAfter).To(Equal(600 * time.Millisecond))
 		time.Sleep(time.Minute)
--- a/internal/edge/registration.go
+++ b/internal/edge/registration.go
@@ -21,7 +21,7 @@
 	Renew(ctx context.Context, lease directory.Lease) (bool, error)
 }
 
-// Times of registrations.
+// Timing of registrations.
 const (
 	// registrationLifetime is the duration of the lease, for which the entry of a lost node remains.
 	// Until then the node keeps its part of shared bounds, which is safe.
--- a/internal/edge/request_recorder.go
+++ b/internal/edge/request_recorder.go
@@ -85,6 +85,8 @@
 	return record.Status < 400 && record.Parts == record.Total
 }
 
+// admit reports whether another line may be written in the current second, and returns the number of
+// lines left out in the last one if a new second has begun.
 func (e *requestRecorder) admit(now time.Time) (int, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/edge/room_log.go
+++ b/internal/edge/room_log.go
@@ -10,8 +10,8 @@
 	"github.com/bramblemast/bramblemast/pkg/owner"
 )
 
-// openAnnouncer starts to announce to other nodes the admission shares of the services to which this
-// node, as an owner, sends requests on their behalf.
+// openAnnouncer creates the announcer. It sends other nodes the admission shares of the services to
+// which this node, as an owner, sends requests on their behalf.
 func (n *Node) openAnnouncer() {
 	n.announcer = owner.NewAnnouncer(owner.AnnouncerOptions{
 		Admission: n.admission, Roster: n.state.roster, Transport: n.transport, OnPublish: newRoomLog(n.logger).write,
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -204,6 +204,7 @@
 	return time.Duration(s.Bounds.DrainMillis) * time.Millisecond / leaveGraceDivisor
 }
 
+// Limits of the staleness bound.
 const (
 	// stalenessReserve is subtracted from the time within which a change must take effect: it covers
 	// a call that fails and is repeated through another node, and requests in flight.
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -91,9 +91,9 @@
 
 // Times for requests that arrive before a configuration is known.
 const (
-	// startingPatience is how long requests wait for the configuration: a node that has just started
+	// startingMaxWait is how long requests wait for the configuration: a node that has just started
 	// knows it within milliseconds.
-	startingPatience = 120 * time.Millisecond
+	startingMaxWait = 120 * time.Millisecond
 	// minStartingWait and maxStartingWait bound the Retry-After of refused requests.
 	minStartingWait = 200 * time.Millisecond
 	maxStartingWait = 1200 * time.Millisecond
@@ -109,7 +109,7 @@
 		return front.Starting{RetryAfter: storeLostWait}
 	}
 	return front.Starting{
-		MaxWait: startingPatience, RetryAfter: min(max(minStartingWait, time.Since(s.startedAt)), maxStartingWait),
+		MaxWait: startingMaxWait, RetryAfter: min(max(minStartingWait, time.Since(s.startedAt)), maxStartingWait),
 	}
 }
 
--- a/internal/edge/write_back.go
+++ b/internal/edge/write_back.go
@@ -16,12 +16,13 @@
 	WriteBack(ctx context.Context, lost directory.LostEntry) (bool, error)
 }
 
-// Times of writing back.
+// Timing of writing back.
 const (
 	writeBackInterval = 250 * time.Millisecond
 	writeBackTimeout  = time.Second
 	// writeBackStagger is the delay per rank: a node writes a key that much later than the node
-	// ranked before it, so that it finds the key written if that node succeeded. maxWriteBackRank bounds the rank.
+	// ranked before it, so that it finds the key written if that node succeeded. Ranks beyond
+	// maxWriteBackRank count as maxWriteBackRank.
 	writeBackStagger = time.Second
 	maxWriteBackRank = 5
 )
