--- a/pkg/configsync/bootstrap_test.go
+++ b/pkg/configsync/bootstrap_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// TestReplacementIsReadyFromPeersWhileTheStoreIsAway checks that a replaced node becomes ready from
+// its peers alone while the store is unavailable.
 func TestReplacementIsReadyFromPeersWhileTheStoreIsAway(t *testing.T) {
 	runInCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
 		version := mustPublish(t, c.nodes[0], "first")
@@ -17,12 +19,14 @@
 		}
 		time.Sleep(startTime)
 		if !c.nodes[3].replica.Ready() {
-			t.Error("not ready")
+			t.Error("replaced node is not ready")
 		}
 		c.wantEverywhere(t, version)
 	})
 }
 
+// TestReplacementPrefersPeersToAStoreThatWentBack checks that a replaced node takes the newer
+// version of its peers, not the older one of a rolled-back store, and reports the store as behind.
 func TestReplacementPrefersPeersToAStoreThatWentBack(t *testing.T) {
 	runInCluster(t, 3, 1, func(o *Options) { o.Repairer = nil }, func(t *testing.T, c *cluster) {
 		backup := c.store.Snapshot()
@@ -33,11 +37,13 @@
 		time.Sleep(startTime)
 		c.wantEverywhere(t, version)
 		if status := c.nodes[2].replica.Status(); !status.Ready || status.Store.Behind != 1 {
-			t.Errorf("got %+v", status)
+			t.Errorf("got status %+v, want ready with the store behind in 1 template", status)
 		}
 	})
 }
 
+// TestNodeWithoutStoreAndReadyPeersIsNotReady checks that nodes which reach neither the store nor a
+// ready peer stay not ready, or become ready after StandaloneAfter if that is set.
 func TestNodeWithoutStoreAndReadyPeersIsNotReady(t *testing.T) {
 	for _, aloneAfter := range []time.Duration{0, time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
@@ -47,7 +53,7 @@
 			time.Sleep(50 * time.Second)
 			for _, node := range c.nodes {
 				if node.replica.Ready() {
-					t.Errorf("%s is ready", node.ID)
+					t.Errorf("%s is ready without the store or a ready peer", node.ID)
 				}
 			}
 			time.Sleep(time.Minute)
--- a/pkg/configsync/cluster_test.go
+++ b/pkg/configsync/cluster_test.go
@@ -290,8 +290,8 @@
 	return template.Version{Revision: result.Template.Revision, ChangeID: result.Template.ChangeID}
 }
 
-// wantEverywhere checks that every node holds the wanted version of ticker and that no violation was
-// recorded.
+// wantEverywhere checks that every node holds the wanted version of ticker and that no violation
+// was recorded.
 func (c *cluster) wantEverywhere(t *testing.T, want template.Version) {
 	t.Helper()
 	for _, node := range c.nodes {
--- a/pkg/configsync/machine_test.go
+++ b/pkg/configsync/machine_test.go
@@ -61,8 +61,8 @@
 const convergence = DefaultWatchWait + 10*time.Second
 
 // machine runs steps against a cluster. Its oracle is the highest version of each key that any live
-// node or the store holds. It may fall only when a node is replaced or the store is rolled back, and
-// at the end every node and the store must hold it.
+// node or the store holds. It may fall only when a node is replaced or the store is rolled back,
+// and at the end every node and the store must hold it.
 type machine struct {
 	*cluster
 	keys    []template.Key
--- a/pkg/configsync/replica_test.go
+++ b/pkg/configsync/replica_test.go
@@ -46,7 +46,7 @@
 		c.wantEverywhere(t, version)
 		compiled, isKnown := c.nodes[3].replica.Get(ticker)
 		if !isKnown || compiled.Template.Author != "first" || len(c.nodes[3].replica.List()) != 1 {
-			t.Fatalf("got %v", compiled)
+			t.Fatalf("got template %v, want the one by author first and no other", compiled)
 		}
 
 		if _, err := c.nodes[0].publisher.Delete(t.Context(), ticker, 1, "operator", ""); err != nil {
@@ -61,6 +61,9 @@
 	})
 }
 
+// TestChangeSpreadsPastDeadAndFrozenMembers checks that the tree alone reaches every live member
+// although many others are still listed but closed or frozen, and that the frozen ones have the
+// change soon after they resume.
 func TestChangeSpreadsPastDeadAndFrozenMembers(t *testing.T) {
 	treesOnly := func(o *Options) { o.ExchangePeriod = 24 * time.Hour }
 	runInCluster(t, 40, 1, treesOnly, func(t *testing.T, c *cluster) {
@@ -75,7 +78,7 @@
 		time.Sleep(12 * time.Second)
 		for _, node := range alive {
 			if node.version(ticker) != version {
-				t.Errorf("%s holds %v", node.ID, node.version(ticker))
+				t.Errorf("%s holds %v, not the published version", node.ID, node.version(ticker))
 			}
 		}
 		for _, node := range frozen {
@@ -84,7 +87,7 @@
 		time.Sleep(time.Second)
 		for _, node := range frozen {
 			if node.version(ticker) != version {
-				t.Errorf("%s holds %v after it resumed", node.ID, node.version(ticker))
+				t.Errorf("%s holds %v after it resumed, not the published version", node.ID, node.version(ticker))
 			}
 		}
 	})
@@ -116,13 +119,15 @@
 		time.Sleep((maxHeadsTried + 1) * DefaultPushTimeout)
 		for _, node := range c.nodes {
 			if !frozen[node.ID] && node.version(ticker) != published.Version() {
-				t.Errorf("%s holds %v", node.ID, node.version(ticker))
+				t.Errorf("%s holds %v, not the published version", node.ID, node.version(ticker))
 			}
 			c.network.Thaw(node.Address)
 		}
 	})
 }
 
+// TestChangeSpreadsWhereEveryRootIsFrozen checks that a change still spreads if the members that
+// come first in its order don't answer: the node that has the change then acts as the root itself.
 func TestChangeSpreadsWhereEveryRootIsFrozen(t *testing.T) {
 	treesOnly := func(o *Options) { o.ExchangePeriod = 24 * time.Hour }
 	runInCluster(t, 5, 1, treesOnly, func(t *testing.T, c *cluster) {
@@ -144,6 +149,8 @@
 	})
 }
 
+// TestZoneThatWasCutOffCatchesUp checks that the comparisons alone bring a zone up to date that was
+// cut off from the others and from the store.
 func TestZoneThatWasCutOffCatchesUp(t *testing.T) {
 	runInCluster(t, 12, 3, nil, func(t *testing.T, c *cluster) {
 		var cut, rest []*testNode
@@ -167,6 +174,9 @@
 	})
 }
 
+// TestDocumentOfANewerReleaseIsPassedOnAndNotRun checks that a document which this release can't
+// compile is passed on unchanged, while the earlier document stays in force and the status gives
+// the reason.
 func TestDocumentOfANewerReleaseIsPassedOnAndNotRun(t *testing.T) {
 	runInCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
 		mustPublish(t, c.nodes[0], "first")
@@ -184,13 +194,13 @@
 			compiled, _ := node.replica.Get(ticker)
 			status := node.replica.Status().Templates[0]
 			if string(held.Encoded) != string(encoded) || compiled.Template.Author != "first" || status.Invalid == "" || status.InForce {
-				t.Errorf("%s holds %s, runs %v, reports %+v", node.ID, held.Encoded, compiled.Template, status)
+				t.Errorf("%s holds %s, has %v in force, reports %+v", node.ID, held.Encoded, compiled.Template, status)
 			}
 		}
 	})
 }
 
-func TestSurveyNamesWhoDidNotAnswer(t *testing.T) {
+func TestSurveyReportsNodesThatDidNotAnswer(t *testing.T) {
 	runInCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
 		version := mustPublish(t, c.nodes[0], "first")
 		time.Sleep(spreadTime)
@@ -198,17 +208,19 @@
 		defer c.network.Thaw(c.nodes[4].Address)
 		reports := c.nodes[1].replica.Survey(t.Context(), ticker)
 		if len(reports) != len(c.nodes) {
-			t.Fatalf("%d reports", len(reports))
+			t.Fatalf("got %d reports, want one for each node", len(reports))
 		}
 		for _, report := range reports {
 			isFrozen := report.Node == c.nodes[4].ID
 			if (report.Err != nil) != isFrozen || (!isFrozen && (report.Version != version || !report.InForce || !report.Ready)) {
-				t.Errorf("got %+v", report)
+				t.Errorf("unexpected report %+v", report)
 			}
 		}
 	})
 }
 
+// TestLargeStateIsFetchedInBoundedReplies checks that a state larger than maxReplyBytes is
+// transferred in several bounded replies.
 func TestLargeStateIsFetchedInBoundedReplies(t *testing.T) {
 	const templates = 600
 	runInCluster(t, 2, 1, nil, func(t *testing.T, c *cluster) {
@@ -236,7 +248,7 @@
 			t.Fatal(err)
 		}
 		if got := len(c.nodes[1].replica.List()); got != templates {
-			t.Fatalf("fetched %d templates", got)
+			t.Fatalf("fetched %d templates, want all", got)
 		}
 	})
 }
--- a/pkg/configsync/store_test.go
+++ b/pkg/configsync/store_test.go
@@ -11,6 +11,8 @@
 	"github.com/bramblemast/bramblemast/pkg/template"
 )
 
+// TestStoreKilledRightAfterItAccepted checks that a change whose store becomes unavailable right
+// after the write still reaches every node through peers.
 func TestStoreKilledRightAfterItAccepted(t *testing.T) {
 	runInCluster(t, 30, 3, nil, func(t *testing.T, c *cluster) {
 		c.store.SetDelay(time.Millisecond)
@@ -21,6 +23,8 @@
 	})
 }
 
+// TestSlowRepliesOfTheStoreAreNotTakenForARollback guards against false reports of a rollback: a
+// slow reply of the store may be older than a change that the node received meanwhile.
 func TestSlowRepliesOfTheStoreAreNotTakenForARollback(t *testing.T) {
 	slow := func(o *Options) { o.Store.(*reachableStore).replyDelay = 200 * time.Millisecond }
 	runInCluster(t, 6, 2, slow, func(t *testing.T, c *cluster) {
@@ -39,6 +43,9 @@
 	})
 }
 
+// TestStoreThatWentBackIsRefusedReportedAndRepaired checks that after a rollback of the store the
+// nodes refuse to publish on top of it, keep the newer version, report the store as behind and
+// write the version back.
 func TestStoreThatWentBackIsRefusedReportedAndRepaired(t *testing.T) {
 	runInCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
 		mustPublish(t, c.nodes[0], "first")
@@ -47,12 +54,12 @@
 		time.Sleep(spreadTime)
 		c.store.Restore(backup)
 		if _, err := c.nodes[1].publish(ticker, "third"); !errors.Is(err, publish.ErrStoreBehind) {
-			t.Fatalf("got %v", err)
+			t.Fatalf("publishing on a rolled-back store returned error %v, want ErrStoreBehind", err)
 		}
 		time.Sleep(30 * time.Second)
 		c.wantEverywhere(t, version)
 		if got := c.storedVersion(ticker); got != version {
-			t.Errorf("the store has %v, want %v", got, version)
+			t.Errorf("the store holds %v, want %v", got, version)
 		}
 		var reported, repaired uint64
 		for _, node := range c.nodes {
@@ -63,15 +70,15 @@
 			}
 		}
 		if reported == 0 || repaired == 0 {
-			t.Errorf("reported %d, repaired %d", reported, repaired)
+			t.Errorf("store reported behind %d times and repaired %d times, want both above 0", reported, repaired)
 		}
 	})
 }
 
 // TestStoreThatWentBackDuringAChangeIsRepaired guards against a rollback that is detected late. A
 // change that is accepted during a watch may be newer than the state that the watch returns, so it
-// is left out of that comparison; without an immediate second read it was compared only by the watch
-// after next.
+// is left out of that comparison; without an immediate second read it was compared only by the
+// watch after next.
 func TestStoreThatWentBackDuringAChangeIsRepaired(t *testing.T) {
 	runInCluster(t, 6, 3, nil, func(t *testing.T, c *cluster) {
 		backup := c.store.Snapshot()
@@ -81,12 +88,14 @@
 		time.Sleep(5 * time.Second)
 		c.wantEverywhere(t, version)
 		if got := c.storedVersion(ticker); got != version {
-			t.Errorf("the store has %v, want %v", got, version)
+			t.Errorf("the store holds %v, want %v", got, version)
 		}
 	})
 }
 
-func TestSameRevisionTwiceIsDecidedAlikeEverywhere(t *testing.T) {
+// TestForkIsResolvedTheSameWayAtEveryNode announces three changes with the same revision at
+// different nodes. All nodes must end with the one that has the highest change id.
+func TestForkIsResolvedTheSameWayAtEveryNode(t *testing.T) {
 	runInCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
 		mustPublish(t, c.nodes[0], "first")
 		time.Sleep(spreadTime)
@@ -111,6 +120,9 @@
 	})
 }
 
+// TestFewWatchersKeepToTheStoresLimit checks, with the largest number of prefixes, that each prefix
+// has WatchersPerZone watchers in each zone, that the watches are spread over the nodes, and that
+// all watchers together stay within StoreCallsPerSecond, also while every call fails.
 func TestFewWatchersKeepToTheStoresLimit(t *testing.T) {
 	const callsPerSecond = 20
 	tune := func(o *Options) { o.StoreCallsPerSecond, o.MaxBytesPerWatch = callsPerSecond, 1 }
@@ -124,7 +136,7 @@
 			watches, maxWatched = watches+watched, max(maxWatched, watched)
 		}
 		if want := 3 * 256 * DefaultWatchersPerZone; watches != want || maxWatched > 2*want/len(c.nodes) {
-			t.Errorf("%d watches, want %d; one node has %d", watches, want, maxWatched)
+			t.Errorf("%d watches in total, want %d; the most at one node is %d", watches, want, maxWatched)
 		}
 		for _, away := range []bool{false, true} {
 			c.store.SetUnavailable(away)
