--- a/pkg/membership/bridge.go
+++ b/pkg/membership/bridge.go
@@ -13,39 +13,38 @@
 )
 
 const (
-	// summaryRounds is the number of rounds in which a bridge gets to every
-	// other zone once.
+	// summaryRounds is the number of rounds within which a bridge contacts every other zone once.
 	summaryRounds = 8
-	// zoneSilenceTimeout is the time without any exchange after which the members of
+	// zoneSilenceTimeout is the time without a successful exchange after which the members of
 	// another zone are suspected.
 	zoneSilenceTimeout = 20 * time.Second
-	// firstNodeSettleTime is the time after the start from which a node that found no
-	// other node of its zone takes itself to be the first one.
+	// firstNodeSettleTime is the time after the start from which a node that found no other node of
+	// its zone assumes that it is the first one.
 	firstNodeSettleTime = 5 * time.Second
-	// listCompleteAfter is the time after the start from which a node takes its list
-	// to be complete, so that a member that it does not know is dead.
+	// listCompleteAfter is the time after the start from which a node assumes that its list is
+	// complete, so that a member it does not know is dead.
 	listCompleteAfter = time.Minute
-	// seedAfterFailures is the number of failed exchanges with a zone after
-	// which its seeds are tried too.
+	// seedAfterFailures is the number of failed exchanges with a zone after which the zone's seeds
+	// are tried too.
 	seedAfterFailures = 2
 )
 
-// zoneContact is how a bridge's exchanges with one zone went.
+// zoneContact is the state of a bridge's exchanges with one other zone.
 type zoneContact struct {
-	// tried is the time of the last attempt, heard that of the last exchange
-	// or of the first attempt.
+	// lastAttempt is the time of the last attempt. lastExchange is the time of the last successful
+	// exchange, or of the first attempt if there was none.
 	lastAttempt  time.Time
 	lastExchange time.Time
 	failures     int
-	// failed holds the addresses that failed since the last exchange. Silent is
-	// set once all of them did.
+	// failed holds the addresses that failed since the last successful exchange. allFailed is set
+	// once every candidate address has failed.
 	failed    map[peer.Address]bool
 	allFailed bool
-	// size is the number of members that the zone last reported.
+	// reportedSize is the number of members that the zone last reported.
 	reportedSize int
 }
 
-// contacts holds the contact of a bridge with each other zone.
+// zoneContacts holds a bridge's contact state for each other zone.
 type zoneContacts map[target.Zone]*zoneContact
 
 func (z zoneContacts) of(zone target.Zone, now time.Time) *zoneContact {
@@ -55,8 +54,7 @@
 	return z[zone]
 }
 
-// startSummaries exchanges summaries with some other zones if this node is a
-// bridge.
+// startSummaries exchanges summaries with some of the other zones if this node is a bridge.
 func (m *Membership) startSummaries(ctx context.Context) {
 	m.mutex.Lock()
 	var zones []target.Zone
@@ -76,8 +74,8 @@
 	})
 }
 
-// nextZones returns the zones whose last attempt is longest ago, so that each
-// has its turn within summaryRounds. The caller holds the mutex.
+// nextZones returns the zones with the oldest last attempt, so that each zone is contacted within
+// summaryRounds rounds. The caller holds the mutex.
 func (m *Membership) nextZones() []target.Zone {
 	now := time.Now()
 	zones := m.table.zones()
@@ -98,8 +96,8 @@
 	return zones[:count]
 }
 
-// exchange sends a summary to a random known member of a zone, or to one of its
-// seeds if that failed before.
+// exchange sends a summary to a random known member of a zone. After seedAfterFailures failures,
+// the zone's seeds are candidates too.
 func (m *Membership) exchange(ctx context.Context, zone target.Zone) {
 	m.mutex.Lock()
 	address, ok := m.contactAddress(zone)
@@ -137,8 +135,9 @@
 	m.applyAll(otherZoneOnly(reply.Contacts, m.options.Self.Zone), now, true)
 }
 
-// exchangeFailed suspects the members of a zone that has been silent for long,
-// but not those that were heard of since. Only their own zone removes them. The caller holds the mutex.
+// exchangeFailed records a failed exchange. Once all candidates have failed and the zone has been
+// silent for zoneSilenceTimeout, it suspects the zone's members, except those with a new
+// declaration within that time. Only a member's own zone removes it. The caller holds the mutex.
 func (m *Membership) exchangeFailed(zone target.Zone, address peer.Address, now time.Time) {
 	contact := m.contacts.of(zone, now)
 	contact.failures++
@@ -154,8 +153,8 @@
 	}
 }
 
-// contactAddress returns the address to exchange with: one that did not fail since
-// the last exchange, until all did. The caller holds the mutex.
+// contactAddress returns the address to exchange with: one that has not failed since the last
+// successful exchange, or any candidate once all have failed. The caller holds the mutex.
 func (m *Membership) contactAddress(zone target.Zone) (peer.Address, bool) {
 	candidates := make(map[peer.Address]bool)
 	for _, r := range m.table.ranked(zone) {
@@ -183,7 +182,7 @@
 	return all[0], true
 }
 
-// summaryRequest tells a zone about this one, and what is held about it. The
+// summaryRequest describes this zone and lists what this node knows about the other zone. The
 // caller holds the mutex.
 func (m *Membership) summaryRequest(zone target.Zone) *pb.SummaryRequest {
 	request := &pb.SummaryRequest{
@@ -200,8 +199,8 @@
 	return request
 }
 
-// announced returns the members of this zone that other zones should know. The
-// caller holds the mutex.
+// announced returns the members of this zone that other zones should know: the highest-ranked alive
+// ones, at most MembersPerZone. The caller holds the mutex.
 func (m *Membership) announced() []*pb.Entry {
 	var entries []*pb.Entry
 	for _, r := range m.table.ranked(m.options.Self.Zone) {
@@ -216,7 +215,7 @@
 	return entries
 }
 
-// handleSummary answers a bridge of another zone.
+// handleSummary answers a summary from a bridge of another zone.
 func (m *Membership) handleSummary(_ context.Context, _ target.NodeID, body []byte) (proto.Message, error) {
 	request := &pb.SummaryRequest{}
 	if err := request.UnmarshalVT(body); err != nil {
@@ -240,8 +239,8 @@
 	return reply, nil
 }
 
-// removeReplacedRemote spreads that members of another zone are gone, because another
-// process has their address. The caller holds the mutex.
+// removeReplacedRemote marks members of another zone as dead if a different process now has their
+// address, and queues that as gossip. The caller holds the mutex.
 func (m *Membership) removeReplacedRemote(self *pb.Entry, now time.Time) {
 	if !valid(self) || target.Zone(self.Zone) == m.options.Self.Zone {
 		return
@@ -251,8 +250,8 @@
 	}
 }
 
-// applyMembersOf takes in what a zone says about its own members. The caller
-// holds the mutex.
+// applyMembersOf applies what a zone reports about its own members, and ignores entries about other
+// zones. The caller holds the mutex.
 func (m *Membership) applyMembersOf(zone target.Zone, entries []*pb.Entry, now time.Time) {
 	for _, entry := range otherZoneOnly(entries, m.options.Self.Zone) {
 		if target.Zone(entry.Zone) == zone {
@@ -261,7 +260,8 @@
 	}
 }
 
-// withoutKnown returns the declarations that the other side does not hold already.
+// withoutKnown returns the entries that the other side does not already hold in the same state and
+// incarnation.
 func withoutKnown(entries, known []*pb.Entry) []*pb.Entry {
 	return slices.DeleteFunc(entries, func(entry *pb.Entry) bool {
 		return slices.ContainsFunc(known, func(held *pb.Entry) bool {
@@ -270,9 +270,8 @@
 	})
 }
 
-// contactsInUnknownZones returns one living member of each zone that the asking node
-// does not know, so that zones find each other through a third. The caller
-// holds the mutex.
+// contactsInUnknownZones returns one alive member of each zone that the requesting node does not
+// know, so that zones discover each other through a third zone. The caller holds the mutex.
 func (m *Membership) contactsInUnknownZones(request *pb.SummaryRequest) []*pb.Entry {
 	var contacts []*pb.Entry
 	for _, zone := range m.table.zones() {
@@ -290,16 +289,16 @@
 	return contacts
 }
 
-// settled reports whether this node knows its own zone well enough to correct
-// others. The caller holds the mutex.
+// settled reports whether this node knows its own zone well enough to correct other zones. The
+// caller holds the mutex.
 func (m *Membership) settled(now time.Time) bool {
 	return m.joined || now.Sub(m.startedAt) >= firstNodeSettleTime
 }
 
-// corrections returns what is wrong in what another zone holds about members of
-// this one. Members that it holds as suspect or dead and that are alive here are
-// asked to refute, so that their higher incarnation overrides the error
-// everywhere. The caller holds the mutex.
+// corrections returns entries that fix errors in what another zone holds about members of this
+// zone. Members that it holds as suspect or dead and that are alive here are asked to refute the
+// accusation, so that their higher incarnation overrides the error everywhere. The caller holds the
+// mutex.
 func (m *Membership) corrections(known []*pb.Entry, now time.Time) []*pb.Entry {
 	var corrections []*pb.Entry
 	var challenges []challenge
--- a/pkg/membership/broadcast.go
+++ b/pkg/membership/broadcast.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// MaxBroadcastBytes bounds the payload of one message.
+	// MaxBroadcastBytes bounds the payload of one broadcast message.
 	MaxBroadcastBytes = 4096
-	// maxSeenBroadcasts is the number of messages by which repeats are known.
+	// maxSeenBroadcasts is the number of message keys that are remembered to detect duplicates.
 	maxSeenBroadcasts = 4096
-	// maxKeptBroadcasts is the number of latest messages that are kept for members that
-	// missed them, and broadcastRetention is how long.
+	// maxKeptBroadcasts is the number of latest messages that are kept for members that missed
+	// them, and broadcastRetention is how long they are kept.
 	maxKeptBroadcasts  = 64
 	broadcastRetention = 30 * time.Second
 )
 
-// BroadcastHandler takes a message of another subsystem. It is called once for each
-// message, from the goroutine that received it, and must not block.
+// BroadcastHandler receives a message of another subsystem. It is called once for each message,
+// from the goroutine that received it, and must not block.
 type BroadcastHandler func(from target.NodeID, payload []byte)
 
-// broadcastKey identifies a message.
+// broadcastKey returns the key that identifies a message.
 func broadcastKey(broadcast *pb.News) string {
 	return fmt.Sprintf("news/%s/%d", broadcast.Origin, broadcast.Sequence)
 }
 
-// broadcastLog remembers the latest messages, so that each is handed over once and
-// can be given to members that missed it. It is not safe for concurrent use.
+// broadcastLog remembers the latest messages, so that each is delivered once and can be sent to
+// members that missed it. It is not safe for concurrent use.
 type broadcastLog struct {
 	seen      map[string]struct{}
 	seenOrder []string
@@ -50,7 +50,7 @@
 
 func newBroadcastLog() *broadcastLog { return &broadcastLog{seen: make(map[string]struct{})} }
 
-// add reports whether a message is new, and keeps it.
+// add records a message and reports whether it is new.
 func (l *broadcastLog) add(broadcast *pb.News, now time.Time) bool {
 	key := broadcastKey(broadcast)
 	if _, ok := l.seen[key]; ok {
@@ -65,7 +65,7 @@
 	return true
 }
 
-// remember notes a key, and forgets the oldest one if there are too many.
+// remember records a key, and forgets the oldest one once there are maxSeenBroadcasts.
 func (l *broadcastLog) remember(key string) {
 	l.seen[key] = struct{}{}
 	if len(l.seenOrder) < maxSeenBroadcasts {
@@ -77,7 +77,7 @@
 	l.next = (l.next + 1) % maxSeenBroadcasts
 }
 
-// expire drops the messages that are no longer kept.
+// expire drops the messages that are older than broadcastRetention.
 func (l *broadcastLog) expire(now time.Time) {
 	for len(l.kept) > 0 && now.Sub(l.kept[0].receivedAt) >= broadcastRetention {
 		l.kept = l.kept[1:]
@@ -106,18 +106,17 @@
 	return missing
 }
 
-// HandleBroadcast registers the handler of a kind of message. It must be called
-// before Run.
+// HandleBroadcast registers the handler for a kind of message. It must be called before Run.
 func (m *Membership) HandleBroadcast(kind string, handler BroadcastHandler) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.broadcastHandlers[kind] = handler
 }
 
-// Broadcast sends a small message to every node of the zone. It returns at
-// once; a node that is cut off at the time may miss the message, so what must
-// arrive needs a comparison of state beside it. This node's own handler is not
-// called.
+// Broadcast sends a small message to every node of the zone and returns at once. A node that is cut
+// off at the time may miss the message, so state that must arrive also needs a periodic comparison.
+// This node's own handler is not called. It returns an error if the payload exceeds
+// MaxBroadcastBytes.
 func (m *Membership) Broadcast(kind string, payload []byte) error {
 	if len(payload) > MaxBroadcastBytes {
 		return errors.Errorf("broadcast %s: %d bytes exceed the limit of %d", kind, len(payload), MaxBroadcastBytes)
@@ -136,14 +135,14 @@
 	return nil
 }
 
-// delivery is a message on its way to its handler.
+// delivery is a message to be passed to its handler.
 type delivery struct {
 	handler   BroadcastHandler
 	broadcast *pb.News
 }
 
-// receiveBroadcasts notes messages and returns those to hand over. The caller holds
-// the mutex.
+// receiveBroadcasts records messages, queues new ones as gossip and returns those to deliver. The
+// caller holds the mutex.
 func (m *Membership) receiveBroadcasts(received []*pb.News, now time.Time) []delivery {
 	var deliveries []delivery
 	for _, broadcast := range received {
@@ -158,7 +157,7 @@
 	return deliveries
 }
 
-// deliver hands messages over. The caller does not hold the mutex.
+// deliver passes messages to their handlers. The caller does not hold the mutex.
 func (m *Membership) deliver(deliveries []delivery) {
 	for _, each := range deliveries {
 		each.handler(target.NodeID(each.broadcast.Origin), each.broadcast.Payload)
--- a/pkg/membership/digest.go
+++ b/pkg/membership/digest.go
@@ -8,20 +8,19 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// digestBuckets is the number of parts that member lists are compared in, so
-// that a small difference costs the exchange of a small part.
+// digestBuckets is the number of buckets that a member list is divided into for anti-entropy, so
+// that a small difference transfers only a small part of the list.
 const digestBuckets = 32
 
-// digests holds, for each bucket, the exclusive or of the hashes of the living
-// members in it: their IDs, incarnations and states as sent to peers.
+// digests holds, for each bucket, the XOR of the hashes of its members that are not dead. A hash
+// covers the ID, the incarnation and the state as sent to peers.
 type digests [digestBuckets]uint64
 
-// bucketOf returns the bucket of a member.
 func bucketOf(id target.NodeID) int {
 	return int(xxhash.Sum64String(string(id)) % digestBuckets)
 }
 
-// toggle adds a record, or takes it out again.
+// toggle adds a record to its bucket's digest, or removes it if it was added before.
 func (d *digests) toggle(r *record) {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -33,8 +32,8 @@
 	d[bucketOf(r.member.ID)] ^= digest.Sum64()
 }
 
-// differing returns which buckets differ from a peer's digests; all of them if
-// the peer uses another number of buckets.
+// differing returns which buckets differ from a peer's digests. All differ if the peer uses another
+// number of buckets.
 func (d *digests) differing(other []uint64) [digestBuckets]bool {
 	var differ [digestBuckets]bool
 	for bucket := range differ {
--- a/pkg/membership/gossip.go
+++ b/pkg/membership/gossip.go
@@ -7,7 +7,8 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// startGossip sends fresh news to some random members.
+// startGossip sends queued gossip to some random members. Without other members, it clears the
+// queue.
 func (m *Membership) startGossip(ctx context.Context) {
 	m.mutex.Lock()
 	chosen := m.randomOthers(m.options.GossipFanout, "")
@@ -21,15 +22,15 @@
 	}
 }
 
-// takeGossip returns the gossip for one message, nil if there is none.
+// takeGossip returns the gossip for one message, or nil if there is none.
 func (m *Membership) takeGossip() *pb.Gossip {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.takeGossipLocked()
 }
 
-// takeGossipLocked is takeGossip for callers that hold the mutex. A node that
-// was paused passes nothing on.
+// takeGossipLocked is takeGossip for callers that hold the mutex. A node that is stale after a
+// pause passes on no gossip.
 func (m *Membership) takeGossipLocked() *pb.Gossip {
 	if m.stale {
 		return nil
@@ -37,8 +38,8 @@
 	return m.queue.take(maxGossipBytes, retransmits(m.table.zoneSize))
 }
 
-// gossipFor returns the gossip for one member, with the given entries and with
-// what this node holds against that member, so that it can refute it.
+// gossipFor returns the gossip for one member: queued gossip, the given entries and any accusation
+// of that member that this node holds, so that the member can refute it.
 func (m *Membership) gossipFor(id target.NodeID, entries []*pb.Entry) *pb.Gossip {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -56,8 +57,8 @@
 	return gossip
 }
 
-// gossipInAck returns the gossip for the answer to a ping. Most of what could
-// answer gossip is known to its sender, so only a ping without any gets some.
+// gossipInAck returns the gossip for the ack of a ping. The sender of gossip already knows most of
+// what the ack could contain, so queued gossip is added only if the ping carried none.
 func (m *Membership) gossipInAck(from target.NodeID, received *pb.Gossip) *pb.Gossip {
 	if received == nil {
 		return m.gossipFor(from, nil)
@@ -70,8 +71,8 @@
 	return nil
 }
 
-// accusationFor returns what this node holds against a member, or nil. The
-// caller holds the mutex.
+// accusationFor returns the entry by which this node holds a member to be dead or suspect, or nil.
+// The caller holds the mutex.
 func (m *Membership) accusationFor(id target.NodeID) *pb.Entry {
 	known := m.table.records[id]
 	if m.stale || known == nil {
@@ -86,8 +87,8 @@
 	return nil
 }
 
-// randomOthers returns up to count different members of the zone that are not
-// dead, without this node and the excluded one. The caller holds the mutex.
+// randomOthers returns up to count different members of this zone that are not dead, excluding this
+// node and the excluded member. The caller holds the mutex.
 func (m *Membership) randomOthers(count int, excluded target.NodeID) []Member {
 	others := m.table.others
 	if len(others) <= count+1 {
@@ -107,7 +108,8 @@
 	return chosen
 }
 
-// maxPicksPerMember bounds the tries to find a member that is not chosen yet.
+// maxPicksPerMember bounds the random picks per requested member, because a pick may hit a member
+// that is already chosen.
 const maxPicksPerMember = 8
 
 func (m *Membership) shuffledOthers(count int, excluded target.NodeID) []Member {
--- a/pkg/membership/join.go
+++ b/pkg/membership/join.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// joinPeriod is the time between two attempts to find a first member.
+	// joinPeriod is the time between two attempts to join the zone, until the first one succeeds.
 	joinPeriod = 500 * time.Millisecond
 	// joinAttempts is the number of addresses that are tried in each attempt.
 	joinAttempts = 3
-	// seedZoneRetention is how long the zone of a seed is remembered.
+	// seedZoneRetention is how long the zone of a seed is cached.
 	seedZoneRetention = 5 * time.Minute
 )
 
-// seedZones remembers the zones of seeds that were found to be in another zone
-// than this node, so that they are not asked over and over.
+// seedZones caches the zones of seeds that turned out to be in another zone than this node, so that
+// they are not contacted again and again.
 type seedZones map[peer.Address]seedZone
 
 type seedZone struct {
@@ -28,7 +28,7 @@
 	since time.Time
 }
 
-// of returns the remembered zone of an address, or an empty one.
+// of returns the cached zone of an address, or an empty one.
 func (s seedZones) of(address peer.Address, now time.Time) target.Zone {
 	remembered, ok := s[address]
 	if ok && now.Sub(remembered.since) >= seedZoneRetention {
@@ -38,8 +38,8 @@
 	return remembered.zone
 }
 
-// rejoinPeriod is shorter until the node has found its zone. The caller holds
-// the mutex.
+// rejoinPeriod returns the time between two attempts to find members. It is shorter until the node
+// has joined its zone. The caller holds the mutex.
 func (m *Membership) rejoinPeriod() time.Duration {
 	if m.joined {
 		return m.options.Timing.RejoinPeriod
@@ -47,8 +47,8 @@
 	return min(joinPeriod, m.options.Timing.RejoinPeriod)
 }
 
-// startRejoin looks for nodes of the zone that this node does not know or holds
-// as dead, at the addresses where they may be.
+// startRejoin contacts addresses that may belong to nodes of this zone that this node does not know
+// or holds as dead.
 func (m *Membership) startRejoin(ctx context.Context) {
 	m.startOnce(&m.joining, func() {
 		m.mutex.Lock()
@@ -64,9 +64,10 @@
 	})
 }
 
-// rejoinAddresses returns, in random order, the addresses of dead members and
-// the seeds of this zone, or of an unknown one, that no living member has. A
-// node that is alone asks other zones too. The caller holds the mutex.
+// rejoinAddresses returns, in random order, the addresses of dead members and the seeds of this
+// zone or of an unknown zone, except addresses of members that are not dead. Members that left are
+// not contacted. A node without other members in its zone contacts seeds of other zones too. The
+// caller holds the mutex.
 func (m *Membership) rejoinAddresses(now time.Time) []peer.Address {
 	isolated := len(m.table.others) == 0
 	candidates := make(map[peer.Address]bool)
@@ -102,7 +103,8 @@
 	return addresses
 }
 
-// recoverySource returns a random member or seed to fetch the list from.
+// recoverySource returns the address of a random member or seed of this zone to fetch the list
+// from.
 func (m *Membership) recoverySource() (peer.Address, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -122,8 +124,8 @@
 	return addresses[0], true
 }
 
-// learnOtherZone takes in what a node of another zone told. It returns the
-// address of an unknown member of this zone, if that node named one.
+// learnOtherZone applies the reply of a node of another zone. It returns the address of a member of
+// this zone that the reply names and this node does not know, if any.
 func (m *Membership) learnOtherZone(address peer.Address, reply *pb.SyncReply) (peer.Address, bool) {
 	zone := target.Zone(reply.Self.GetZone())
 	if zone == "" {
@@ -148,7 +150,7 @@
 	return addresses[0], true
 }
 
-// otherZoneOnly returns the declarations about members of other zones.
+// otherZoneOnly returns the valid entries that name another zone than ownZone.
 func otherZoneOnly(entries []*pb.Entry, ownZone target.Zone) []*pb.Entry {
 	var others []*pb.Entry
 	for _, entry := range entries {
--- a/pkg/membership/leave.go
+++ b/pkg/membership/leave.go
@@ -13,18 +13,17 @@
 )
 
 const (
-	// departureTimeout bounds the time to say that this node is gone.
+	// departureTimeout bounds the time to notify one member that this node has stopped.
 	departureTimeout = time.Second
-	// departureFanout is the number of members that are told.
+	// departureFanout is the number of members of this zone that are notified.
 	departureFanout = 5
-	// leavePoll is the time between two looks whether the announcement was
-	// passed on often enough.
+	// leavePoll is the time between two checks whether the announcement has been sent often enough.
 	leavePoll = 50 * time.Millisecond
 )
 
-// Leave announces that this node stops: peers list it as leaving. It returns
-// when the announcement was passed on often enough to reach the zone, or with
-// the error of ctx. The node goes on answering its peers until Run ends.
+// Leave announces that this node is about to stop, so that peers list it as leaving. It returns
+// when the announcement has been sent often enough to reach the zone, or with the error of ctx. The
+// node continues to answer its peers until Run ends.
 func (m *Membership) Leave(ctx context.Context) error {
 	m.mutex.Lock()
 	if m.table.self.member.State != Leaving {
@@ -43,8 +42,8 @@
 	return nil
 }
 
-// whileRunning refuses requests after Run has ended, so that a process that is
-// about to exit does not look alive.
+// whileRunning rejects requests after Run has ended, so that a process that is about to exit does
+// not appear alive.
 func (m *Membership) whileRunning(handler peer.Handler) peer.Handler {
 	return func(ctx context.Context, from target.NodeID, body []byte) (proto.Message, error) {
 		if m.stopped.Load() {
@@ -59,13 +58,13 @@
 	}
 }
 
-// answers reports whether a failed call shows that the peer's membership runs.
+// showsRunning reports whether the error of a failed call shows that the peer's membership is
+// running.
 func showsRunning(err error) bool {
 	return peer.IsRemote(err) && outcome.ReasonOf(err) != outcome.ReasonDraining
 }
 
-// oneOfEachZone returns one known member of each other zone. The caller holds
-// the mutex.
+// oneOfEachZone returns one random known member of each other zone. The caller holds the mutex.
 func (m *Membership) oneOfEachZone() []Member {
 	var chosen []Member
 	for _, zone := range m.table.zones() {
@@ -77,15 +76,15 @@
 	return chosen
 }
 
-// announcing reports whether this node's own entry is still being passed on.
+// announcing reports whether this node's own entry is still queued as gossip.
 func (m *Membership) announcing() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return len(m.table.others) > 0 && m.queue.has(entryKey(string(m.options.Self.ID)))
 }
 
-// announceDeparture tells some members of this zone and one of each other zone that
-// this node is gone, if it left.
+// announceDeparture notifies some members of this zone and one of each other zone that this node
+// has stopped, if it was leaving.
 func (m *Membership) announceDeparture() {
 	m.mutex.Lock()
 	self := m.table.self
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// quarantine is the time after a pause in which gossip is not taken in,
-	// because it may have waited in socket buffers during the pause.
+	// gossipQuarantine is the time after a pause during which received gossip is ignored, because
+	// it may have waited in socket buffers during the pause.
 	gossipQuarantine = time.Second
-	// recoveryTimeout is the time after a pause in which the node tries to fetch
-	// the list from others before it goes on with its own.
+	// recoveryTimeout is the time after a pause during which the node tries to fetch the list from
+	// others before it continues with its own.
 	recoveryTimeout = 3 * time.Second
-	// pauseHealthPenalty is how much a pause counts against a node's own health.
+	// pauseHealthPenalty is the amount by which a pause raises the node's health score.
 	pauseHealthPenalty = 2
-	// reapPeriod is the time between two looks for members to forget.
+	// reapPeriod is the time between two checks for members to forget.
 	reapPeriod = 30 * time.Second
 )
 
-// Membership keeps the list of nodes. It is safe for concurrent use.
+// Membership maintains the list of nodes. It is safe for concurrent use.
 type Membership struct {
 	options  Options
 	logger   hclog.Logger
@@ -36,10 +36,10 @@
 	startMutex sync.Mutex
 	// ended is guarded by startMutex.
 	ended bool
-	// gone is set when Run ends; peers get no answer from then on.
+	// stopped is set when Run ends; from then on, requests from peers are rejected.
 	stopped atomic.Bool
-	// recovering, joining and summarizing keep a duty from running twice at
-	// the same time.
+	// recovering, joining, syncing and summarizing each keep one task from running twice at the
+	// same time.
 	recovering, joining, syncing, summarizing atomic.Bool
 
 	mutex sync.Mutex
@@ -55,13 +55,14 @@
 	broadcastHandlers map[string]BroadcastHandler
 	contacts          zoneContacts
 	seedZones         seedZones
-	// stale is set from the end of a pause until the list was fetched anew.
+	// stale is set from the detection of a pause until the list has been fetched again or recovery
+	// is given up.
 	stale           bool
 	staleSince      time.Time
 	quarantineUntil time.Time
-	// joined is set after the first exchange with a node of the zone.
+	// joined is set after the first exchange with a node of this zone.
 	joined bool
-	// begun is when Run started.
+	// startedAt is when Run started.
 	startedAt        time.Time
 	snapshot         []Member
 	snapshotVersion  uint64
@@ -69,7 +70,7 @@
 	subscribers      map[chan struct{}]struct{}
 }
 
-// schedule holds when timed work is due next.
+// schedule holds the time of the last tick and when each periodic task is due next.
 type schedule struct {
 	lastTick time.Time
 	probe    time.Time
@@ -79,8 +80,8 @@
 	reap     time.Time
 }
 
-// New makes the membership of one node and registers its message handlers. It
-// does nothing before Run.
+// New creates the membership of one node and registers its message handlers. It does nothing else
+// before Run.
 func New(options Options) *Membership {
 	options = options.withDefaults()
 	m := &Membership{
@@ -102,8 +103,8 @@
 	return m
 }
 
-// Run joins the other nodes and keeps the list until ctx ends. After Leave it
-// ends by telling some members that this node is gone.
+// Run joins the other nodes and maintains the list until ctx ends, and then returns nil. After
+// Leave, it first notifies some members that this node has stopped.
 func (m *Membership) Run(ctx context.Context) error {
 	defer m.end()
 	m.begin(time.Now())
@@ -122,7 +123,8 @@
 	}
 }
 
-// begin spreads the first timed work of many nodes that start together.
+// begin sets the first due times, with jitter to spread the load of nodes that start together, and
+// queues this node's own entry.
 func (m *Membership) begin(now time.Time) {
 	m.mutex.Lock()
 	defer m.unlock()
@@ -139,12 +141,12 @@
 	m.queue.addEntry(entryOf(m.table.self))
 }
 
-// jitter returns a random part of a period. The caller holds the mutex.
+// jitter returns a random fraction of a period. The caller holds the mutex.
 func (m *Membership) jitter(period time.Duration) time.Duration {
 	return time.Duration(m.random.Int64N(int64(period)))
 }
 
-// tick does the timed work that is due.
+// tick starts the tasks that are due. After a pause, it only tries to recover the list.
 func (m *Membership) tick(ctx context.Context, now time.Time) {
 	m.mutex.Lock()
 	m.detectPause(now)
@@ -164,8 +166,7 @@
 	}
 }
 
-// due returns the work that is due and sets when it is due again. The caller
-// holds the mutex.
+// due returns the periodic tasks that are due and schedules them again. The caller holds the mutex.
 func (m *Membership) due(now time.Time) []func(ctx context.Context) {
 	timing := m.options.Timing
 	var work []func(ctx context.Context)
@@ -190,7 +191,7 @@
 	return work
 }
 
-// elapsed reports whether a moment has come, and moves it on by period.
+// elapsed reports whether a due time has come, and if so sets it to one period from now.
 func elapsed(moment *time.Time, now time.Time, period time.Duration) bool {
 	if now.Before(*moment) {
 		return false
@@ -199,8 +200,8 @@
 	return true
 }
 
-// start runs work in a goroutine that Run waits for; false if Run has ended and
-// the work is not done.
+// start runs work in a goroutine that Run waits for. It returns false, without running work, if Run
+// has ended.
 func (m *Membership) start(work func()) bool {
 	m.startMutex.Lock()
 	defer m.startMutex.Unlock()
@@ -211,7 +212,7 @@
 	return true
 }
 
-// end waits for the goroutines and lets no more start.
+// end prevents new goroutines from starting and waits for the running ones.
 func (m *Membership) end() {
 	m.startMutex.Lock()
 	m.ended = true
@@ -233,7 +234,7 @@
 	}
 }
 
-// unlock releases the mutex after telling subscribers of changes.
+// unlock notifies subscribers if the list changed, then releases the mutex.
 func (m *Membership) unlock() {
 	changed := m.publishedVersion != m.table.version
 	m.publishedVersion = m.table.version
@@ -248,9 +249,9 @@
 	m.mutex.Unlock()
 }
 
-// Members returns all known members sorted by ID: every member of this node's
-// zone, dead ones for a while, and some of each other zone. The slice must not
-// be changed.
+// Members returns all known members sorted by ID: every member of this node's zone, including dead
+// ones until they are forgotten, and some members of each other zone. The caller must not modify
+// the slice.
 func (m *Membership) Members() []Member {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -261,8 +262,8 @@
 	return m.snapshot
 }
 
-// Alive returns the members of a zone that are alive or suspected, sorted by
-// ID. For another zone than this node's own it returns some of them.
+// Alive returns the members of a zone that are alive or suspected, sorted by ID. For a zone other
+// than this node's own, it returns only the members that this node knows.
 func (m *Membership) Alive(zone target.Zone) []Member {
 	var living []Member
 	for _, member := range m.Members() {
@@ -280,15 +281,15 @@
 	return m.table.zones()
 }
 
-// Self returns this node as its peers see it.
+// Self returns this node's own entry as it declares it to peers.
 func (m *Membership) Self() Member {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.table.self.member
 }
 
-// Subscribe returns a channel that gets a value after the list changed; values
-// that are not read are merged. Stop ends the subscription.
+// Subscribe returns a channel that receives a value after the list changed; values that are not
+// read are merged into one. Calling stop ends the subscription.
 func (m *Membership) Subscribe() (changes <-chan struct{}, stop func()) {
 	subscriber := make(chan struct{}, 1)
 	m.mutex.Lock()
@@ -301,7 +302,7 @@
 	}
 }
 
-// receive takes in gossip; it reports whether this node was accused.
+// receive applies gossip. It reports whether this node was accused.
 func (m *Membership) receive(gossip *pb.Gossip) bool {
 	if gossip == nil {
 		return false
@@ -320,8 +321,8 @@
 	return accused
 }
 
-// applyAll takes in entries; those that are news are passed on if passOn is
-// set. It reports whether this node was accused. The caller holds the mutex.
+// applyAll applies entries. Those that change the list are queued as gossip if passOn is set. It
+// reports whether this node was accused. The caller holds the mutex.
 func (m *Membership) applyAll(entries []*pb.Entry, now time.Time, passOn bool) bool {
 	accused := false
 	for _, entry := range entries {
@@ -339,8 +340,9 @@
 	return accused
 }
 
-// refute answers an entry about this node: if the entry contradicts what this
-// node declares, a higher incarnation overrides it. The caller holds the mutex.
+// refute handles an entry about this node. If the entry contradicts this node's declaration or has
+// a higher incarnation, the node declares its state again at a higher incarnation, which overrides
+// the entry. It reports whether this node was accused. The caller holds the mutex.
 func (m *Membership) refute(entry *pb.Entry) bool {
 	self := m.table.self
 	accused := claimsNotRunning(entry)
@@ -354,8 +356,7 @@
 	return true
 }
 
-// declare sets this node's own state and spreads it. The caller holds the
-// mutex.
+// declare sets this node's own state and queues it as gossip. The caller holds the mutex.
 func (m *Membership) declare(state State, incarnation uint64) {
 	self := m.table.self
 	m.table.change(self, func() {
--- a/pkg/membership/options.go
+++ b/pkg/membership/options.go
@@ -9,59 +9,53 @@
 	"github.com/bramblemast/bramblemast/pkg/peer"
 )
 
-// Options sets up a Membership. Only Self and Transport are required.
+// Options configures a Membership. Only Self and Transport are required.
 type Options struct {
 	// Self is this node: its ID, addresses, zone and region.
 	Self Member
-	// Transport carries the messages.
+	// Transport carries the messages to and from peers.
 	Transport peer.Transport
-	// Seeds returns addresses at which other nodes may be found. It is called
-	// often and must not block; it may return this node's own address.
+	// Seeds returns addresses at which other nodes may be found. It is called often and must not
+	// block. It may include this node's own address.
 	Seeds func() []Seed
-	// Seed starts the random numbers.
+	// Seed seeds the random number generator.
 	Seed   uint64
 	Logger hclog.Logger
 	Timing Timing
-	// IndirectProbes is the number of members that are asked to probe one that
-	// did not answer.
+	// IndirectProbes is the number of members that are asked to probe a member that did not answer.
 	IndirectProbes int
-	// GossipFanout is the number of members that get fresh news in each
-	// GossipPeriod.
+	// GossipFanout is the number of members that receive queued gossip in each GossipPeriod.
 	GossipFanout int
-	// Bridges is the number of members that exchange summaries with other
-	// zones.
+	// Bridges is the number of members of this zone that exchange summaries with other zones.
 	Bridges int
-	// MembersPerZone is the number of members of each other zone that every
-	// node knows.
+	// MembersPerZone is the maximum number of members of each other zone that a node knows.
 	MembersPerZone int
 
-	// beforeTick, set by tests, is called before each round of timed work; a
-	// frozen node blocks in it.
+	// beforeTick is set by tests and called before each tick; a frozen node blocks in it.
 	beforeTick func()
 }
 
-// Timing holds the periods and time-outs. Zero values mean the defaults.
+// Timing holds the periods and time-outs. Zero values select the defaults.
 type Timing struct {
 	// ProbePeriod is the time between two probes by one node.
 	ProbePeriod time.Duration
-	// ProbeTimeout is the wait for the answer to a probe.
+	// ProbeTimeout is how long a node waits for the answer to a probe.
 	ProbeTimeout time.Duration
-	// GossipPeriod is the time between two rounds of fresh news.
+	// GossipPeriod is the time between two rounds of gossip, and between two ticks.
 	GossipPeriod time.Duration
-	// SyncPeriod is the time between two comparisons with a random member.
+	// SyncPeriod is the time between two comparisons of the list with a random member.
 	SyncPeriod time.Duration
 	// RejoinPeriod is the time between two attempts to find lost members.
 	RejoinPeriod time.Duration
-	// SummaryPeriod is the time between two rounds of exchanges of a bridge.
+	// SummaryPeriod is the time between two rounds of a bridge's exchanges with other zones.
 	SummaryPeriod time.Duration
-	// PauseLimit is the delay of timed work above which the process is taken
-	// to have been paused.
+	// PauseLimit is the delay of a tick above which the process is considered to have been paused.
 	PauseLimit time.Duration
-	// DeadRetention is how long a dead member is remembered.
+	// DeadRetention is how long a dead member of this zone is remembered.
 	DeadRetention time.Duration
 }
 
-// Defaults of Timing and Options.
+// Default values of Timing and Options.
 const (
 	DefaultProbePeriod    = time.Second
 	DefaultProbeTimeout   = 500 * time.Millisecond
--- a/pkg/membership/pause.go
+++ b/pkg/membership/pause.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// detectPause finds out that this process was paused, from timed work that is
-// far too late. What the node believed before may be long out of date, so it
-// accuses nobody, passes nothing on, and fetches the list anew. The caller
-// holds the mutex.
+// detectPause detects from a late tick that this process was paused. The node's list may then be
+// long out of date, so the node suspects nobody, passes no gossip on and fetches the list again.
+// The caller holds the mutex.
 func (m *Membership) detectPause(now time.Time) {
 	last := m.schedule.lastTick
 	if last.IsZero() || now.Sub(last) <= m.options.Timing.PauseLimit {
@@ -25,9 +24,8 @@
 	m.logger.Warn("process was paused", "seconds", now.Sub(last).Seconds())
 }
 
-// giveUpRecovery goes on with the node's own list if no other node gave a newer
-// one, for example because all nodes were paused together. The caller holds the
-// mutex.
+// giveUpRecovery continues with the node's own list if no other node supplied a newer one within
+// recoveryTimeout, for example because all nodes were paused together. The caller holds the mutex.
 func (m *Membership) giveUpRecovery(now time.Time) {
 	if now.Sub(m.staleSince) < recoveryTimeout {
 		return
@@ -37,8 +35,8 @@
 	m.queue.addEntry(entryOf(m.table.self))
 }
 
-// recover makes this node's list that of another member. Only the buckets that
-// differ are fetched, so that the return of many paused nodes costs little.
+// recover replaces this node's list by that of another member. It fetches only the buckets that
+// differ, so that the return of many paused nodes is cheap.
 func (m *Membership) recover(ctx context.Context) {
 	address, ok := m.recoverySource()
 	if !ok {
--- a/pkg/membership/queue.go
+++ b/pkg/membership/queue.go
@@ -5,15 +5,14 @@
 )
 
 const (
-	// maxQueued bounds the items that wait to be passed on.
+	// maxQueued bounds the number of queued items.
 	maxQueued = 4096
-	// entryOverhead is the room that the framing of one item takes in a
-	// message, in bytes.
+	// entryOverhead is the size of the framing of one item in a message, in bytes.
 	entryOverhead = 4
 )
 
-// item is one piece of gossip that is passed on a number of times. Either entry
-// or news is set.
+// item is one piece of gossip that is sent a limited number of times. Either entry or broadcast is
+// set.
 type item struct {
 	key        string
 	entry      *pb.Entry
@@ -22,8 +21,8 @@
 	superseded bool
 }
 
-// queue holds the gossip that this node passes on, the least often sent first.
-// It is not safe for concurrent use.
+// queue holds the gossip that this node passes on; items that were sent least often go first. It is
+// not safe for concurrent use.
 type queue struct {
 	// tiers[n] holds the items that were sent n times, oldest first.
 	tiers [][]*item
@@ -32,15 +31,15 @@
 
 func newQueue() *queue { return &queue{byKey: make(map[string]*item)} }
 
-// addEntry queues an entry; it replaces an earlier one about the same member.
+// addEntry queues an entry. It replaces an earlier entry about the same member.
 func (q *queue) addEntry(entry *pb.Entry) {
 	q.add(&item{key: entryKey(entry.Id), entry: entry, size: entry.SizeVT() + entryOverhead})
 }
 
-// entryKey is the key of the entry about a member.
+// entryKey returns the key of the entry about a member.
 func entryKey(id string) string { return "member/" + id }
 
-// has reports whether an item waits to be passed on.
+// has reports whether an item is queued.
 func (q *queue) has(key string) bool { return q.byKey[key] != nil }
 
 // addBroadcast queues a message of another subsystem.
@@ -62,7 +61,7 @@
 	}
 }
 
-// dropMostSent forgets the item that was passed on most often.
+// dropMostSent drops the item that was sent most often.
 func (q *queue) dropMostSent() {
 	for tier := len(q.tiers) - 1; tier >= 0; tier-- {
 		for len(q.tiers[tier]) > 0 {
@@ -76,17 +75,16 @@
 	}
 }
 
-// len returns the number of items.
 func (q *queue) len() int { return len(q.byKey) }
 
-// clear forgets all items.
+// clear drops all items.
 func (q *queue) clear() {
 	q.tiers = nil
 	clear(q.byKey)
 }
 
-// take returns items of at most maxBytes together for one message, and forgets
-// those that have been sent limit times.
+// take returns items for one message, at most maxBytes in total, and drops those that have now been
+// sent limit times.
 func (q *queue) take(maxBytes, limit int) *pb.Gossip {
 	if q.len() == 0 {
 		return nil
@@ -121,8 +119,8 @@
 	return gossip
 }
 
-// requeue keeps an item that was sent the given number of times, unless that is
-// enough.
+// requeue puts an item back that was sent the given number of times, or drops it if it reached the
+// limit.
 func (q *queue) requeue(taken *item, times, limit int) {
 	if times >= limit {
 		delete(q.byKey, taken.key)
--- a/pkg/membership/stats.go
+++ b/pkg/membership/stats.go
@@ -2,27 +2,27 @@
 
 import "sync/atomic"
 
-// Stats counts what a node's membership did since it started.
+// Stats counts events since the start of a node's membership.
 type Stats struct {
-	// Probes counts direct probes, FailedProbes those that nobody could get
-	// an answer to.
+	// Probes counts direct probes. FailedProbes counts those for which the member was not reached,
+	// through other members either.
 	Probes       uint64
 	FailedProbes uint64
-	// Suspicions counts members that this node itself suspected first, Removed
-	// those that it removed because they did not refute.
+	// Suspicions counts members that this node suspected before any other node accused them.
+	// Removed counts members that this node removed because they did not refute.
 	Suspicions uint64
 	Removed    uint64
-	// Refutations counts how often this node had to refute that it is dead.
+	// Refutations counts how often this node had to refute an entry about itself.
 	Refutations uint64
-	// Pauses counts how often this process found that it had been paused.
+	// Pauses counts how often this process detected that it had been paused.
 	Pauses uint64
-	// Syncs counts comparisons with another node, SyncsDiffering those that
+	// Syncs counts comparisons of lists that this node started. SyncsDiffering counts those that
 	// found a difference.
 	Syncs          uint64
 	SyncsDiffering uint64
-	// Summaries counts exchanges with other zones.
+	// Summaries counts exchanges that this node started with other zones, including failed ones.
 	Summaries uint64
-	// BroadcastsDelivered counts messages of other subsystems that were handed over.
+	// BroadcastsDelivered counts messages of other subsystems that were passed to a handler.
 	BroadcastsDelivered uint64
 }
 
