--- a/pkg/membership/probe.go
+++ b/pkg/membership/probe.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// indirectTimeoutFactor is the wait for the answer of a helper, as a multiple of
-	// the helper's own wait.
+	// indirectTimeoutFactor is how long a node waits for a helper's answer, as a multiple of the
+	// helper's own probe time-out.
 	indirectTimeoutFactor = 2
-	// maxGossipBytes bounds the gossip on one message.
+	// maxGossipBytes bounds the queued gossip in one message.
 	maxGossipBytes = 8192
 )
 
-// startProbe probes the next member.
+// startProbe probes the next member in a separate goroutine.
 func (m *Membership) startProbe(ctx context.Context) {
 	m.mutex.Lock()
 	probed, ok := m.nextToProbe()
@@ -31,9 +31,8 @@
 	m.start(func() { m.probe(ctx, probed, timeout) })
 }
 
-// nextToProbe returns the next member to probe. Each round goes over all members
-// in random order, so that the time until a member is probed is bounded. The
-// caller holds the mutex.
+// nextToProbe returns the next member to probe. Each round covers all members in random order,
+// which bounds the time until any member is probed. The caller holds the mutex.
 func (m *Membership) nextToProbe() (Member, bool) {
 	if probed, ok := m.nextInRound(); ok {
 		return probed, true
@@ -58,8 +57,8 @@
 	return Member{}, false
 }
 
-// probe asks a member whether it is alive, and suspects it if nobody gets an
-// answer.
+// probe checks whether a member is alive, and suspects it if it cannot be reached directly or
+// through helpers.
 func (m *Membership) probe(ctx context.Context, probed Member, timeout time.Duration) {
 	m.counters.probes.Add(1)
 	switch result := m.reach(ctx, probed, timeout); result {
@@ -71,21 +70,22 @@
 	}
 }
 
-// reachResult is what came of the attempt to reach a member.
+// reachResult is the result of an attempt to reach a member.
 type reachResult int
 
 const (
-	// inconclusive means that the attempt says nothing: it was ended, or this
-	// process itself stood still.
+	// inconclusive means that the attempt was cancelled, or took so long that this process itself
+	// must have been paused.
 	inconclusive reachResult = iota
 	reached
 	unreachable
-	// noHelperAnswered means that no helper answered either.
+	// noHelperAnswered means that neither the member nor any helper answered, so this node itself
+	// may be cut off.
 	noHelperAnswered
 )
 
-// reach asks a member for an answer, first itself, then through others. There
-// is no result if that took longer than the time-outs allow.
+// reach tries to get an answer from a member, first directly, then through helpers. The result is
+// inconclusive if that took longer than the time-outs allow.
 func (m *Membership) reach(ctx context.Context, probed Member, timeout time.Duration) reachResult {
 	started := time.Now()
 	if m.probeDirect(ctx, probed, timeout) {
@@ -108,10 +108,9 @@
 	}
 }
 
-// finalProbes returns the work of asking the suspected members whose time to
-// refute is over for the last time. A node that missed a refutation learns it
-// from the answer, so that it never removes a member that it can reach. The
-// caller holds the mutex.
+// finalProbes returns the tasks that probe, for the last time, the suspected members whose time to
+// refute is over. A node that missed a refutation learns it from the answer, so that it never
+// removes a member that it can reach. The caller holds the mutex.
 func (m *Membership) finalProbes(now time.Time) []func(ctx context.Context) {
 	timeout := m.health.stretch(m.options.Timing.ProbeTimeout)
 	var work []func(ctx context.Context)
@@ -149,7 +148,8 @@
 	m.logger.Info("member removed", "member", checked.ID, "address", checked.Address)
 }
 
-// probeDirect reports whether the member was reached.
+// probeDirect pings the member and reports whether its address answered. If another process
+// answered, the probed member is removed.
 func (m *Membership) probeDirect(ctx context.Context, probed Member, timeout time.Duration) bool {
 	ack, err := m.ping(ctx, probed, timeout, nil)
 	if err != nil {
@@ -161,15 +161,15 @@
 	return true
 }
 
-// probeAnswered notes a sign that this node is well.
+// probeAnswered improves this node's health score.
 func (m *Membership) probeAnswered() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.health.improve()
 }
 
-// probeThroughOthers asks helpers to probe a member. Helped reports whether any
-// helper answered at all; there may be none to ask.
+// probeThroughOthers asks helpers to probe a member. The result helperAnswered reports whether any
+// helper answered at all; it is also true if there is no helper to ask.
 func (m *Membership) probeThroughOthers(ctx context.Context, probed Member, timeout time.Duration) (acked, helperAnswered bool) {
 	m.mutex.Lock()
 	helpers := m.randomOthers(m.options.IndirectProbes, probed.ID)
@@ -195,7 +195,8 @@
 	return false, helperAnswered
 }
 
-// askHelper returns the helper's reply, or nil if it did not answer.
+// askHelper asks a helper to probe a member. It returns the helper's reply, or nil if it did not
+// answer.
 func (m *Membership) askHelper(ctx context.Context, helper, probed Member) *pb.ProbeReply {
 	request := &pb.ProbeRequest{
 		Target:  string(probed.ID),
@@ -210,8 +211,8 @@
 	return reply
 }
 
-// accuse suspects a member that could not be reached. A leaving member is
-// removed at once, because it said that it would end.
+// accuse suspects a member that could not be reached. A leaving member is removed at once, because
+// it announced its stop.
 func (m *Membership) accuse(probed Member, helperAnswered bool) {
 	now := time.Now()
 	m.mutex.Lock()
@@ -241,7 +242,7 @@
 	}
 }
 
-// replaced removes a member whose address is served by another process.
+// removeReplaced removes a member whose address is now served by another process.
 func (m *Membership) removeReplaced(probed Member) {
 	m.mutex.Lock()
 	defer m.unlock()
@@ -251,8 +252,8 @@
 	}
 }
 
-// ping sends one ping with gossip, and more entries if given, and takes in what
-// comes back.
+// ping sends one ping with gossip, and with additional entries if given, and applies the gossip in
+// the ack.
 func (m *Membership) ping(ctx context.Context, pinged Member, timeout time.Duration, entries []*pb.Entry) (*pb.Ack, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -271,7 +272,7 @@
 	return ack, nil
 }
 
-// introduce tells a member about this node.
+// introduce sends this node's own entry to a member.
 func (m *Membership) introduce(to Member) {
 	m.mutex.Lock()
 	self := entryOf(m.table.self)
@@ -297,7 +298,7 @@
 	return ack, nil
 }
 
-// handleProbe pings a member for another one.
+// handleProbe pings a member on behalf of another one.
 func (m *Membership) handleProbe(ctx context.Context, _ target.NodeID, body []byte) (proto.Message, error) {
 	request := &pb.ProbeRequest{}
 	if err := request.UnmarshalVT(body); err != nil {
--- a/pkg/membership/suspicion.go
+++ b/pkg/membership/suspicion.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// minSuspicionPeriods is the shortest time to refute, in probe periods for
-	// each factor of ten in the number of members.
+	// minSuspicionPeriods is the minimum time to refute, in probe periods for each factor of ten in
+	// the number of members.
 	minSuspicionPeriods = 2
-	// maxSuspicionFactor is the time to refute while only one member accuses, as
-	// a multiple of the shortest time.
+	// maxSuspicionFactor is the time to refute while there is only one accuser, as a multiple of
+	// the minimum time.
 	maxSuspicionFactor = 3
-	// confirmations is the number of further accusers that shorten the time to
-	// refute to its minimum.
+	// maxConfirmations is the number of further accusers that reduce the time to refute to its
+	// minimum.
 	maxConfirmations = 3
 )
 
-// suspicion is the accusation of one member.
+// suspicion holds when a member was suspected and which members accuse it.
 type suspicion struct {
 	since    time.Time
 	accusers []target.NodeID
 }
 
-// confirm adds an accuser; false if it accused already or no more are needed.
+// confirm adds an accuser. It returns false if that member is already an accuser or no more are
+// needed.
 func (s *suspicion) confirm(accuser target.NodeID) bool {
 	if len(s.accusers) > maxConfirmations {
 		return false
@@ -39,10 +40,9 @@
 	return true
 }
 
-// timeout returns the time to refute in a zone of the given number of members.
-// It falls from a maximum to a minimum as independent accusers are added, so
-// that one node with a bad link cannot remove a member quickly. In a zone too
-// small to have further accusers it is the minimum.
+// timeout returns the time to refute in a zone with the given number of members. It falls from a
+// maximum to a minimum as independent accusers are added, so that one node with a bad link cannot
+// remove a member quickly. In a zone too small to have further accusers it is the minimum.
 func (s *suspicion) timeout(members int, probePeriod time.Duration) time.Duration {
 	scale := math.Max(1, math.Log10(float64(members+1)))
 	minimum := time.Duration(minSuspicionPeriods * scale * float64(probePeriod))
@@ -56,18 +56,18 @@
 	return maximum - time.Duration(share*float64(maximum-minimum))
 }
 
-// retransmits returns how often a node passes on one item of news in a zone of
-// the given number of members. The share of members that random gossip misses
-// falls as exp(-n) with the number n, so the expected number of members that
-// miss an item is about 1 in 100 in small zones and less in large ones.
+// retransmits returns how often a node passes on one item of gossip in a zone with the given number
+// of members. The share of members that random gossip misses falls as exp(-n) with the number n of
+// retransmissions. So the expected number of members that miss an item is about 1 in 100 in small
+// zones and less in large ones.
 func retransmits(members int) int {
 	return retransmitBase + int(math.Ceil(retransmitFactor*math.Log10(float64(members+1))))
 }
 
 const (
-	// retransmitBase is the number of times that news is passed on in any zone.
+	// retransmitBase is the number of times that an item is passed on in any zone.
 	retransmitBase = 2
-	// retransmitFactor is the number of further times for each factor of ten in
-	// the number of members.
+	// retransmitFactor is the number of additional times for each factor of ten in the number of
+	// members.
 	retransmitFactor = 4
 )
--- a/pkg/membership/sync.go
+++ b/pkg/membership/sync.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// syncTimeout bounds one exchange of lists.
+	// syncTimeout bounds one exchange of lists or of summaries.
 	syncTimeout = 3 * time.Second
-	// challengeInterval is the least time between two challenges of a member.
+	// challengeInterval is the minimum time between two challenges of the same member.
 	challengeInterval = 5 * time.Second
-	// challengeWorkers bounds the challenges that run at once.
+	// challengeWorkers bounds the challenges that run concurrently in one call.
 	challengeWorkers = 8
 )
 
@@ -31,10 +31,9 @@
 	m.startOnce(&m.syncing, func() { m.syncWith(ctx, chosen[0].Address) })
 }
 
-// syncWith makes the lists of two nodes equal: a first exchange finds the
-// buckets that differ and fetches the other's entries, a second one gives it
-// what it lacks. A node of another zone may name one of this zone, which is
-// asked then.
+// syncWith reconciles the lists of two nodes. A first exchange finds the buckets that differ and
+// fetches the peer's entries; a second one sends the entries that the peer lacks. A node of another
+// zone may name a node of this zone, which is then contacted instead.
 func (m *Membership) syncWith(ctx context.Context, address peer.Address) {
 	reply, err := m.compare(ctx, address)
 	if err != nil {
@@ -57,7 +56,7 @@
 	}
 }
 
-// compare sends the digests of this node's list.
+// compare sends the digests of this node's list to a peer and returns the reply.
 func (m *Membership) compare(ctx context.Context, address peer.Address) (*pb.SyncReply, error) {
 	m.mutex.Lock()
 	digests := m.table.digests
@@ -67,7 +66,7 @@
 	return m.callSync(ctx, address, &pb.SyncRequest{Digests: digests[:], RecentNews: recent})
 }
 
-// completeSync takes in what the other node gave, and gives it what it lacks.
+// completeSync applies the peer's reply and sends the entries that the peer lacks.
 func (m *Membership) completeSync(ctx context.Context, address peer.Address, reply *pb.SyncReply) {
 	if reply.Stale {
 		return
@@ -83,7 +82,8 @@
 	}
 }
 
-// callSync sends one message of a comparison.
+// callSync sends one message of a comparison. A reply that arrives long after the time-out, as
+// after a pause of this process, is an error.
 func (m *Membership) callSync(ctx context.Context, address peer.Address, request *pb.SyncRequest) (*pb.SyncReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
@@ -125,8 +125,8 @@
 	return reply, nil
 }
 
-// knownEntries returns the living members of another zone. The caller holds the
-// mutex.
+// knownEntries returns the entries of another zone's members that are not dead. The caller holds
+// the mutex.
 func (m *Membership) knownEntries(zone target.Zone) []*pb.Entry {
 	var entries []*pb.Entry
 	for _, r := range m.table.ranked(zone) {
@@ -135,8 +135,8 @@
 	return entries
 }
 
-// fillReply gives the entries that the asking node may lack, and what this node
-// holds against it. The caller holds the mutex.
+// fillReply adds the entries that the requesting node may lack, any accusation of that node that
+// this node holds, and the broadcasts that it missed. The caller holds the mutex.
 func (m *Membership) fillReply(request *pb.SyncRequest, reply *pb.SyncReply) {
 	if accusation := m.accusationFor(target.NodeID(request.Self.GetId())); accusation != nil {
 		reply.Entries = append(reply.Entries, accusation)
@@ -159,8 +159,8 @@
 	reply.Entries = append(reply.Entries, reply.Self)
 }
 
-// merge takes in a list that a node of the zone gave. The first list that a
-// node gets is not news to the others, so it is not passed on.
+// merge applies a list from a node of this zone. The first list that a node receives contains
+// nothing new to the others, so it is not passed on.
 func (m *Membership) merge(entries []*pb.Entry) {
 	m.mutex.Lock()
 	challenged := m.mergeLocked(entries, time.Now(), m.joined)
@@ -169,9 +169,9 @@
 	m.challenge(challenged)
 }
 
-// mergeLocked takes in a list. That another node calls a member dead is no
-// news by itself, because it may have been cut off: such members are returned,
-// to be asked themselves. The caller holds the mutex.
+// mergeLocked applies a list. Another node's claim that a member is suspect or dead is not applied,
+// because that node may have been cut off. Instead, the accused members are returned so that they
+// can be challenged. The caller holds the mutex.
 func (m *Membership) mergeLocked(entries []*pb.Entry, now time.Time, passOn bool) []challenge {
 	var challenges []challenge
 	declared := make([]*pb.Entry, 0, len(entries))
@@ -191,8 +191,7 @@
 	return challenges
 }
 
-// mayChallenge reports whether a member that is called dead should be asked.
-// The caller holds the mutex.
+// mayChallenge reports whether an accused member should be challenged. The caller holds the mutex.
 func (m *Membership) mayChallenge(known *record, accusation *pb.Entry, now time.Time) bool {
 	return known.member.State != Dead &&
 		accusation.Incarnation >= known.member.Incarnation &&
@@ -200,8 +199,8 @@
 		now.Sub(known.challengedAt) >= challengeInterval
 }
 
-// missingIn returns the entries of the differing buckets that the reply lacks
-// or has at a lower incarnation.
+// missingIn returns the entries of the differing buckets that the reply lacks or has at a lower
+// incarnation, and those of dead members that the reply lists.
 func (m *Membership) missingIn(reply *pb.SyncReply) []*pb.Entry {
 	var differ [digestBuckets]bool
 	for _, bucket := range reply.Buckets {
@@ -229,14 +228,14 @@
 	return missing
 }
 
-// challenge is a member that another node calls dead.
+// challenge is a member that another node holds to be suspect or dead.
 type challenge struct {
 	member     Member
 	accusation *pb.Entry
 }
 
-// challenge tells members that they are called dead, so that they refute it;
-// those that do not answer are suspected.
+// challenge sends each accused member its accusation, so that it refutes it. Members that do not
+// answer are suspected.
 func (m *Membership) challenge(challenges []challenge) {
 	if len(challenges) == 0 {
 		return
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -11,26 +11,28 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// record is what this node holds about one member. Member.State is Alive,
-// Leaving or Dead here; a suspicion is kept beside it.
+// record is what this node knows about one member. Here member.State is Alive, Leaving or Dead; a
+// suspicion is stored separately.
 type record struct {
 	member    Member
 	suspicion *suspicion
-	// left is set if the member itself said that it ended.
+	// left is set if the member left as announced or was replaced by another process at its
+	// address.
 	left bool
-	// deadSince is set for dead members.
+	// deadSince is when the member was marked dead; it is zero for other members.
 	deadSince time.Time
-	// checking is set while a suspected member is asked for the last time.
+	// finalProbeRunning is set while a suspected member is probed for the last time.
 	finalProbeRunning bool
-	// declared is when this node last learned a new declaration of the member.
+	// declaredAt is when this node last learned a new declaration of the member.
 	declaredAt time.Time
-	// challenged is when the member was last told that others call it dead.
+	// challengedAt is when the member was last challenged.
 	challengedAt time.Time
-	// remote is set for members of another zone than this node's.
+	// remote is set for members of a zone other than this node's.
 	remote bool
-	// rank orders the members of a zone for its duties; see outranks.
+	// rank orders the members of a zone, which determines the bridges and which members other zones
+	// know; see outranks.
 	rank uint64
-	// position is the record's place in table.others.
+	// position is the record's index in table.others.
 	position int
 }
 
@@ -38,7 +40,7 @@
 	return &record{member: member, rank: xxhash.Sum64String(string(member.ID))}
 }
 
-// state returns the state that others see.
+// state returns the state that callers see.
 func (r *record) state() State {
 	if r.member.State == Alive && r.suspicion != nil {
 		return Suspect
@@ -46,9 +48,9 @@
 	return r.member.State
 }
 
-// wireState returns the state for entries sent to peers. Suspicions within the
-// zone pass soon and travel by gossip only; those of another zone's members
-// last as long as the zone is silent.
+// wireState returns the state for entries sent to peers. Suspicions within the zone are short-lived
+// and spread only by gossip. Suspicions of another zone's members last as long as that zone is
+// silent.
 func (r *record) wireState() pb.State {
 	switch {
 	case r.remote && r.suspicion != nil:
@@ -64,22 +66,21 @@
 	}
 }
 
-// table is the list of members that this node knows, itself included. It reads
-// no clock and is not safe for concurrent use.
+// table is the list of members that this node knows, including itself. It reads no clock and is not
+// safe for concurrent use.
 type table struct {
 	self           *record
 	records        map[target.NodeID]*record
 	membersPerZone int
 	digests        digests
-	// others holds the members of this node's zone that are not dead, without
-	// this node, in no order.
+	// others holds the members of this node's zone that are not dead, excluding this node, in no
+	// particular order.
 	others []*record
-	// zoneSize is the number of members of this node's zone that are not dead,
-	// this node included.
+	// zoneSize is the number of members of this node's zone that are not dead, including this node.
 	zoneSize int
 	// suspects is the number of suspected members.
 	suspects int
-	// version is raised by every change.
+	// version is incremented by every change.
 	version uint64
 }
 
@@ -100,7 +101,7 @@
 	t.version++
 }
 
-// change applies edit to a record and keeps the counts and digests right.
+// change applies edit to a record and keeps the counts and digests consistent.
 func (t *table) change(r *record, edit func()) {
 	t.count(r, -1)
 	edit()
@@ -149,8 +150,8 @@
 	t.others = t.others[:len(t.others)-1]
 }
 
-// apply takes in one entry that is not about this node; it reports whether
-// anything changed, so that the entry is worth passing on.
+// apply applies one entry that is not about this node. It reports whether anything changed, so that
+// the entry is worth passing on.
 func (t *table) apply(entry *pb.Entry, now time.Time) bool {
 	known := t.records[target.NodeID(entry.Id)]
 	switch entry.State {
@@ -165,7 +166,7 @@
 	}
 }
 
-// applyDeclaration takes in what a member said about itself.
+// applyDeclaration applies a member's declaration about itself.
 func (t *table) applyDeclaration(known *record, entry *pb.Entry, now time.Time) bool {
 	if known == nil {
 		added := newRecord(memberOf(entry))
@@ -186,7 +187,7 @@
 	return t.trim(target.Zone(entry.Zone), target.NodeID(entry.Id))
 }
 
-// suspect notes an accusation.
+// suspect records an accusation. It reports whether anything changed.
 func (t *table) suspect(known *record, incarnation uint64, accuser target.NodeID, now time.Time) bool {
 	if known.member.State == Dead || incarnation < known.member.Incarnation {
 		return false
@@ -201,7 +202,7 @@
 	return true
 }
 
-// bury marks a member as dead.
+// markDead marks a member as dead. It reports whether anything changed.
 func (t *table) markDead(known *record, incarnation uint64, left bool, now time.Time) bool {
 	if known.member.State == Dead || incarnation < known.member.Incarnation {
 		return false
@@ -216,8 +217,8 @@
 	return true
 }
 
-// trim keeps the number of known members of another zone within its bound by
-// dropping the lowest rank; it reports whether the given member was kept.
+// trim limits the number of known members of another zone to membersPerZone by removing those of
+// lowest rank. It reports whether the given member was kept.
 func (t *table) trim(zone target.Zone, added target.NodeID) bool {
 	if zone == t.self.member.Zone {
 		return true
@@ -231,8 +232,8 @@
 	return kept
 }
 
-// ranked returns the members of a zone that are not dead, highest rank first.
-// Every node ranks them alike.
+// ranked returns the members of a zone that are not dead, highest rank first. Every node computes
+// the same order.
 func (t *table) ranked(zone target.Zone) []*record {
 	var living []*record
 	for _, r := range t.records {
@@ -244,8 +245,8 @@
 	return living
 }
 
-// outranks orders members by a hash of their IDs, so that duties move evenly
-// and without agreement when members come and go.
+// outranks orders members by a hash of their IDs, so that duties are spread evenly and reassigned
+// without agreement when members join or leave.
 func (r *record) outranks(other *record) bool {
 	if r.rank != other.rank {
 		return r.rank > other.rank
@@ -253,7 +254,8 @@
 	return r.member.ID > other.member.ID
 }
 
-// isBridge reports whether this node is among the highest ranks of its zone.
+// isBridge reports whether this node is alive and among the bridges highest-ranked alive members of
+// its zone.
 func (t *table) isBridge(bridges int) bool {
 	above := 0
 	for _, other := range t.others {
@@ -267,9 +269,9 @@
 	return t.self.member.State == Alive
 }
 
-// expired returns the suspected members of this node's zone whose time to
-// refute is over. The time of other zones' members never ends: only their own
-// zone removes them.
+// expired returns the suspected members of this node's zone whose time to refute is over and whose
+// final probe is not running. Members of other zones never expire: only their own zone removes
+// them.
 func (t *table) expired(now time.Time, probePeriod time.Duration) []*record {
 	if t.suspects == 0 {
 		return nil
@@ -287,9 +289,9 @@
 	return found
 }
 
-// reap forgets members that have been dead for longer than retention. Those of
-// other zones are remembered only for as long as old news of them may be on its
-// way, and those of a zone that stays silent for remoteSilentRetention.
+// reap forgets members that have been dead for longer than retention. Dead members of other zones
+// are remembered only while outdated gossip about them may still arrive, and members of a silent
+// zone for remoteSilentRetention.
 func (t *table) reap(now time.Time, retention time.Duration) {
 	for _, r := range t.records {
 		keepFor := retention
@@ -305,16 +307,15 @@
 }
 
 const (
-	// remoteDeadRetention is how long a dead member of another zone is
-	// remembered.
+	// remoteDeadRetention is how long a dead member of another zone is remembered.
 	remoteDeadRetention = time.Minute
-	// remoteSilentRetention is how long the members of a silent zone are
-	// remembered; it exceeds the time for which regions lose each other.
+	// remoteSilentRetention is how long the members of a silent zone are remembered. It exceeds the
+	// time for which regions may lose contact with each other.
 	remoteSilentRetention = 3 * time.Hour
 )
 
-// markReplaced marks as gone the other members that were at the address of a
-// process that speaks for itself. It returns them.
+// markReplaced marks as dead the other members of other zones that have the address of the process
+// that sent self. It returns them.
 func (t *table) markReplaced(self *pb.Entry, now time.Time) []*record {
 	var gone []*record
 	for _, r := range t.records {
@@ -328,8 +329,7 @@
 	return gone
 }
 
-// restartSuspicions gives every suspected member its whole time to refute
-// again.
+// restartSuspicions restarts the time to refute of every suspected member.
 func (t *table) restartSuspicions(now time.Time) {
 	for _, r := range t.records {
 		if r.suspicion != nil {
@@ -338,7 +338,7 @@
 	}
 }
 
-// dropSuspicions forgets what others were accused of.
+// dropSuspicions removes all suspicions.
 func (t *table) dropSuspicions() {
 	for _, r := range t.records {
 		if r.suspicion != nil {
@@ -347,7 +347,7 @@
 	}
 }
 
-// dropBuckets forgets the members in the given buckets, but not this node.
+// dropBuckets removes the members in the given buckets, except this node.
 func (t *table) dropBuckets(buckets []uint32) {
 	var dropped [digestBuckets]bool
 	for _, bucket := range buckets {
@@ -372,7 +372,7 @@
 	return list
 }
 
-// of returns the members of a zone, dead ones too, sorted by ID.
+// membersOf returns the records of a zone's members, including dead ones, sorted by ID.
 func (t *table) membersOf(zone target.Zone) []*record {
 	var found []*record
 	for _, r := range t.records {
--- a/pkg/membership/wire.go
+++ b/pkg/membership/wire.go
@@ -6,7 +6,7 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// The kinds of messages.
+// Kinds of messages between nodes.
 const (
 	kindPing    peer.Kind = "membership.ping"
 	kindProbe   peer.Kind = "membership.probe"
@@ -14,7 +14,7 @@
 	kindSummary peer.Kind = "membership.summary"
 )
 
-// memberOf reads a member's own declaration.
+// memberOf converts a member's own declaration.
 func memberOf(entry *pb.Entry) Member {
 	state := Alive
 	if entry.State == pb.State_STATE_LEAVING {
@@ -32,8 +32,8 @@
 	}
 }
 
-// entryOf writes a record for peers: a declaration with addresses, or that the
-// member is dead.
+// entryOf converts a record for peers: a declaration with addresses, an accusation, or an entry
+// that the member is dead or has left.
 func entryOf(r *record) *pb.Entry {
 	state := r.wireState()
 	if state == pb.State_STATE_SUSPECT {
@@ -54,7 +54,7 @@
 	}
 }
 
-// accusationOf writes that a node suspects a member.
+// accusationOf returns an entry stating that accuser suspects the member.
 func accusationOf(r *record, accuser target.NodeID) *pb.Entry {
 	return &pb.Entry{
 		Id:          string(r.member.ID),
@@ -64,17 +64,17 @@
 	}
 }
 
-// accuses reports whether an entry says that the member is not alive.
+// accuses reports whether an entry states that the member is suspect or dead.
 func accuses(entry *pb.Entry) bool {
 	return entry.State == pb.State_STATE_SUSPECT || entry.State == pb.State_STATE_DEAD
 }
 
-// contradicts reports whether an entry says that a member does not run.
+// claimsNotRunning reports whether an entry states that the member is suspect, dead or has left.
 func claimsNotRunning(entry *pb.Entry) bool {
 	return accuses(entry) || entry.State == pb.State_STATE_LEFT
 }
 
-// valid reports whether an entry can be taken in at all.
+// valid reports whether an entry is complete enough to be applied.
 func valid(entry *pb.Entry) bool {
 	if entry == nil || entry.Id == "" || entry.Incarnation == 0 {
 		return false
