--- a/internal/front/conversation.go
+++ b/internal/front/client_request.go
@@ -12,37 +12,37 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// conversation is one client's request and its answer.
-type conversation struct {
+// clientRequest serves one HTTP request of a client. It is used by one goroutine.
+type clientRequest struct {
 	handler  *Handler
 	writer   http.ResponseWriter
 	received *http.Request
-	// id is the client's name for this try of the request.
-	id    string
-	began time.Time
-	// deadline is when the request is given up.
+	// id is the request ID that the client sent for this attempt.
+	id        string
+	startedAt time.Time
+	// deadline is when the node stops trying to serve the request.
 	deadline time.Time
-	// version is that of the configuration that the request began with, and route its route there.
+	// version is the configuration version when the request arrived; route is its route in that version.
 	version uint64
 	route   *route.Route
-	// hasTenants says that callers have keys. keys are those that the client sent, and tenant
-	// is the one that holds its key; nil on public routes without one.
+	// hasTenants is set if the configuration has tenants. keys are the keys that the client sent, and
+	// tenant is the holder of its key; nil on public routes without a key.
 	hasTenants bool
 	keys       []string
 	tenant     *route.Tenant
 	policy     Policy
-	// request is what servers are sent.
+	// request is the request as sent to servers.
 	request *exchange.Request
-	// toldWait is after which time the client was told to retry.
-	toldWait time.Duration
-	// limitDecision is why the request was refused as beyond its tenant's limit, or nil.
+	// sentRetryAfter is the value of the Retry-After header; zero if none was sent.
+	sentRetryAfter time.Duration
+	// limitDecision is the decision that refused the request as over its tenant's limit, or nil.
 	limitDecision *LimitDecision
-	// cause is why the request could not be read, for logs; nil otherwise.
-	cause error
+	// cause is the error from reading the request, for logs; nil if there was none.
+	readError error
 }
 
-// serve plans a request that was read whole and runs the plan, unless the request is refused.
-func (c *conversation) serve(request *exchange.Request) {
+// serve runs a completely read request on servers, unless it is quarantined or over its tenant's limit.
+func (c *clientRequest) serve(request *exchange.Request) {
 	c.request = request
 	if c.isQuarantined() {
 		c.refuse(http.StatusServiceUnavailable, outcome.ReasonQuarantined, c.quarantineWait())
@@ -56,7 +56,7 @@
 		Kind: c.route.Name, Version: c.version, Regions: c.regions, Repeatable: c.route.Repeatable,
 		Tenant: c.tenantName(), Priority: route.PriorityOf(c.route, c.tenant),
 		MaxAttempts: min(c.route.MaxAttempts, c.policy.MaxAttempts),
-		Target:      target(c.route, c.began), Deadline: c.deadline, Assumed: assumedTime(c.route),
+		Target:      target(c.route, c.startedAt), Deadline: c.deadline, Assumed: assumedTime(c.route),
 		Hedge: c.policy.Hedge, Stop: c.policy.Stop, ExtraShare: c.policy.ExtraShare, TopRecords: c.route.TopRecords,
 	}
 	plan.MaxServerWait = time.Until(c.deadline)
@@ -68,9 +68,9 @@
 	c.run(plan, request)
 }
 
-// regions returns where the request may be served by the configuration in force now, which
-// may be newer than the one that the request began with.
-func (c *conversation) regions() route.Regions {
+// regions returns the regions that may serve the request under the configuration in force now, which
+// may be newer than the one under which the request arrived.
+func (c *clientRequest) regions() route.Regions {
 	table := c.handler.state.Table()
 	known := route.RegionsFor(c.route, c.tenant)
 	if table == nil || table.Version == c.version {
@@ -79,31 +79,31 @@
 	return table.RegionsOf(c.received.Host, c.received.RequestURI, c.tenantName(), known)
 }
 
-// run asks the servers of a plan and answers the client.
-func (c *conversation) run(plan fanout.Plan, request *exchange.Request) {
+// run executes a plan on servers and answers the client.
+func (c *clientRequest) run(plan fanout.Plan, request *exchange.Request) {
 	runner, answer := c.handler.forwarder, c.answerForwarded
 	if c.route.Gathered() {
 		runner, answer = c.handler.gatherer, c.answerGathered
 	}
 	result := runner.Run(c.received.Context(), plan, request)
 	c.refundIf(result.Outcome == outcome.NotRun)
-	if isShortOfRoom(plan, result) {
+	if lacksCapacity(plan, result) {
 		c.handler.events.Overload(plan.Services[0], c.handler.fleet.Waiting(plan.Services...))
 	}
 	answer(plan, result)
 }
 
-// isShortOfRoom reports whether a request failed for want of room at servers.
-// One that succeeds although a server is full is no sign of overload: single
-// servers are slow, fail and refuse at any load.
-func isShortOfRoom(plan fanout.Plan, result fanout.Result) bool {
+// lacksCapacity reports whether a request failed because servers had no capacity. A request that
+// succeeds although a server is full does not indicate overload: single servers are slow, fail and
+// refuse requests at any load.
+func lacksCapacity(plan fanout.Plan, result fanout.Result) bool {
 	return result.Shed > 0 && result.AnsweredCount < plan.Required && result.Reason != fanout.StopCancelled
 }
 
-// answerGathered merges the parts, if they are enough.
-func (c *conversation) answerGathered(plan fanout.Plan, result fanout.Result) {
+// answerGathered merges the parts into one answer if the required number of them has arrived.
+func (c *clientRequest) answerGathered(plan fanout.Plan, result fanout.Result) {
 	if result.AnsweredCount < plan.Required || result.Reason == fanout.StopCancelled {
-		c.giveUp(plan, result)
+		c.answerFailure(plan, result)
 		return
 	}
 	header := c.writer.Header()
@@ -121,19 +121,19 @@
 	header.Set("Content-Type", "application/octet-stream")
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	c.writer.WriteHeader(http.StatusOK)
-	// A write fails if the client has gone: there is nobody left to tell.
+	// A write fails only if the client has disconnected, so nobody could receive an error.
 	_, _ = c.writer.Write(body)
 	c.record(http.StatusOK, plan, result)
 }
 
-// answerForwarded passes on one server's answer.
-func (c *conversation) answerForwarded(plan fanout.Plan, result fanout.Result) {
+// answerForwarded passes one server's answer on to the client.
+func (c *clientRequest) answerForwarded(plan fanout.Plan, result fanout.Result) {
 	answer := result.Parts[0]
-	if answer == nil && isServersFailure(result.Refusals[0]) {
+	if answer == nil && isServerFailure(result.Refusals[0]) {
 		answer = result.Refusals[0]
 	}
 	if answer == nil || result.Reason == fanout.StopCancelled {
-		c.giveUp(plan, result)
+		c.answerFailure(plan, result)
 		return
 	}
 	header := c.writer.Header()
@@ -147,20 +147,20 @@
 		header.Set("Connection", "close")
 	}
 	c.writer.WriteHeader(answer.Status)
-	// A write fails if the client has gone: there is nobody left to tell.
+	// A write fails only if the client has disconnected, so nobody could receive an error.
 	_, _ = c.writer.Write(answer.Body)
 	c.record(answer.Status, plan, result)
 }
 
-// isServersFailure reports whether a failure was made by a server that ran the
-// request, so that it can be passed on unchanged.
-func isServersFailure(answer *exchange.Response) bool {
+// isServerFailure reports whether a failure comes from a server that ran the request, so that the
+// answer can be passed on unchanged.
+func isServerFailure(answer *exchange.Response) bool {
 	return answer != nil && answer.Status >= http.StatusInternalServerError && answer.Evidence != ""
 }
 
-// giveUp sends the final answer of a request that could not be served. Only
-// what is known not to have run is refused with a promise.
-func (c *conversation) giveUp(plan fanout.Plan, result fanout.Result) {
+// answerFailure sends the final answer of a request that could not be served. Status 503 promises that
+// the request did not run, so it is sent only if that is known.
+func (c *clientRequest) answerFailure(plan fanout.Plan, result fanout.Result) {
 	if result.Reason == fanout.StopCancelled {
 		c.record(statusClientGone, plan, result)
 		panic(http.ErrAbortHandler)
@@ -172,13 +172,13 @@
 		wait := c.retryAfter(plan)
 		switch {
 		case result.Reason == fanout.StopUnservable:
-			wait = max(unservableWait, c.refusedFor(plan))
+			wait = max(unservableWait, c.overloadWait(plan))
 		case result.Reason == fanout.StopQuarantined:
 			wait = c.quarantineWait()
 		case result.Admission.Share < 1:
-			wait = spreadWait(max(c.refusedFor(plan), leastRoomWait), result.Admission.Shortfall)
+			wait = spreadWait(max(c.overloadWait(plan), minOverloadWait), result.Admission.Shortfall)
 		case result.Shed > 0:
-			wait = max(wait, c.refusedFor(plan))
+			wait = max(wait, c.overloadWait(plan))
 		}
 		c.setRetryAfter(wait)
 	case result.Reason == fanout.StopDeadline:
@@ -189,33 +189,33 @@
 	c.record(status, plan, result)
 }
 
-// spreadWait spreads the return of refused requests over the second half of a time, those
-// first that were closest to being let in: all at once would meet a full service again.
-func spreadWait(wait time.Duration, behind float64) time.Duration {
-	return time.Duration((1 + behind) / 2 * float64(wait))
+// spreadWait spreads the retries of refused requests over the second half of wait; those closest to
+// admission retry first. If all retried at once, they would meet a full service again.
+func spreadWait(wait time.Duration, shortfall float64) time.Duration {
+	return time.Duration((1 + shortfall) / 2 * float64(wait))
 }
 
-// refusedFor returns for how long requests like this one have been refused, as far as that
-// matters to a client that retries.
-func (c *conversation) refusedFor(plan fanout.Plan) time.Duration {
-	return min(c.handler.overloads.note(plan.Services[0], c.began, time.Now()), greatestWait)
+// overloadWait records the refusal and returns for how long requests like this one have been refused,
+// at most maxRetryAfter.
+func (c *clientRequest) overloadWait(plan fanout.Plan) time.Duration {
+	return min(c.handler.overloads.recordRefusal(plan.Services[0], c.startedAt, time.Now()), maxRetryAfter)
 }
 
-// statusClientGone is logged for a request whose client went away.
+// statusClientGone is logged for a request whose client disconnected.
 const statusClientGone = 499
 
-// retryAfter returns when a request that did not run may be tried again: after
-// the time that a server needs for the requests before it.
-func (c *conversation) retryAfter(plan fanout.Plan) time.Duration {
-	wait := assumedRequestsBefore * plan.Assumed
+// retryAfter returns after which time a request that did not run may be retried: the time that a
+// server needs for the requests queued ahead of it.
+func (c *clientRequest) retryAfter(plan fanout.Plan) time.Duration {
+	wait := assumedQueueLength * plan.Assumed
 	if estimate, ok := c.handler.fleet.Estimate(fleetChoice(plan), time.Now()); ok {
 		wait = estimate
 	}
-	return min(max(wait, leastRefusal), greatestWait)
+	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// refuse answers a request that was offered to no server.
-func (c *conversation) refuse(status int, reason outcome.Reason, wait time.Duration) {
+// refuse answers a request that was not offered to any server. A wait of zero sends no Retry-After.
+func (c *clientRequest) refuse(status int, reason outcome.Reason, wait time.Duration) {
 	if wait > 0 {
 		c.setRetryAfter(wait)
 	}
@@ -224,8 +224,8 @@
 	c.recordRefusal(status, reason)
 }
 
-// setRetryAfter tells the client in seconds after which time it may retry.
-func (c *conversation) setRetryAfter(wait time.Duration) {
-	c.toldWait = wait
+// setRetryAfter sets the Retry-After header in seconds, with two decimals.
+func (c *clientRequest) setRetryAfter(wait time.Duration) {
+	c.sentRetryAfter = wait
 	c.writer.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 2, 64))
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -16,68 +16,69 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// TestRequestsAreDividedByWeight: in any row of requests each service is within
-// one request, or two for many services, of its share.
+// TestRequestsAreDividedByWeight checks that, after any number of requests, each service is within two
+// requests of its share.
 func TestRequestsAreDividedByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 2, 5).Draw(t, "weights")
 		weights[0]++
-		divided := &route.Route{Name: "r"}
+		weighted := &route.Route{Name: "r"}
 		total := 0
 		for index, weight := range weights {
-			divided.Backends = append(divided.Backends, route.Weighted{Service: fmt.Sprint(index), Weight: float64(weight)})
+			weighted.Backends = append(weighted.Backends, route.Weighted{Service: fmt.Sprint(index), Weight: float64(weight)})
 			total += weight
 		}
 		split := newSplitter(rand.New(rand.NewPCG(1, 1)))
 		counts := make(map[string]int)
-		for asked := 1; asked <= 300; asked++ {
-			counts[split.pick(divided)]++
+		for sent := 1; sent <= 300; sent++ {
+			counts[split.pick(weighted)]++
 			for index, weight := range weights {
-				share := float64(asked) * float64(weight) / float64(total)
+				share := float64(sent) * float64(weight) / float64(total)
 				if difference := float64(counts[fmt.Sprint(index)]) - share; difference > 2 || difference < -2 {
-					t.Fatalf("service %d has %d of %d, its share is %.1f", index, counts[fmt.Sprint(index)], asked, share)
+					t.Fatalf("service %d got %d of %d requests, want about %.1f", index, counts[fmt.Sprint(index)], sent, share)
 				}
 			}
 		}
 	})
 }
 
-// TestManyNodesKeepTheWeights though each of them sees a few requests only, as
-// on a deployment of hundreds of machines.
+// TestManyNodesKeepTheWeights checks that the weights hold over many nodes that each serve only a few
+// requests, as in a deployment of hundreds of machines.
 func TestManyNodesKeepTheWeights(t *testing.T) {
 	g := NewWithT(t)
-	divided := &route.Route{Name: "r", Backends: []route.Weighted{{Service: "large", Weight: 0.7}, {Service: "small", Weight: 0.3}}}
+	weighted := &route.Route{Name: "r", Backends: []route.Weighted{{Service: "large", Weight: 0.7}, {Service: "small", Weight: 0.3}}}
 	random := rand.New(rand.NewPCG(1, 2))
-	for _, each := range []int{1, 2, 3} {
+	for _, requests := range []int{1, 2, 3} {
 		large := 0
 		for range 300 {
 			node := newSplitter(random)
-			for range each {
-				if node.pick(divided) == "large" {
+			for range requests {
+				if node.pick(weighted) == "large" {
 					large++
 				}
 			}
 		}
-		g.Expect(float64(large)/float64(300*each)).To(BeNumerically("~", 0.7, 0.08), "%d requests a node", each)
+		g.Expect(float64(large)/float64(300*requests)).To(BeNumerically("~", 0.7, 0.08), "%d requests per node", requests)
 	}
 }
 
-// TestTheTimesOfARequest: the client's time and the route's bound both count,
-// and an answer leaves before the target.
+// TestTheTimesOfARequest checks that the shorter of the client's and the route's timeout applies, and
+// that an answer is sent before the target.
 func TestTheTimesOfARequest(t *testing.T) {
 	g := NewWithT(t)
-	began := time.Unix(100, 0)
+	startedAt := time.Unix(100, 0)
 	bounded := &route.Route{Timeout: 2 * time.Second, Target: 120 * time.Millisecond}
-	g.Expect(deadline(bounded, 5*time.Second, began)).To(Equal(began.Add(2*time.Second - deadlineReserve)))
-	g.Expect(deadline(bounded, time.Second, began)).To(Equal(began.Add(time.Second - deadlineReserve)))
-	g.Expect(deadline(bounded, 0, began)).To(BeTemporally(">", began))
-	g.Expect(deadline(&route.Route{}, 5*time.Second, began)).To(Equal(began.Add(5*time.Second - deadlineReserve)))
-	g.Expect(target(bounded, began)).To(Equal(began.Add(104 * time.Millisecond)))
-	g.Expect(target(&route.Route{Target: 10 * time.Second}, began)).To(Equal(began.Add(10*time.Second - greatestTargetReserve)))
-	g.Expect(target(&route.Route{}, began).IsZero()).To(BeTrue())
+	g.Expect(deadline(bounded, 5*time.Second, startedAt)).To(Equal(startedAt.Add(2*time.Second - deadlineReserve)))
+	g.Expect(deadline(bounded, time.Second, startedAt)).To(Equal(startedAt.Add(time.Second - deadlineReserve)))
+	g.Expect(deadline(bounded, 0, startedAt)).To(BeTemporally(">", startedAt))
+	g.Expect(deadline(&route.Route{}, 5*time.Second, startedAt)).To(Equal(startedAt.Add(5*time.Second - deadlineReserve)))
+	g.Expect(target(bounded, startedAt)).To(Equal(startedAt.Add(104 * time.Millisecond)))
+	g.Expect(target(&route.Route{Target: 10 * time.Second}, startedAt)).To(Equal(startedAt.Add(10*time.Second - maxTargetReserve)))
+	g.Expect(target(&route.Route{}, startedAt).IsZero()).To(BeTrue())
 }
 
-// TestTooManyConnectionsEndTheLongestResting one, and none that is being served.
+// TestTooManyConnectionsEndTheLongestResting checks that a connection beyond the limit ends the one
+// that has been idle for longest, and no other.
 func TestTooManyConnectionsEndTheLongestResting(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := Listen("127.0.0.1:0", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
@@ -87,7 +88,7 @@
 	listener.SetMaxConnections(2)
 	served := make(chan error, 1)
 	go func() { served <- listener.Serve() }()
-	ask := func() (net.Conn, *bufio.Reader) {
+	sendRequest := func() (net.Conn, *bufio.Reader) {
 		opened, err := net.Dial("tcp", listener.Address())
 		g.Expect(err).NotTo(HaveOccurred())
 		reader := bufio.NewReader(opened)
@@ -98,18 +99,18 @@
 		g.Expect(answer.StatusCode).To(Equal(http.StatusNoContent))
 		return opened, reader
 	}
-	first, firstReader := ask()
-	g.Eventually(func() bool { return listener.rests(first) }).Should(BeTrue())
-	second, secondReader := ask()
-	g.Eventually(func() bool { return listener.rests(second) }).Should(BeTrue())
-	third, _ := ask()
+	first, firstReader := sendRequest()
+	g.Eventually(func() bool { return listener.isIdle(first) }).Should(BeTrue())
+	second, secondReader := sendRequest()
+	g.Eventually(func() bool { return listener.isIdle(second) }).Should(BeTrue())
+	third, _ := sendRequest()
 	_, err = firstReader.ReadByte()
-	g.Expect(err).To(MatchError(io.EOF), "the first one is ended")
+	g.Expect(err).To(MatchError(io.EOF), "the connection idle for longest is ended")
 	_, err = fmt.Fprint(second, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	g.Expect(err).NotTo(HaveOccurred())
 	answer, err := http.ReadResponse(secondReader, nil)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(answer.StatusCode).To(Equal(http.StatusNoContent), "the others go on")
+	g.Expect(answer.StatusCode).To(Equal(http.StatusNoContent), "the other connections stay open")
 	for _, each := range []net.Conn{first, second, third} {
 		g.Expect(each.Close()).To(Succeed())
 	}
@@ -117,20 +118,20 @@
 	g.Expect(<-served).To(Succeed())
 }
 
-// rests reports whether the listener's side of a connection rests.
-func (l *Listener) rests(client net.Conn) bool {
+// isIdle reports whether the listener regards a connection of a client as idle.
+func (l *Listener) isIdle(client net.Conn) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for each, state := range l.states {
 		if each.RemoteAddr().String() == client.LocalAddr().String() {
-			return state.resting
+			return state.idle
 		}
 	}
 	return false
 }
 
-// TestARestingConnectionIsEnded after its time, while one that is being served
-// goes on for as long as it takes.
+// TestARestingConnectionIsEnded checks that a connection is ended after the idle timeout, while one
+// with a request in progress stays open until the request is answered.
 func TestARestingConnectionIsEnded(t *testing.T) {
 	g := NewWithT(t)
 	release, working := make(chan struct{}), make(chan struct{})
@@ -151,17 +152,17 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		return opened, bufio.NewReader(opened)
 	}
-	resting, restingReader := dial("/quick")
-	_, err = http.ReadResponse(restingReader, nil)
+	idle, idleReader := dial("/quick")
+	_, err = http.ReadResponse(idleReader, nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	busy, busyReader := dial("/slow")
 	<-working
 	g.Eventually(func() int {
-		listener.endResting(time.Now().Add(time.Hour))
+		listener.endIdle(time.Now().Add(time.Hour))
 		return listener.Open()
 	}, "20s").Should(Equal(1))
-	_, err = restingReader.ReadByte()
-	g.Expect(err).To(HaveOccurred(), "the resting connection was ended")
+	_, err = idleReader.ReadByte()
+	g.Expect(err).To(HaveOccurred(), "the idle connection was ended")
 	close(release)
 	answer, err := http.ReadResponse(busyReader, nil)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -169,12 +170,12 @@
 	listener.StopAccepting()
 	listener.Close()
 	g.Expect(<-served).To(Succeed())
-	_, _ = resting.Close(), busy.Close()
+	_, _ = idle.Close(), busy.Close()
 }
 
-// TestAStopServesWhatANewConnectionBrings: a client that has just connected when a planned
-// stop closes the listening socket gets its answer, and one that says nothing holds up the
-// stop only shortly.
+// TestAStopServesWhatANewConnectionBrings checks that a client that has connected just before a planned
+// stop closes the listening socket gets its answer, and that one that sends nothing delays the stop
+// only briefly.
 func TestAStopServesWhatANewConnectionBrings(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := Listen("127.0.0.1:0", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
@@ -184,21 +185,21 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	go func() { _ = listener.Serve() }()
 	defer listener.Close()
-	var opened []net.Conn
+	var connections []net.Conn
 	for range 2 {
 		connected, err := net.Dial("tcp", listener.Address())
 		g.Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = connected.Close() }()
-		opened = append(opened, connected)
+		connections = append(connections, connected)
 	}
-	g.Eventually(listener.Open).Should(Equal(len(opened)))
+	g.Eventually(listener.Open).Should(Equal(len(connections)))
 	listener.StopAccepting()
 	drained := make(chan int, 1)
 	go func() { drained <- listener.AwaitDrained(t.Context()) }()
-	time.Sleep(2 * drainPoll)
-	_, err = io.WriteString(opened[0], "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+	time.Sleep(2 * drainPollInterval)
+	_, err = io.WriteString(connections[0], "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	g.Expect(err).NotTo(HaveOccurred())
-	answer, err := http.ReadResponse(bufio.NewReader(opened[0]), nil)
+	answer, err := http.ReadResponse(bufio.NewReader(connections[0]), nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(answer.StatusCode).To(Equal(http.StatusNoContent))
 	g.Eventually(drained, 5*time.Second).Should(Receive(BeZero()))
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -18,26 +18,25 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// State is what the handler reads about the node.
+// State provides the handler with the state of the node. It is safe for concurrent use.
 type State interface {
 	// Table returns the configuration in force, or nil while none is known.
 	Table() *route.Table
 	// Draining reports whether a planned stop is under way.
 	Draining() bool
-	// Starting returns what to do with a request that comes before a
-	// configuration is known.
+	// Starting returns what to do with a request that arrives before a configuration is known.
 	Starting() Starting
 }
 
-// Starting says what to do with requests while no configuration is known.
+// Starting defines the handling of requests while no configuration is known.
 type Starting struct {
-	// Patience is how long a request waits for the configuration.
+	// MaxWait bounds how long a request waits for the configuration.
 	MaxWait time.Duration
-	// RetryAfter is after how long the client may retry then.
+	// RetryAfter is sent to the client if no configuration arrived within MaxWait.
 	RetryAfter time.Duration
 }
 
-// Handler serves clients' requests.
+// Handler serves clients' requests. It is safe for concurrent use.
 type Handler struct {
 	dialect Dialect
 	state   State
@@ -47,13 +46,12 @@
 	quarantine *quarantine.Guard
 	splitter   *splitter
 	fleet      *fleet.Fleet
-	// overloads tells since when requests are refused for want of room, by the
-	// first service of their route.
-	overloads *episodes
-	limits    Limits
-	keyNews   func() KeyFreshness
-	events    Recorder
-	// inFlight has an element for each request that is served.
+	// overloads tracks refusals for lack of capacity by the first service of the route.
+	overloads    *overloadTracker
+	limits       Limits
+	keyFreshness func() KeyFreshness
+	events       Recorder
+	// inFlight holds one element for each request being served.
 	inFlight chan struct{}
 }
 
@@ -63,43 +61,43 @@
 	State   State
 	Fleet   *fleet.Fleet
 	Budget  fanout.Budget
-	// Owners are the nodes to ask for the shards of gathered requests; nil if this
-	// node asks all servers itself.
+	// Owners are the nodes that query the shards of gathered requests; nil if this node queries all
+	// servers itself.
 	Owners fanout.Owners
-	// Room is what nodes tell each other of the room at services; nil for one that this node
-	// keeps for itself.
+	// Admission decides by the capacity of services that nodes report to each other; nil for an
+	// admission control of this node alone.
 	Admission *fanout.AdmissionControl
 	Policies  Policies
-	// Limits holds tenants to their limits; nil for none.
+	// Limits enforces the tenants' limits; nil for no limits.
 	Limits Limits
-	// KeyFreshness tells how far what is known of keys may be trusted; nil if it is always current.
+	// KeyFreshness returns how current the known keys are; nil if they are always current.
 	KeyFreshness func() KeyFreshness
 	Events       Recorder
-	// Quarantine keeps requests from servers that end when they run them; nil for none.
+	// Quarantine withholds requests that crash servers; nil for no quarantine.
 	Quarantine *quarantine.Guard
-	// Random is not shared with other users.
+	// Random is used by the Handler only; it must not be shared.
 	Random *rand.Rand
-	// MaxInFlight bounds the requests that are served at once.
+	// MaxInFlight bounds the number of requests served concurrently.
 	MaxInFlight int
 }
 
-// lingerAfterAnswer is for how long a server whose answer is no longer needed
-// may go on before its connection is closed.
+// lingerAfterAnswer is how long a server whose answer is no longer needed may continue before its
+// connection is closed.
 const lingerAfterAnswer = 350 * time.Millisecond
 
-// NewHandler returns a handler.
+// NewHandler returns a Handler with the given options.
 func NewHandler(options Options) *Handler {
 	handler := &Handler{
 		dialect: options.Dialect, state: options.State, policies: options.Policies, events: options.Events,
 		splitter: newSplitter(options.Random), inFlight: make(chan struct{}, options.MaxInFlight),
-		overloads: newEpisodes(), fleet: options.Fleet, quarantine: options.Quarantine, limits: options.Limits,
-		keyNews: options.KeyFreshness,
+		overloads: newOverloadTracker(), fleet: options.Fleet, quarantine: options.Quarantine, limits: options.Limits,
+		keyFreshness: options.KeyFreshness,
 	}
 	if handler.limits == nil {
 		handler.limits = noLimits{}
 	}
-	if handler.keyNews == nil {
-		handler.keyNews = func() KeyFreshness { return KeysCurrent }
+	if handler.keyFreshness == nil {
+		handler.keyFreshness = func() KeyFreshness { return KeysCurrent }
 	}
 	runner := fanout.Runner{
 		Fleet: options.Fleet, Budget: options.Budget, Dialect: &handler.dialect.Dialect, Linger: lingerAfterAnswer,
@@ -109,31 +107,31 @@
 		runner.Admission = fanout.NewAdmissionControl(options.Fleet)
 	}
 	gatherer, forwarder := runner, runner
-	gatherer.IsUsable, forwarder.IsUsable = isPart, isWholeAnswer
+	gatherer.IsUsable, forwarder.IsUsable = isMergeable, isForwardable
 	gatherer.Owners = options.Owners
 	handler.gatherer, handler.forwarder = &gatherer, &forwarder
 	return handler
 }
 
-// Collector returns what asks servers for parts on behalf of other nodes; a plan with
-// fanout.Collect asks no owners.
+// Collector returns the runner that collects parts from servers on behalf of other nodes; a plan with
+// fanout.Collect is not sent to owners.
 func (h *Handler) Collector() *fanout.Runner { return h.gatherer }
 
-// isPart reports whether an answer can be merged.
-func isPart(answer *exchange.Response) bool {
+// isMergeable reports whether an answer can be merged.
+func isMergeable(answer *exchange.Response) bool {
 	return answer.Status/100 == 2 && answer.Evidence != "" && answer.Header.Get("Content-Encoding") == ""
 }
 
-// isWholeAnswer reports whether an answer can be passed on as it is.
-func isWholeAnswer(answer *exchange.Response) bool {
+// isForwardable reports whether an answer can be passed on as it is.
+func isForwardable(answer *exchange.Response) bool {
 	return answer.Status < http.StatusInternalServerError && answer.Evidence != "" &&
 		answer.Header.Get("Content-Encoding") == ""
 }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(writer http.ResponseWriter, received *http.Request) {
-	exchanged := &conversation{
-		handler: h, writer: writer, received: received, began: time.Now(), id: received.Header.Get(h.dialect.RequestID),
+	current := &clientRequest{
+		handler: h, writer: writer, received: received, startedAt: time.Now(), id: received.Header.Get(h.dialect.RequestID),
 	}
 	if h.state.Draining() {
 		writer.Header().Set("Connection", "close")
@@ -142,58 +140,59 @@
 	case h.inFlight <- struct{}{}:
 		defer func() { <-h.inFlight }()
 	default:
-		exchanged.refuse(http.StatusServiceUnavailable, outcome.ReasonOverloaded, overloadedWait)
+		current.refuse(http.StatusServiceUnavailable, outcome.ReasonOverloaded, nodeOverloadWait)
 		return
 	}
 	table := h.awaitTable()
 	if table == nil {
-		exchanged.refuse(http.StatusServiceUnavailable, outcome.ReasonStarting, h.state.Starting().RetryAfter)
+		current.refuse(http.StatusServiceUnavailable, outcome.ReasonStarting, h.state.Starting().RetryAfter)
 		return
 	}
-	exchanged.version = table.Version
+	current.version = table.Version
 	path, _, _ := strings.Cut(received.RequestURI, "?")
-	found := table.Match(received.Host, path)
-	if found == nil {
-		exchanged.refuse(http.StatusNotFound, outcome.ReasonInvalid, 0)
+	matched := table.Match(received.Host, path)
+	if matched == nil {
+		current.refuse(http.StatusNotFound, outcome.ReasonInvalid, 0)
 		return
 	}
-	exchanged.route = found
-	if !exchanged.authenticate(table) {
+	current.route = matched
+	if !current.authenticate(table) {
 		return
 	}
-	exchanged.deadline = deadline(found, h.clientDeadline(received.Header), exchanged.began)
+	current.deadline = deadline(matched, h.clientDeadline(received.Header), current.startedAt)
 	request, status, err := h.read(received, table.Limits)
 	if err != nil {
-		exchanged.cause = err
-		exchanged.refuse(status, outcome.ReasonInvalid, 0)
+		current.readError = err
+		current.refuse(status, outcome.ReasonInvalid, 0)
 		return
 	}
 	// The key may have been removed while a slow client sent the body.
-	if request.HasBody && !exchanged.authenticate(h.state.Table()) {
+	if request.HasBody && !current.authenticate(h.state.Table()) {
 		return
 	}
-	exchanged.replaceCaller(request.Header)
-	exchanged.serve(request)
+	current.replaceCallerHeaders(request.Header)
+	current.serve(request)
 }
 
-// awaitTable returns the configuration in force, if need be after a wait.
+// awaitTable returns the configuration in force. If there is none, it waits for up to Starting.MaxWait
+// and may return nil.
 func (h *Handler) awaitTable() *route.Table {
 	table := h.state.Table()
-	for waited := time.Duration(0); table == nil && waited < h.state.Starting().MaxWait; waited += startingPoll {
-		time.Sleep(startingPoll)
+	for waited := time.Duration(0); table == nil && waited < h.state.Starting().MaxWait; waited += startupPollInterval {
+		time.Sleep(startupPollInterval)
 		table = h.state.Table()
 	}
 	return table
 }
 
-// startingPoll is how often a waiting request looks for a configuration.
-const startingPoll = 5 * time.Millisecond
+// startupPollInterval is how often a waiting request checks for a configuration.
+const startupPollInterval = 5 * time.Millisecond
 
-// errBodyTooLarge means that a client's body exceeds the configured bound.
-var errBodyTooLarge = errors.New("the body is too large")
+// errBodyTooLarge means that the body of a client's request exceeds the configured limit.
+var errBodyTooLarge = errors.New("request body exceeds the configured limit")
 
-// read takes the whole request of a client, so that it can be sent to more
-// than one server.
+// read reads the complete request of a client, so that it can be sent to more than one server. If that
+// fails, it returns the HTTP status for the client and an error.
 func (h *Handler) read(received *http.Request, limits route.Limits) (*exchange.Request, int, error) {
 	request := &exchange.Request{
 		Method: received.Method, Target: received.RequestURI, Host: received.Host,
@@ -223,7 +222,7 @@
 	return request, 0, nil
 }
 
-// readBody reads a body of up to a number of bytes; zero is no bound.
+// readBody reads a body of up to limit bytes; zero means no limit.
 func readBody(received *http.Request, limit int64) ([]byte, error) {
 	if limit <= 0 {
 		return io.ReadAll(received.Body)
@@ -238,8 +237,8 @@
 	return body, err
 }
 
-// clientDeadline returns the time that the client gives, or a default if it gives none or one that
-// makes no sense.
+// clientDeadline returns the time allowed by the client, or defaultDeadline if the header is missing
+// or invalid.
 func (h *Handler) clientDeadline(header http.Header) time.Duration {
 	millis, err := strconv.ParseFloat(header.Get(h.dialect.DeadlineMillis), 64)
 	if err != nil || millis < 0 {
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -10,28 +10,28 @@
 	"github.com/pkg/errors"
 )
 
-// Times of clients' connections.
+// Limits and intervals of clients' connections.
 const (
-	// headerTimeout bounds the reading of a request's head.
+	// headerTimeout bounds the time to read a request's header.
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes bounds a request's head.
+	// maxHeaderBytes bounds the size of a request's header.
 	maxHeaderBytes = 64 << 10
-	// defaultIdle is the rest of a connection until one is configured.
-	defaultIdle = 60 * time.Second
-	// idleSweep is how often resting connections are looked at.
-	idleSweep = time.Second
-	// drainPoll is how often a stop looks whether all connections are closed.
-	drainPoll = 50 * time.Millisecond
-	// newGrace is how long a new connection may take to bring its request while the node
-	// stops: a round trip to a client 3 ms away, and the wake-ups of two busy processes.
-	newGrace = 200 * time.Millisecond
+	// defaultIdleTimeout is the idle timeout of connections until one is configured.
+	defaultIdleTimeout = 60 * time.Second
+	// idleSweepInterval is how often idle connections are checked.
+	idleSweepInterval = time.Second
+	// drainPollInterval is how often a planned stop checks whether all connections are closed.
+	drainPollInterval = 50 * time.Millisecond
+	// newConnectionGrace is how long a new connection may take to send its request while the node
+	// stops. It covers a round trip to a client 3 ms away and the wake-ups of two busy processes.
+	newConnectionGrace = 200 * time.Millisecond
 )
 
-// Listener accepts clients' connections and closes them when they have rested
-// for too long or when the node stops.
+// Listener accepts clients' connections and closes them when they exceed the idle timeout or when the
+// node stops. It is safe for concurrent use.
 //
-// A resting connection is ended by its read deadline, never by closing it: a
-// request whose first byte has arrived is still served.
+// An idle connection is ended by its read deadline, never by closing it: a request whose first byte
+// has arrived is still served.
 type Listener struct {
 	server   *http.Server
 	listener net.Listener
@@ -41,41 +41,41 @@
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
-	states map[net.Conn]connectionState
-	idle   time.Duration
-	// most is how many connections are kept; zero for no bound.
-	most   int
-	drains bool
-	closed bool
+	states      map[net.Conn]connectionState
+	idleTimeout time.Duration
+	// most is the number of connections that are kept; zero means no limit.
+	maxConnections int
+	draining       bool
+	closed         bool
 }
 
-// connectionState is what is known of one connection of a client.
+// connectionState is the state of one client connection.
 type connectionState struct {
-	// resting says that no request is under way, isNew that none has come yet, and since is from
-	// when that holds.
-	resting bool
-	isNew   bool
-	since   time.Time
+	// idle is set while no request is in progress, isNew while none has arrived yet; since is when
+	// that state began.
+	idle  bool
+	isNew bool
+	since time.Time
 }
 
-// isOver reports whether a resting connection is to be ended. One that is new when the node
-// stops brings its request within newGrace.
-func (s connectionState) isOver(idle time.Duration, drains bool, now time.Time) bool {
-	rested := now.Sub(s.since)
-	if drains && (!s.isNew || rested > newGrace) {
-		return s.resting
+// shouldEnd reports whether an idle connection must be ended. A connection that is new when the node
+// stops has newConnectionGrace to send its request.
+func (s connectionState) shouldEnd(idleTimeout time.Duration, draining bool, now time.Time) bool {
+	idleTime := now.Sub(s.since)
+	if draining && (!s.isNew || idleTime > newConnectionGrace) {
+		return s.idle
 	}
-	return s.resting && rested > idle
+	return s.idle && idleTime > idleTimeout
 }
 
-// Listen opens the clients' address.
+// Listen opens the address for clients; Serve accepts its connections.
 func Listen(address string, handler http.Handler) (*Listener, error) {
 	opened, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for clients")
 	}
 	front := &Listener{
-		listener: opened, states: make(map[net.Conn]connectionState), idle: defaultIdle,
+		listener: opened, states: make(map[net.Conn]connectionState), idleTimeout: defaultIdleTimeout,
 		ended: make(chan struct{}),
 	}
 	front.server = &http.Server{
@@ -84,28 +84,28 @@
 	return front, nil
 }
 
-// Address returns where clients connect.
+// Address returns the address to which clients connect.
 func (l *Listener) Address() string { return l.listener.Addr().String() }
 
-// SetIdleTimeout takes for how long a connection may rest.
-func (l *Listener) SetIdleTimeout(idle time.Duration) {
+// SetIdleTimeout sets how long a connection may be idle; zero or less changes nothing.
+func (l *Listener) SetIdleTimeout(idleTimeout time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if idle > 0 {
-		l.idle = idle
+	if idleTimeout > 0 {
+		l.idleTimeout = idleTimeout
 	}
 }
 
-// SetMaxConnections bounds the connections that are kept: beyond it, a new one ends the
-// one that has rested for longest. Zero is no bound.
-func (l *Listener) SetMaxConnections(most int) {
+// SetMaxConnections limits the number of connections: beyond it, a new connection ends the one that
+// has been idle for longest. Zero means no limit.
+func (l *Listener) SetMaxConnections(maxConnections int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.most = most
+	l.maxConnections = maxConnections
 }
 
-// Serve accepts connections and returns when Close was called; requests in
-// flight are still served after StopAccepting.
+// Serve accepts connections and returns nil after Close was called. Requests in flight are still
+// served after StopAccepting.
 func (l *Listener) Serve() error {
 	err := l.server.Serve(l.listener)
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
@@ -115,16 +115,16 @@
 	return errors.Wrap(err, "serve clients")
 }
 
-// Sweep ends connections that rested for too long, until ctx ends.
+// Sweep ends connections that exceed the idle timeout, until ctx ends. It returns nil.
 func (l *Listener) Sweep(ctx context.Context) error {
-	ticker := time.NewTicker(idleSweep)
+	ticker := time.NewTicker(idleSweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			l.endResting(now)
+			l.endIdle(now)
 		}
 	}
 }
@@ -132,19 +132,19 @@
 // StopAccepting closes the listening socket.
 func (l *Listener) StopAccepting() {
 	l.mutex.Lock()
-	l.drains = true
+	l.draining = true
 	l.mutex.Unlock()
-	// It ends anyhow: an error tells nothing more.
+	// The socket is closed in any case, so the error is of no use.
 	_ = l.listener.Close()
 }
 
-// AwaitDrained ends resting connections until none is left or ctx ends, and
-// returns the number of those left.
+// AwaitDrained ends idle connections until none is left or ctx ends, and returns the number of
+// connections left.
 func (l *Listener) AwaitDrained(ctx context.Context) int {
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for {
-		l.endResting(time.Now())
+		l.endIdle(time.Now())
 		if left := l.Open(); left == 0 {
 			return 0
 		}
@@ -163,7 +163,7 @@
 	return len(l.states)
 }
 
-// Close ends everything at once.
+// Close closes the socket and all connections immediately. It may be called more than once.
 func (l *Listener) Close() {
 	l.mutex.Lock()
 	if !l.closed {
@@ -171,52 +171,52 @@
 		close(l.ended)
 	}
 	l.mutex.Unlock()
-	// It ends anyhow: an error tells nothing more.
+	// The server is closed in any case, so the error is of no use.
 	_ = l.server.Close()
 }
 
-// longAgo as a deadline ends a read at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a read deadline in the past: it ends a read immediately.
+var pastDeadline = time.Unix(1, 0)
 
-// endResting ends the connections that have rested for too long by now, or all that rest while the
-// node stops.
-func (l *Listener) endResting(now time.Time) {
+// endIdle ends the connections that exceed the idle timeout, or all idle ones while the node stops.
+func (l *Listener) endIdle(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for each, state := range l.states {
-		if state.isOver(l.idle, l.drains, now) {
-			// It fails only on a connection that has ended, which the next read or write finds.
-			_ = each.SetReadDeadline(longAgo)
+		if state.shouldEnd(l.idleTimeout, l.draining, now) {
+			// This fails only on a closed connection, which the next read or write detects.
+			_ = each.SetReadDeadline(pastDeadline)
 		}
 	}
 }
 
 // observe implements the ConnState hook of http.Server.
-func (l *Listener) observe(changed net.Conn, state http.ConnState) {
+func (l *Listener) observe(connection net.Conn, state http.ConnState) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	switch state {
 	case http.StateClosed, http.StateHijacked:
-		delete(l.states, changed)
+		delete(l.states, connection)
 	default:
 		isNew := state == http.StateNew
-		l.states[changed] = connectionState{resting: isNew || state == http.StateIdle, isNew: isNew, since: time.Now()}
-		if isNew && l.most > 0 && len(l.states) > l.most {
-			l.endLongestResting(changed)
+		l.states[connection] = connectionState{idle: isNew || state == http.StateIdle, isNew: isNew, since: time.Now()}
+		if isNew && l.maxConnections > 0 && len(l.states) > l.maxConnections {
+			l.endLongestIdle(connection)
 		}
 	}
 }
 
-// endLongestResting makes room for a new connection. The mutex is held.
-func (l *Listener) endLongestResting(added net.Conn) {
+// endLongestIdle ends the connection that has been idle for longest, other than the new one. The
+// caller holds the mutex.
+func (l *Listener) endLongestIdle(newConnection net.Conn) {
 	var longest net.Conn
 	for each, state := range l.states {
-		if each != added && state.resting && (longest == nil || state.since.Before(l.states[longest].since)) {
+		if each != newConnection && state.idle && (longest == nil || state.since.Before(l.states[longest].since)) {
 			longest = each
 		}
 	}
 	if longest != nil {
-		// It fails only on a connection that has ended, which the next read or write finds.
-		_ = longest.SetReadDeadline(longAgo)
+		// This fails only on a closed connection, which the next read or write detects.
+		_ = longest.SetReadDeadline(pastDeadline)
 	}
 }
--- a/internal/front/no_target_test.go
+++ b/internal/front/no_target_test.go
@@ -13,9 +13,9 @@
 
 func withoutTarget(served *route.Route) { served.Target = 0 }
 
-// TestOverloadOfARouteWithoutATarget: with twice the load that the shards can bear, requests that
-// may be answered at any time before their deadline are refused at once as others are, rather than
-// fail there one after the other.
+// TestOverloadOfARouteWithoutATarget checks that at twice the capacity of the shards, requests of a
+// route without a target are refused immediately, as on other routes, rather than failing at their
+// deadline one after the other.
 func TestOverloadOfARouteWithoutATarget(t *testing.T) {
 	const span = 6 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -38,15 +38,15 @@
 				failed++
 			}
 		}
-		t.Logf("%d served, %d failed, %d refused, %d of them at once", served, failed, refused, atOnce)
+		t.Logf("%d served, %d failed, %d refused, %d of them immediately", served, failed, refused, atOnce)
 		g.Expect(atOnce).To(BeNumerically(">", len(answers)/4))
 		g.Expect(failed).To(BeNumerically("<", len(answers)/10))
 		g.Expect(float64(served)).To(BeNumerically(">=", 0.9*simCapacity*span.Seconds()))
 	})
 }
 
-// TestABurstThatFitsTheDeadlineIsServed on such a route: 1.5 times the capacity for half a second
-// waits for an eighth of the deadline at most.
+// TestABurstThatFitsTheDeadlineIsServed checks that a route without a target serves a short burst: 1.5
+// times the capacity for half a second queues for at most an eighth of the deadline.
 func TestABurstThatFitsTheDeadlineIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/front/overload_test.go
+++ b/internal/front/overload_test.go
@@ -19,8 +19,8 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// The deployment of these tests: each of twelve shards has two servers with two
-// slots, so 200 requests a second are what the shards can serve.
+// The deployment of these tests: each of twelve shards has two servers with two slots, so the capacity
+// of the shards is 200 requests per second.
 const (
 	simShards   = 12
 	simServers  = 2
@@ -32,11 +32,12 @@
 	simCapacity = simServers * simSlots * float64(time.Second) / float64(simWork)
 )
 
-// slotServer models a server that runs a few requests at once, queues some more
-// and refuses the rest.
+// slotServer models a server that runs a few requests concurrently, queues some more and refuses the
+// rest.
 type slotServer struct {
 	mutex sync.Mutex
-	// free is when each slot is free, guarded by mutex.
+	// free is when each slot becomes free; ran holds the ids of the requests run. Both are guarded
+	// by mutex.
 	free [simSlots]time.Time
 	ran  map[string]bool
 }
@@ -50,14 +51,14 @@
 			slot = index
 		}
 	}
-	begins := s.free[slot]
-	if begins.Before(now) {
-		begins = now
+	startsAt := s.free[slot]
+	if startsAt.Before(now) {
+		startsAt = now
 	}
-	if begins.Sub(now) > simQueue/simSlots*simWork {
+	if startsAt.Sub(now) > simQueue/simSlots*simWork {
 		return exchangetest.Answer{Status: http.StatusServiceUnavailable, Cut: -1, Header: map[string]string{"Refused": "1"}}
 	}
-	s.free[slot] = begins.Add(simWork)
+	s.free[slot] = startsAt.Add(simWork)
 	s.ran[request.Header.Get(exchangetest.Dialect.RequestID)] = true
 	answer := exchangetest.Whole("0123456789abcdef")
 	answer.Header["Id"] = request.Header.Get(exchangetest.Dialect.RequestID)
@@ -65,32 +66,32 @@
 	return answer
 }
 
-// runs returns how many requests it ran.
+// runs returns the number of requests that the server has run.
 func (s *slotServer) runs() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.ran)
 }
 
-// simBudget pays for one extra sub-request in ten of each service.
+// simBudget allows extra sub-requests for a tenth of the requests of each service.
 type simBudget struct {
-	mutex sync.Mutex
-	left  map[string]float64
+	mutex  sync.Mutex
+	tokens map[string]float64
 }
 
 func (b *simBudget) Earn(service string, _ time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.left[service] = min(b.left[service]+0.1, 10)
+	b.tokens[service] = min(b.tokens[service]+0.1, 10)
 }
 
 func (b *simBudget) TrySpend(service string, _ float64, _ time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.left[service] < 1 {
+	if b.tokens[service] < 1 {
 		return false
 	}
-	b.left[service]--
+	b.tokens[service]--
 	return true
 }
 
@@ -104,7 +105,7 @@
 
 func (p simPolicies) For(*route.Route, string) Policy { return p.policy }
 
-// simRecords keeps what is told of refused requests.
+// simRecords keeps the records of requests answered with 503.
 type simRecords struct {
 	mutex sync.Mutex
 	// refused are the records of refusals by id, guarded by mutex.
@@ -122,7 +123,7 @@
 
 func (*simRecords) Overload(string, int) {}
 
-// simulation is a node over servers with few slots.
+// simulation is a node with simulated servers that have few slots.
 type simulation struct {
 	handler *Handler
 	fleet   *fleet.Fleet
@@ -130,7 +131,7 @@
 	servers []*slotServer
 }
 
-// close lets the connections to the servers end.
+// close waits until the connections to the servers may be closed, and closes them.
 func (s *simulation) close() {
 	time.Sleep(time.Minute)
 	s.fleet.Sweep(time.Now())
@@ -138,32 +139,32 @@
 
 func newSimulation() *simulation { return newSimulationOf(func(*route.Route) {}) }
 
-// newSimulationOf returns a node whose route is changed before it is served.
+// newSimulationOf returns a simulation whose route is modified by change.
 func newSimulationOf(change func(*route.Route)) *simulation {
 	network := exchangetest.NewNetwork()
 	servers := fleet.New(fleet.Settings{Dialer: network, Random: rand.New(rand.NewPCG(1, 1))})
 	simulated := &simulation{fleet: servers, records: &simRecords{refused: make(map[string]Record)}}
-	tally := route.Route{
+	gathered := route.Route{
 		Name: "tally", Host: "h", Prefix: "/", Repeatable: true, Target: simTarget, Priority: 1, MaxAttempts: 2,
 		TopRecords: 1, MinimumCoverage: 1,
 	}
 	for shard := range simShards {
 		service := fmt.Sprintf("shard-%d", shard)
-		tally.Shards = append(tally.Shards, service)
+		gathered.Shards = append(gathered.Shards, service)
 		for index := range simServers {
 			name := fmt.Sprintf("%s-%d", service, index)
-			modelled := &slotServer{ran: make(map[string]bool)}
-			simulated.servers = append(simulated.servers, modelled)
-			network.Add(name, modelled.respond)
+			server := &slotServer{ran: make(map[string]bool)}
+			simulated.servers = append(simulated.servers, server)
+			network.Add(name, server.respond)
 			servers.Apply(fleet.Server{ID: name, Service: service, Address: name, Slots: simSlots}, time.Now())
 		}
 	}
-	change(&tally)
-	simulated.serve(tally)
+	change(&gathered)
+	simulated.serve(gathered)
 	return simulated
 }
 
-// serve gives the node one route.
+// serve replaces the node's handler by one with a single route.
 func (s *simulation) serve(served route.Route) {
 	set, err := policy.Build(policy.Spec{Hedge: policy.HedgeSpec{Policy: policy.HedgeTypical}})
 	if err != nil {
@@ -172,12 +173,12 @@
 	s.handler = NewHandler(Options{
 		Dialect: Dialect{Dialect: exchangetest.Dialect, Parts: "Parts", MissingParts: "Missing"},
 		State:   simState{route.NewTable(&route.Configuration{Version: 1, Routes: []route.Route{served}})},
-		Fleet:   s.fleet, Budget: &simBudget{left: make(map[string]float64)}, Events: s.records, Random: rand.New(rand.NewPCG(2, 2)), MaxInFlight: 2000,
+		Fleet:   s.fleet, Budget: &simBudget{tokens: make(map[string]float64)}, Events: s.records, Random: rand.New(rand.NewPCG(2, 2)), MaxInFlight: 2000,
 		Policies: simPolicies{Policy{Hedge: set.Hedge, Stop: set.Stop, MaxAttempts: 2, ExtraShare: 1}},
 	})
 }
 
-// simAnswer is what one client has got.
+// simAnswer is the answer that one client received.
 type simAnswer struct {
 	id     string
 	status int
@@ -185,7 +186,7 @@
 	wait   string
 }
 
-// offer sends requests at a rate for a time and returns all answers.
+// offer sends rate requests per second for the given time and returns all answers.
 func (s *simulation) offer(rate float64, span time.Duration) []simAnswer {
 	var clients sync.WaitGroup
 	answers := make([]simAnswer, int(rate*span.Seconds()))
@@ -208,8 +209,7 @@
 	return simAnswer{id: id, status: recorder.Code, took: time.Since(began), wait: recorder.Header().Get("Retry-After")}
 }
 
-// useful returns the whole answers in time, as a share of what the shards can
-// serve.
+// useful returns the number of complete answers within the target as a share of the capacity.
 func useful(answers []simAnswer, span time.Duration) float64 {
 	count := 0
 	for _, answer := range answers {
@@ -220,13 +220,11 @@
 	return float64(count) / (simCapacity * span.Seconds())
 }
 
-// TestOverloadServesTheSameRequestsEverywhere: with twice the load that the
-// shards can bear, the same requests go first at every shard, so that nearly all
-// of what the shards can do ends in whole answers in time; the others are refused
-// early, with when to retry, or wait for their last parts. The share differs by
-// the order in which goroutines run at one moment of the bubble's time: 0.95 to 0.99
-// in 100 runs on one to eight processors. (own days with bursts of two, four and six
-// times; valgsok-grown fresh-bfe4)
+// TestOverloadServesTheSameRequestsEverywhere checks that at twice the capacity of the shards, every
+// shard prefers the same requests, so that nearly all work ends in complete answers within the target.
+// The other requests are refused early, with a retry time, or wait for their last parts. The useful
+// share depends on the order in which goroutines run at one instant of the synctest bubble: 0.95 to
+// 0.99 in 100 runs on one to eight processors.
 func TestOverloadServesTheSameRequestsEverywhere(t *testing.T) {
 	const span = 6 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -234,10 +232,10 @@
 		simulated := newSimulation()
 		answers := simulated.offer(2*simCapacity, span)
 		simulated.close()
-		t.Logf("useful: %.2f of the capacity", useful(answers, span))
+		t.Logf("useful answers: %.2f of the capacity", useful(answers, span))
 		g.Expect(useful(answers, span)).To(BeNumerically(">=", 0.9))
-		refused, known, atOnce := 0, 0, 0
-		var held time.Duration
+		refused, afterDetection, atOnce := 0, 0, 0
+		var totalTime time.Duration
 		for number, answer := range answers {
 			if answer.status != http.StatusServiceUnavailable {
 				continue
@@ -247,68 +245,68 @@
 			if float64(number)/float64(len(answers))*span.Seconds() < simDeadline.Seconds()+1 {
 				continue
 			}
-			known++
-			held += answer.took
+			afterDetection++
+			totalTime += answer.took
 			if answer.took == 0 {
 				atOnce++
 			}
 		}
-		mean := held / time.Duration(max(1, known))
-		t.Logf("%d of %d refused; of %d once the overload was known %d at once, after %v in the mean", refused, len(answers), known, atOnce, mean)
-		g.Expect(refused).To(BeNumerically(">", len(answers)/4), "most of what is beyond the capacity is refused")
-		g.Expect(atOnce).To(BeNumerically(">", known*4/5), "what is known not to be servable is refused at once")
+		mean := totalTime / time.Duration(max(1, afterDetection))
+		t.Logf("%d of %d refused; of %d refused after the overload was detected, %d immediately; mean time %v", refused, len(answers), afterDetection, atOnce, mean)
+		g.Expect(refused).To(BeNumerically(">", len(answers)/4), "most of the load beyond the capacity is refused")
+		g.Expect(atOnce).To(BeNumerically(">", afterDetection*4/5), "requests known to be unservable are refused immediately")
 		g.Expect(mean).To(BeNumerically("<=", 45*time.Millisecond))
 	})
 }
 
-// expectTrueRefusal checks that a refusal came early, tells when to retry and
-// why in the log, and that no server has run the request.
+// expectTrueRefusal checks that a refusal has a retry time, that its record has the retry time and the
+// sub-requests shed, and that no server has run the request.
 func (s *simulation) expectTrueRefusal(g *WithT, answer simAnswer) {
 	g.Expect(answer.wait).NotTo(BeEmpty())
-	told, found := s.records.refused[answer.id]
-	g.Expect(found).To(BeTrue(), "a refusal is told with the request's id")
-	g.Expect(told.RetryAfter).To(BeNumerically(">", 0))
-	g.Expect(told.Result.Shed).To(BeNumerically(">", 0), "and with what decided it")
+	record, found := s.records.refused[answer.id]
+	g.Expect(found).To(BeTrue(), "a refusal is recorded with the request's id")
+	g.Expect(record.RetryAfter).To(BeNumerically(">", 0))
+	g.Expect(record.Result.Shed).To(BeNumerically(">", 0), "the record has the sub-requests shed")
 	for _, server := range s.servers {
-		g.Expect(server.ran).NotTo(HaveKey(answer.id), "a refusal promises that nothing has run")
+		g.Expect(server.ran).NotTo(HaveKey(answer.id), "a refused request must not have run on any server")
 	}
 }
 
-// TestALostShardIsWaitedFor: a request that lacks a shard without servers keeps
-// its other parts and is answered as soon as one is back, rather than refused.
-// (skipulag-leit scale-1 --seed 12: 98 requests failed after 160 ms of 3 s)
+// TestALostShardIsWaitedFor checks that a request that lacks the part of a shard without servers keeps its
+// other parts and is answered as soon as a server is back, rather than refused: requests used to fail
+// after 160 ms of 3 s.
 func TestALostShardIsWaitedFor(t *testing.T) {
-	const away = 700 * time.Millisecond
+	const outage = 700 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		simulated := newSimulation()
-		began := time.Now()
+		removedAt := time.Now()
 		for index := range simServers {
-			simulated.fleet.Remove(fmt.Sprintf("shard-0-%d", index), time.Time{}, began)
+			simulated.fleet.Remove(fmt.Sprintf("shard-0-%d", index), time.Time{}, removedAt)
 		}
-		time.AfterFunc(away, func() {
+		time.AfterFunc(outage, func() {
 			simulated.fleet.Apply(fleet.Server{
 				ID: "returned", Service: "shard-0", Address: "shard-0-0", Slots: simSlots,
 			}, time.Now())
 		})
 		answer := simulated.ask("lost-shard")
 		g.Expect(answer.status).To(Equal(http.StatusOK))
-		g.Expect(answer.took).To(BeNumerically("~", away, simTarget))
+		g.Expect(answer.took).To(BeNumerically("~", outage, simTarget))
 		for index, server := range simulated.servers {
-			g.Expect(len(server.ran)).To(BeNumerically("<=", 1), "server %d is asked once", index)
+			g.Expect(len(server.ran)).To(BeNumerically("<=", 1), "server %d runs the request at most once", index)
 		}
 		simulated.close()
 	})
 }
 
-// TestASlowServerIsNoOverload: at half of the capacity nothing is refused,
-// although one server of each shard is full now and then.
+// TestASlowServerIsNoOverload checks that at half the capacity no request is refused, although one
+// server of each shard is temporarily full.
 func TestASlowServerIsNoOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		served := newSimulation()
-		for index := 0; index < len(served.servers); index += simServers {
-			slowed := served.servers[index]
+		simulated := newSimulation()
+		for index := 0; index < len(simulated.servers); index += simServers {
+			slowed := simulated.servers[index]
 			pause := func() {
 				slowed.mutex.Lock()
 				defer slowed.mutex.Unlock()
@@ -318,52 +316,51 @@
 			}
 			time.AfterFunc(time.Duration(1000+200*index)*time.Millisecond, pause)
 		}
-		for _, answer := range served.offer(simCapacity/2, 4*time.Second) {
+		for _, answer := range simulated.offer(simCapacity/2, 4*time.Second) {
 			g.Expect(answer.status).NotTo(Equal(http.StatusServiceUnavailable))
 		}
-		served.close()
+		simulated.close()
 	})
 }
 
-// TestRefusedClientsComeBackLaterInALongOverload: a client that may retry
-// once would otherwise be refused again. (valgsok-grown fresh-fa94: 681 requests
-// refused twice)
+// TestRefusedClientsComeBackLaterInALongOverload checks that retry times are longer in a long overload: a
+// client that may retry once would otherwise be refused again, as 681 requests once were.
 func TestRefusedClientsComeBackLaterInALongOverload(t *testing.T) {
 	const span = 4 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		served := newSimulation()
-		answers := served.offer(2*simCapacity, span)
+		simulated := newSimulation()
+		answers := simulated.offer(2*simCapacity, span)
 		lastWait := 0.0
 		for _, answer := range answers[len(answers)*3/4:] {
 			if answer.status == http.StatusServiceUnavailable {
 				wait, err := strconv.ParseFloat(answer.wait, 64)
 				g.Expect(err).NotTo(HaveOccurred())
-				g.Expect(wait).To(And(BeNumerically(">=", 1), BeNumerically("<=", greatestWait.Seconds())))
+				g.Expect(wait).To(And(BeNumerically(">=", 1), BeNumerically("<=", maxRetryAfter.Seconds())))
 				lastWait = wait
 			}
 		}
-		g.Expect(lastWait).NotTo(BeZero(), "some are refused")
-		served.close()
+		g.Expect(lastWait).NotTo(BeZero(), "some requests are refused")
+		simulated.close()
 	})
 }
 
-// TestAnOverloadBeginsAnewAfterQuiet: what was long ago tells nothing.
+// TestAnOverloadBeginsAnewAfterQuiet checks that a refusal after overloadQuietPeriod starts a new overload.
 func TestAnOverloadBeginsAnewAfterQuiet(t *testing.T) {
 	g := NewWithT(t)
-	overloads, now := newEpisodes(), time.Unix(0, 0)
-	g.Expect(overloads.note("a", now, now)).To(BeZero())
+	overloads, now := newOverloadTracker(), time.Unix(0, 0)
+	g.Expect(overloads.recordRefusal("a", now, now)).To(BeZero())
 	for range 5 {
-		now = now.Add(episodeQuiet)
-		overloads.note("a", now, now)
+		now = now.Add(overloadQuietPeriod)
+		overloads.recordRefusal("a", now, now)
 	}
-	g.Expect(overloads.note("a", now, now)).To(Equal(5 * episodeQuiet))
-	g.Expect(overloads.note("b", now, now)).To(BeZero(), "each service for itself")
-	g.Expect(overloads.note("a", now.Add(2*episodeQuiet), now.Add(2*episodeQuiet))).To(BeZero())
+	g.Expect(overloads.recordRefusal("a", now, now)).To(Equal(5 * overloadQuietPeriod))
+	g.Expect(overloads.recordRefusal("b", now, now)).To(BeZero(), "services are tracked separately")
+	g.Expect(overloads.recordRefusal("a", now.Add(2*overloadQuietPeriod), now.Add(2*overloadQuietPeriod))).To(BeZero())
 }
 
-// TestARefusalAtTheNodesBoundIsTrue: a request beyond those that the node may
-// serve at once is refused at once, with when to retry; nothing of it is sent.
+// TestARefusalAtTheNodesBoundIsTrue checks that a request beyond MaxInFlight is refused immediately, with a
+// retry time, and that nothing of it is sent to a server.
 func TestARefusalAtTheNodesBoundIsTrue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -379,7 +376,7 @@
 		for _, server := range simulated.servers {
 			g.Expect(server.ran).NotTo(HaveKey("second"))
 		}
-		g.Expect((<-first).status).To(Equal(http.StatusOK), "what is being served goes on")
+		g.Expect((<-first).status).To(Equal(http.StatusOK), "the request in progress is served")
 		g.Expect(simulated.ask("third").status).To(Equal(http.StatusOK))
 		simulated.close()
 	})
--- a/internal/front/record.go
+++ b/internal/front/record.go
@@ -8,13 +8,13 @@
 	"github.com/bramblemast/bramblemast/pkg/outcome"
 )
 
-// Record is the story of one request, for logs and metrics.
+// Record describes how one request was served, for logs and metrics.
 type Record struct {
 	ID    string
 	Host  string
 	Path  string
 	Route string
-	// Tenant is the name of the caller; empty where callers have no keys.
+	// Tenant is the name of the caller's tenant; empty if it has none.
 	Tenant string
 	// KeyHash is the short hash of a key that was refused; empty for none.
 	KeyHash string
@@ -22,11 +22,11 @@
 	Policy  Policy
 	Status  int
 	Took    time.Duration
-	// RetryAfter is after how long the client was told to retry; zero if it was not.
+	// RetryAfter is the retry time that was sent to the client; zero if none was.
 	RetryAfter time.Duration
-	// Reason is why the request was refused or the wait ended.
+	// Reason is why the request was refused or why the node stopped waiting for answers.
 	Reason string
-	// Refused says that no server was asked.
+	// Refused is set if the request was not offered to any server.
 	Refused  bool
 	Parts    int
 	Required int
@@ -34,50 +34,49 @@
 	Result   fanout.Result
 	Services []string
 	Cause    error
-	// Fingerprint is what the request has in common with its client's other tries; nil
-	// unless a server broke its connection while it had the request, or it was kept from
-	// servers for that.
+	// Fingerprint is the same for all attempts of the client's request. It is nil unless a server
+	// broke its connection while it had the request, or the request was quarantined for that.
 	Fingerprint *exchange.Fingerprint
-	// LimitDecision is why the request was refused as beyond its tenant's limit; nil otherwise.
+	// LimitDecision is the decision that refused the request as over its tenant's limit; nil otherwise.
 	LimitDecision *LimitDecision
 }
 
-// Recorder takes the story of each request. It does not block.
+// Recorder receives the record of each request. It does not block and is safe for concurrent use.
 type Recorder interface {
 	Record(record Record)
-	// Overload tells that a request failed for want of room at the servers of a
-	// route that begins with a service, and how many sub-requests wait there for
-	// a free server.
+	// Overload reports that a request failed because the servers of its route had no capacity.
+	// service is the first service of the route, and waiting the number of sub-requests that wait
+	// for a free server of the route.
 	Overload(service string, waiting int)
 }
 
-// record tells the story of a request that was begun.
-func (c *conversation) record(status int, plan fanout.Plan, result fanout.Result) {
+// record reports a request that was run as a plan, also if no server took it.
+func (c *clientRequest) record(status int, plan fanout.Plan, result fanout.Result) {
 	c.handler.events.Record(Record{
 		ID: c.id, Host: c.received.Host, Path: c.received.RequestURI, Route: c.route.Name, Tenant: c.tenantName(),
-		Version: c.version, Policy: c.policy, Status: status, Took: time.Since(c.began), Reason: string(result.Reason), Parts: result.AnsweredCount,
+		Version: c.version, Policy: c.policy, Status: status, Took: time.Since(c.startedAt), Reason: string(result.Reason), Parts: result.AnsweredCount,
 		Required: plan.Required, Total: len(plan.Services), Result: result, Services: plan.Services,
-		RetryAfter: c.toldWait, Fingerprint: c.fingerprintIf(result.BrokenConnections > 0 || result.Reason == fanout.StopQuarantined),
+		RetryAfter: c.sentRetryAfter, Fingerprint: c.fingerprintIf(result.BrokenConnections > 0 || result.Reason == fanout.StopQuarantined),
 	})
 }
 
-// recordRefusal tells that of a request that was offered to no server.
-func (c *conversation) recordRefusal(status int, reason outcome.Reason) {
+// recordRefusal reports a request that was not offered to any server.
+func (c *clientRequest) recordRefusal(status int, reason outcome.Reason) {
 	name := ""
 	if c.route != nil {
 		name = c.route.Name
 	}
 	c.handler.events.Record(Record{
 		ID: c.id, Host: c.received.Host, Path: c.received.RequestURI, Route: name, Tenant: c.tenantName(),
-		Version: c.version, Status: status, Took: time.Since(c.began), Reason: string(reason), Refused: true,
-		Cause: c.cause, KeyHash: c.keyHashIf(reason), LimitDecision: c.limitDecision,
-		RetryAfter: c.toldWait, Fingerprint: c.fingerprintIf(reason == outcome.ReasonQuarantined),
+		Version: c.version, Status: status, Took: time.Since(c.startedAt), Reason: string(reason), Refused: true,
+		Cause: c.readError, KeyHash: c.keyHashIf(reason), LimitDecision: c.limitDecision,
+		RetryAfter: c.sentRetryAfter, Fingerprint: c.fingerprintIf(reason == outcome.ReasonQuarantined),
 	})
 }
 
-// fingerprintIf returns the fingerprint if it matters to the story of the request.
-func (c *conversation) fingerprintIf(matters bool) *exchange.Fingerprint {
-	if !matters {
+// fingerprintIf returns the fingerprint of the request if it is relevant to its record, else nil.
+func (c *clientRequest) fingerprintIf(isRelevant bool) *exchange.Fingerprint {
+	if !isRelevant {
 		return nil
 	}
 	fingerprint := c.fingerprint()
--- a/internal/front/tenant.go
+++ b/internal/front/tenant.go
@@ -10,29 +10,28 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// KeyFreshness says how far a node may trust what it knows of callers' keys.
+// KeyFreshness is how current a node's knowledge of callers' keys is.
 type KeyFreshness int
 
-// What a node may know of keys.
+// Levels of freshness of the known keys.
 const (
-	// KeysCurrent are as new as the deployment asks for.
+	// KeysCurrent means that the keys are as recent as the deployment requires.
 	KeysCurrent KeyFreshness = iota
-	// KeysStale are served on with, but a key that is not among them may have been added since.
+	// KeysStale means that known keys are still accepted, but an unknown key may have been added since.
 	KeysStale
-	// KeysLapsed are so old that each of them may have been removed since.
+	// KeysLapsed means that the keys are so old that any of them may have been removed since.
 	KeysLapsed
 )
 
-// keysWait is after how long a request may be retried whose key this node cannot confirm:
-// another node, to which a retry goes, mostly can, and it leaves most of a short deadline.
+// keysWait is the retry time for a request whose key this node cannot confirm. Another node, to which
+// the retry goes, usually can, and the wait leaves most of a short deadline.
 const keysWait = 200 * time.Millisecond
 
-// authenticate finds the tenant of the request by its key, and reports whether the request may be
-// served; if not, it has refused it: a route that is not public needs a key, and a key that nobody holds is
-// wrong on any route, since its caller counts on what its tenant is granted and bound to.
-// Where the configuration has no tenants, nothing is asked and the headers go along as they
-// are.
-func (c *conversation) authenticate(table *route.Table) bool {
+// authenticate finds the tenant of the request by its key and reports whether the request may be
+// served; if not, it has refused it. A route that is not public requires a key. An unknown key is
+// refused on any route, since its caller relies on the rights and limits of its tenant. If the
+// configuration has no tenants, no key is required and the headers are passed on unchanged.
+func (c *clientRequest) authenticate(table *route.Table) bool {
 	if !table.HasTenants() {
 		return true
 	}
@@ -43,14 +42,14 @@
 		return true
 	}
 	if len(c.keys) != 1 {
-		// There is no key, or several of which nobody knows which one is meant.
+		// There is no key, or several, which is ambiguous.
 		c.refuseUnauthenticated()
 		return false
 	}
 	c.tenant = table.TenantOf(c.keys[0])
-	news := c.handler.keyNews()
+	freshness := c.handler.keyFreshness()
 	switch {
-	case news == KeysLapsed || c.tenant == nil && news == KeysStale:
+	case freshness == KeysLapsed || c.tenant == nil && freshness == KeysStale:
 		c.refuse(http.StatusServiceUnavailable, outcome.ReasonKeysUnconfirmed, keysWait)
 	case c.tenant == nil:
 		c.refuseUnauthenticated()
@@ -60,16 +59,16 @@
 	return false
 }
 
-// refuseUnauthenticated answers with the header in which a key is wanted (RFC 9110, section
-// 11.6.1).
-func (c *conversation) refuseUnauthenticated() {
+// refuseUnauthenticated answers 401 and names the header that must carry the key (RFC 9110,
+// section 11.6.1).
+func (c *clientRequest) refuseUnauthenticated() {
 	c.writer.Header().Set("WWW-Authenticate", c.handler.dialect.Credential)
 	c.refuse(http.StatusUnauthorized, outcome.ReasonUnauthenticated, 0)
 }
 
-// replaceCaller puts the tenant's name in the place of what the client said of itself. The
-// key is a secret between the client and this node.
-func (c *conversation) replaceCaller(header http.Header) {
+// replaceCallerHeaders replaces the key and any tenant header of the client by the name of its tenant.
+// The key is a secret between the client and this node.
+func (c *clientRequest) replaceCallerHeaders(header http.Header) {
 	if !c.hasTenants {
 		return
 	}
@@ -81,20 +80,20 @@
 }
 
 // tenantName returns the name of the request's tenant; empty without one.
-func (c *conversation) tenantName() string {
+func (c *clientRequest) tenantName() string {
 	if c.tenant == nil {
 		return ""
 	}
 	return c.tenant.Name
 }
 
-// keyHashLength is the number of bytes of a key's hash in logs: an operator who holds the key
-// can find it, nobody finds the key by it.
+// keyHashLength is the number of bytes of a key's hash in logs: an operator who has the key can find
+// its log lines, but nobody can derive the key from the hash.
 const keyHashLength = 4
 
-// keyHashIf returns the short hash of a key that is refused for that reason; empty for other
-// reasons, and where the client did not send one key.
-func (c *conversation) keyHashIf(reason outcome.Reason) string {
+// keyHashIf returns the short hash of the key if reason refuses a key; empty for other reasons, and if
+// the client did not send exactly one key.
+func (c *clientRequest) keyHashIf(reason outcome.Reason) string {
 	isKeyRefused := reason == outcome.ReasonUnauthenticated || reason == outcome.ReasonKeysUnconfirmed
 	if !isKeyRefused || len(c.keys) != 1 || c.keys[0] == "" {
 		return ""
--- a/internal/front/wait_test.go
+++ b/internal/front/wait_test.go
@@ -7,12 +7,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestRefusedClientsDoNotReturnTogether: the times that they are told spread, and those come
-// first that were closest to being let in.
+// TestRefusedClientsDoNotReturnTogether checks that retry times are spread, and that the clients closest
+// to admission retry first.
 func TestRefusedClientsDoNotReturnTogether(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(spreadWait(greatestWait, 0)).To(Equal(time.Second))
-	g.Expect(spreadWait(greatestWait, 0.5)).To(Equal(1500 * time.Millisecond))
-	g.Expect(spreadWait(greatestWait, 1)).To(Equal(greatestWait))
-	g.Expect(spreadWait(leastRoomWait, 0)).To(Equal(500 * time.Millisecond))
+	g.Expect(spreadWait(maxRetryAfter, 0)).To(Equal(time.Second))
+	g.Expect(spreadWait(maxRetryAfter, 0.5)).To(Equal(1500 * time.Millisecond))
+	g.Expect(spreadWait(maxRetryAfter, 1)).To(Equal(maxRetryAfter))
+	g.Expect(spreadWait(minOverloadWait, 0)).To(Equal(500 * time.Millisecond))
 }
--- a/internal/front/weights_test.go
+++ b/internal/front/weights_test.go
@@ -11,9 +11,9 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// TestWhatDoesNotFitAServiceIsNotMovedToAnother: a route divides its requests 3 to 1 among
-// two services. Four times as many come as the first can serve, and the second has room for
-// all of its own; what the first has no room for is refused, and the second gets its fourth.
+// TestWhatDoesNotFitAServiceIsNotMovedToAnother checks that requests beyond the capacity of a service are
+// refused rather than sent to the route's other service. The route divides its requests 3 to 1; the
+// first service gets four times its capacity, and the second gets no more than its fourth.
 func TestWhatDoesNotFitAServiceIsNotMovedToAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -26,9 +26,9 @@
 		const span = 4 * time.Second
 		rate := 4 * simCapacity / 3 * 4
 		answers := simulated.offer(rate, span)
-		asked := make(map[string]int)
+		runs := make(map[string]int)
 		for index, server := range simulated.servers[:2*simServers] {
-			asked[[]string{"shard-0", "shard-1"}[index/simServers]] += server.runs()
+			runs[[]string{"shard-0", "shard-1"}[index/simServers]] += server.runs()
 		}
 		served, refused := 0, 0
 		for _, answer := range answers {
@@ -39,7 +39,7 @@
 				refused++
 			}
 		}
-		g.Expect(asked["shard-1"]).To(BeNumerically("<=", len(answers)/4+1), "no more than its weight")
+		g.Expect(runs["shard-1"]).To(BeNumerically("<=", len(answers)/4+1), "no more than the share of its weight")
 		g.Expect(served + refused).To(BeNumerically(">=", len(answers)*95/100))
 		g.Expect(refused).To(BeNumerically(">", len(answers)/3))
 	})
