--- a/pkg/membership/bridge_test.go
+++ b/pkg/membership/bridge_test.go
@@ -7,8 +7,9 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// TestOnlyNodeOfAZone replaces the only node of a zone, and stops the new one as
-// planned. The other zone must not keep what is gone.
+// TestOnlyNodeOfAZone replaces the only node of a zone, then stops the new one as planned. No
+// member of that zone is left to report either change, so the other zone must notice both itself
+// and not keep the old members.
 func TestOnlyNodeOfAZone(t *testing.T) {
 	inCluster(t, func(t *testing.T, c *cluster) {
 		c.startZone("oslo", 3)
@@ -27,14 +28,16 @@
 		time.Sleep(2 * time.Second)
 		for _, other := range c.nodes {
 			if other != node && c.stateAt(other, node.options.Self.ID) != Dead {
-				t.Errorf("%s holds the node that left as %v", other.address, c.stateAt(other, node.options.Self.ID))
+				t.Errorf("%s holds the node that left as %v, want dead", other.address, c.stateAt(other, node.options.Self.ID))
 			}
 		}
 		c.kill(only)
 	})
 }
 
-// TestSilentZoneIsForgottenAfterHours cuts a zone off for good.
+// TestSilentZoneIsForgottenAfterHours kills the only node of a zone without a replacement. The
+// other zone must hold it as suspect at first, because only its own zone may remove it, and forget
+// it after remoteSilentRetention.
 func TestSilentZoneIsForgottenAfterHours(t *testing.T) {
 	inCluster(t, func(t *testing.T, c *cluster) {
 		c.startZone("oslo", 2)
@@ -45,20 +48,20 @@
 		time.Sleep(time.Hour)
 		for _, node := range c.nodes {
 			if c.stateAt(node, lost) != Suspect {
-				t.Errorf("after an hour %s holds the lost node as %v", node.address, c.stateAt(node, lost))
+				t.Errorf("after an hour %s holds the lost node as %v, want suspect", node.address, c.stateAt(node, lost))
 			}
 		}
 		time.Sleep(remoteSilentRetention)
 		for _, node := range c.nodes {
 			if c.holds(node, lost) {
-				t.Errorf("%s still holds the lost node", node.address)
+				t.Errorf("%s still holds the lost node after remoteSilentRetention", node.address)
 			}
 		}
 	})
 }
 
-// TestZonesLearnOfEachOtherThroughAThird starts zones that are given one seed
-// in a zone that the settings do not name, as a new installation is.
+// TestZonesLearnOfEachOtherThroughAThird starts zones with a single seed whose zone is not
+// configured, as in a new installation. Each zone must learn of all others.
 func TestZonesLearnOfEachOtherThroughAThird(t *testing.T) {
 	inCluster(t, func(t *testing.T, c *cluster) {
 		c.seeds.Store(&[]Seed{{Address: addressOf("oslo", 0)}})
--- a/pkg/membership/cluster_test.go
+++ b/pkg/membership/cluster_test.go
@@ -23,8 +23,7 @@
 	frozen    bool
 }
 
-// cluster runs nodes on an in-memory network. Its methods are called from one
-// goroutine.
+// cluster runs nodes on an in-memory network. Its methods must be called from one goroutine.
 type cluster struct {
 	t       testing.TB
 	network *peer.Network
@@ -43,12 +42,12 @@
 	return c
 }
 
-// addressOf names a node of a zone.
+// addressOf returns the address of a node of a zone.
 func addressOf(zone string, number int) peer.Address {
 	return peer.Address(fmt.Sprintf("%s-%03d:7000", zone, number))
 }
 
-// start runs a new process at an address.
+// start starts a new process at the address of a node.
 func (c *cluster) start(zone string, number int) *testNode {
 	address := addressOf(zone, number)
 	c.starts++
@@ -72,7 +71,7 @@
 	return node
 }
 
-// startAt runs a new process at an address made by addressOf.
+// startAt starts a new process at an address made by addressOf.
 func (c *cluster) startAt(address peer.Address) {
 	var number int
 	zone, rest, _ := strings.Cut(string(address), "-")
@@ -92,7 +91,7 @@
 	}
 }
 
-// kill ends a process without a word.
+// kill ends a process without any announcement.
 func (c *cluster) kill(address peer.Address) {
 	node := c.nodes[address]
 	node.transport.Close()
@@ -134,7 +133,7 @@
 	return addresses
 }
 
-// truth returns the IDs of the running processes of a zone, sorted.
+// runningIDs returns the IDs of the running processes of a zone, sorted.
 func (c *cluster) running(zone target.Zone) []target.NodeID {
 	var ids []target.NodeID
 	for _, node := range c.nodes {
@@ -146,14 +145,14 @@
 	return ids
 }
 
-// disagreement describes the first node whose list differs from the truth, or
-// returns an empty text.
+// disagreement describes the first node whose list differs from the set of running processes. It
+// returns an empty text if all lists agree.
 func (c *cluster) disagreement() string {
 	for _, address := range c.addresses() {
 		node := c.nodes[address]
 		own := node.options.Self.Zone
 		if held, running := idsIn(node, own, Alive), c.running(own); !slices.Equal(held, running) {
-			return fmt.Sprintf("%s holds %v, truth is %v", address, held, running)
+			return fmt.Sprintf("%s holds %v as alive, running are %v", address, held, running)
 		}
 		for _, zone := range c.zones() {
 			if text := c.remoteZoneProblem(node, zone); zone != own && text != "" {
@@ -164,17 +163,17 @@
 	return ""
 }
 
-// remoteZoneProblem checks what a node holds about another zone: as many living
-// members as it should know, and only living ones.
+// remoteZoneProblem describes what is wrong in a node's list of another zone. The node must hold as
+// many members as it should know, and only running ones.
 func (c *cluster) remoteZoneProblem(node *testNode, zone target.Zone) string {
 	held, running := idsIn(node, zone, Alive), c.running(zone)
 	wanted := min(len(running), DefaultMembersPerZone)
 	if len(held) != wanted {
-		return fmt.Sprintf("%s holds %v of zone %s, truth is %v", node.address, held, zone, running)
+		return fmt.Sprintf("%s holds %v of zone %s as alive, running are %v", node.address, held, zone, running)
 	}
 	for _, id := range held {
 		if !slices.Contains(running, id) {
-			return fmt.Sprintf("%s holds %s of zone %s, which is gone", node.address, id, zone)
+			return fmt.Sprintf("%s holds %s of zone %s as alive, but it is not running", node.address, id, zone)
 		}
 	}
 	return ""
@@ -190,7 +189,7 @@
 	return zones
 }
 
-// idsIn returns the members of a zone that a node holds in a state.
+// idsIn returns the members of a zone that a node lists in the given state.
 func idsIn(node *testNode, zone target.Zone, state State) []target.NodeID {
 	var ids []target.NodeID
 	for _, member := range node.Members() {
@@ -206,8 +205,7 @@
 	return slices.ContainsFunc(node.Members(), func(member Member) bool { return member.ID == id })
 }
 
-// stateAt returns the state of a member as a node sees it; Dead if it is not
-// listed.
+// stateAt returns the state of a member in a node's list, or Dead if it is not listed.
 func (c *cluster) stateAt(node *testNode, id target.NodeID) State {
 	for _, member := range node.Members() {
 		if member.ID == id {
@@ -217,8 +215,8 @@
 	return Dead
 }
 
-// settle waits until all lists agree with the truth and returns how long that
-// took; the test fails if it takes longer than bound.
+// settle waits until all lists agree with the running processes and returns how long that took. The
+// test fails if it takes longer than bound.
 func (c *cluster) settle(bound time.Duration) time.Duration {
 	c.t.Helper()
 	started := time.Now()
@@ -228,8 +226,8 @@
 	return time.Since(started)
 }
 
-// settleWithin waits until all lists agree with the truth; it returns what is
-// wrong after bound.
+// settleWithin waits until all lists agree with the running processes. If they still differ after
+// bound, it returns a description of the difference.
 func (c *cluster) settleWithin(bound time.Duration) string {
 	started := time.Now()
 	for {
@@ -244,7 +242,7 @@
 	}
 }
 
-// total adds up a counter over all running nodes.
+// total sums a counter over all running nodes.
 func (c *cluster) total(counter func(Stats) uint64) uint64 {
 	var sum uint64
 	for _, node := range c.nodes {
--- a/pkg/membership/fuzz_test.go
+++ b/pkg/membership/fuzz_test.go
@@ -10,9 +10,8 @@
 	"github.com/bramblemast/bramblemast/pkg/peer"
 )
 
-// FuzzHandlers gives every message handler arbitrary bytes. No input may crash
-// a node, make it say of itself that it is not alive, or make its counts differ
-// from its list.
+// FuzzHandlers passes arbitrary bytes to every message handler. No input may crash a node, make it
+// declare itself anything but alive, or make its counts and digests inconsistent with its records.
 func FuzzHandlers(f *testing.F) {
 	entry := &pb.Entry{Id: "n", Address: "a", Zone: "oslo", State: pb.State_STATE_ALIVE, Incarnation: 3}
 	accusation := &pb.Entry{Id: "self", State: pb.State_STATE_DEAD, Incarnation: 9}
@@ -51,10 +50,10 @@
 	})
 }
 
-// checkTable recounts what a table keeps beside its records.
+// checkTable recomputes the counts and digests of a table from its records and compares them.
 func checkTable(t *testing.T, held *table) {
 	if held.self.member.State != Alive || held.records["self"] != held.self {
-		t.Error("the node does not hold itself as alive")
+		t.Error("the node does not list itself as alive")
 	}
 	living, suspects := 0, 0
 	var sums digests
@@ -71,6 +70,6 @@
 		}
 	}
 	if living != held.zoneSize || len(held.others) != living-1 || suspects != held.suspects || sums != held.digests {
-		t.Errorf("counted %d living and %d suspects, held are %d and %d", living, suspects, held.zoneSize, held.suspects)
+		t.Errorf("counted %d members not dead and %d suspects; the table has %d and %d, or its digests or other members differ", living, suspects, held.zoneSize, held.suspects)
 	}
 }
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// joinBound is the virtual time in which nodes that start together agree.
+	// joinBound is the virtual time within which nodes that start together must agree.
 	joinBound = 20 * time.Second
-	// detectBound is the time in which a dead node is removed everywhere in
-	// the small zones of these tests.
+	// detectBound is the virtual time within which a dead node must be removed everywhere in the
+	// small zones of these tests.
 	detectBound = 20 * time.Second
-	// healBound is the time in which lists agree after the last fault ended.
+	// healBound is the virtual time within which lists must agree after the last fault has ended.
 	healBound = 45 * time.Second
 )
 
@@ -72,12 +72,12 @@
 			own := c.nodes[frozen].Stats()
 			others := c.total(func(s Stats) uint64 { return s.Refutations }) - before - own.Refutations
 			if others > 0 {
-				t.Errorf("after a pause of %v: %d others had to refute", pause, others)
+				t.Errorf("after a pause of %v: other nodes had to refute %d times, want 0", pause, others)
 			}
 			if own.Pauses == 0 {
-				t.Error("the pause was not noticed")
+				t.Error("the pause was not detected")
 			}
-			t.Logf("a pause of %v: agreed again after %v", pause, took)
+			t.Logf("after a pause of %v, lists agree after %v", pause, took)
 		})
 	}
 }
@@ -123,8 +123,8 @@
 	}
 }
 
-// checkNoDead checks that nodes that were never cut from each other do not hold
-// each other as dead on the word of the other side.
+// checkNoDead checks that nodes that were never cut off from each other do not hold each other as
+// dead because the other side of the cut reports it.
 func checkNoDead(t *testing.T, c *cluster, half []peer.Address) {
 	t.Helper()
 	for _, address := range half {
@@ -137,8 +137,9 @@
 	}
 }
 
-// TestHalvesRejoinWithoutSeeds cuts a zone while the machine list is away, so
-// that only the dead members' own addresses lead back.
+// TestHalvesRejoinWithoutSeeds cuts a zone in two while there are no seeds, as when the machine
+// list is unavailable. The halves can then find each other only through the addresses of members
+// that they hold as dead.
 func TestHalvesRejoinWithoutSeeds(t *testing.T) {
 	inCluster(t, func(t *testing.T, c *cluster) {
 		c.startZone("oslo", 12)
@@ -152,9 +153,9 @@
 	})
 }
 
-// TestFrozenNodeDoesNotBringBackForgottenMembers freezes a node while a member
-// comes and goes, until the others have forgotten that one. What waited for the
-// frozen node must not bring it back.
+// TestFrozenNodeDoesNotBringBackForgottenMembers freezes a node, then starts and kills a member and
+// waits until the other nodes have forgotten it. Messages that waited for the frozen node still
+// list that member as alive; they must not bring it back.
 func TestFrozenNodeDoesNotBringBackForgottenMembers(t *testing.T) {
 	inCluster(t, func(t *testing.T, c *cluster) {
 		c.timing.DeadRetention = time.Minute
@@ -171,15 +172,16 @@
 			time.Sleep(20 * time.Millisecond)
 			for _, node := range c.nodes {
 				if node.address != frozen && c.holds(node, shortLived) {
-					t.Fatalf("%s holds a member again that it had forgotten", node.address)
+					t.Fatalf("%s lists a member again that it had forgotten", node.address)
 				}
 			}
 		}
 	})
 }
 
-// TestLastCheckBeforeRemoval lets the time to refute run out at one node that
-// heard nothing of a refutation: it must ask the member before it removes it.
+// TestLastCheckBeforeRemoval lets the time to refute expire at a node that received no refutation,
+// as when the refutation was lost. The node must probe the member once more before it removes it,
+// and so keep it.
 func TestLastCheckBeforeRemoval(t *testing.T) {
 	inCluster(t, func(t *testing.T, c *cluster) {
 		c.startZone("oslo", 5)
@@ -205,7 +207,7 @@
 		c.network.CutOneWay(all[:1], all[1:2])
 		time.Sleep(3 * time.Minute)
 		if count := c.total(func(s Stats) uint64 { return s.Suspicions }); count > 0 {
-			t.Errorf("%d members were suspected that others reach", count)
+			t.Errorf("%d members were suspected although other nodes reach them, want 0", count)
 		}
 		c.network.Heal()
 		c.settle(healBound)
@@ -247,10 +249,10 @@
 		<-node.done
 		c.kill(node.address)
 		if took := c.settle(5 * time.Second); took > 3*time.Second {
-			t.Errorf("a node that left was listed for %v", took)
+			t.Errorf("lists agree only %v after a node left, want at most 3 s", took)
 		}
 		if count := c.total(func(s Stats) uint64 { return s.Suspicions }); count > 0 {
-			t.Errorf("%d suspicions by a planned stop", count)
+			t.Errorf("a planned stop caused %d suspicions, want 0", count)
 		}
 	})
 }
@@ -296,7 +298,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		if len(got) != 29 {
-			t.Errorf("%d nodes got the message within 2 s, want 29", len(got))
+			t.Errorf("%d nodes received the message within 2 s, want 29", len(got))
 		}
 		time.Sleep(time.Minute)
 		c.network.SetLoss(0.4)
@@ -307,16 +309,16 @@
 		c.network.SetLoss(0)
 		time.Sleep(20 * time.Second)
 		if len(got) != 2*29 {
-			t.Errorf("after loss %d messages were handed over, want %d", len(got), 2*29)
+			t.Errorf("after loss %d messages were delivered in total, want %d", len(got), 2*29)
 		}
 		for range 29 {
 			<-got
 		}
 		if len(got) != 29 {
-			t.Errorf("the message was handed over %d times, want 29", len(got))
+			t.Errorf("the second message was delivered %d times, want 29", len(got))
 		}
 		if err := c.nodes[addressOf("oslo", 0)].Broadcast("test", make([]byte, MaxBroadcastBytes+1)); err == nil {
-			t.Error("an oversized message was taken")
+			t.Error("an oversized message was accepted")
 		}
 	})
 }
--- a/pkg/membership/property_test.go
+++ b/pkg/membership/property_test.go
@@ -12,11 +12,11 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// convergenceBound is the virtual time after the last fault in which all lists must
-// agree with the truth.
+// convergenceBound is the virtual time after the last fault within which all lists must agree with
+// the running processes.
 const convergenceBound = 90 * time.Second
 
-// faultKind is what happens to a cluster.
+// faultKind is a kind of fault, or the end of one, in a cluster.
 type faultKind int
 
 const (
@@ -30,8 +30,8 @@
 	loseMessages
 )
 
-// fault is one step of a scenario: after wait, kind happens to the nodes that
-// are drawn by number.
+// fault is one step of a scenario: after wait, kind is applied to the nodes that the numbers first
+// and other select.
 type fault struct {
 	wait  time.Duration
 	kind  faultKind
@@ -72,7 +72,7 @@
 	return slots
 }
 
-// startAll starts the nodes. The machine list names every slot.
+// startAll starts the nodes. The seeds include every slot.
 func (s scenario) startAll(c *cluster) {
 	var seeds []Seed
 	for zone, size := range s.zones {
@@ -88,7 +88,7 @@
 	}
 }
 
-// apply makes a fault happen. What makes no sense at the moment does nothing.
+// apply applies a fault. A fault that is impossible in the current state has no effect.
 func (s scenario) apply(c *cluster, f fault) {
 	time.Sleep(f.wait)
 	slots := s.slots()
@@ -123,7 +123,7 @@
 	}
 }
 
-// quiet ends every fault.
+// endFaults ends all faults.
 func (s scenario) endFaults(c *cluster) {
 	c.network.Heal()
 	c.network.SetLoss(0)
@@ -132,8 +132,8 @@
 	}
 }
 
-// play runs a scenario in virtual time and returns what was wrong at its end.
-// After each step, check is called.
+// run runs a scenario in virtual time and returns a description of what is wrong at its end. It
+// calls check after each step and stops at the first problem.
 func (s scenario) run(t *testing.T, check func(c *cluster) string) string {
 	var problem string
 	synctest.Test(t, func(t *testing.T) {
@@ -154,10 +154,9 @@
 	return problem
 }
 
-// TestListsAgreeAfterAnyFaults plays random kills, starts, freezes, cuts and
-// loss. The oracle is the set of running processes: some time after the last
-// fault every node must hold exactly those of its zone as alive, and only
-// running ones of the other zones.
+// TestListsAgreeAfterAnyFaults runs random kills, starts, freezes, cuts and message loss. The
+// oracle is the set of running processes: within convergenceBound after the last fault, every node
+// must hold exactly those of its zone as alive, and only running ones of the other zones.
 func TestListsAgreeAfterAnyFaults(t *testing.T) {
 	kinds := []faultKind{killNode, startNode, freezeNode, thawNode, cutTwoWays, cutOneWay, healCuts, loseMessages}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -168,9 +167,8 @@
 	})
 }
 
-// TestHealthyNodesStayAlive plays kills, starts and freezes only. A node that
-// was never frozen must never be held as dead by another such node, and must
-// never have to refute.
+// TestHealthyNodesStayAlive runs kills, starts and freezes only. A node that was never frozen must
+// never be held as dead by another such node, and must never have to refute an accusation.
 func TestHealthyNodesStayAlive(t *testing.T) {
 	kinds := []faultKind{killNode, startNode, freezeNode, thawNode}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -188,8 +186,8 @@
 	})
 }
 
-// accusedHealthyNode describes a node that was accused although it was never
-// frozen.
+// accusedHealthyNode describes a node that had to refute although it was never frozen. It returns
+// an empty text if there is none.
 func accusedHealthyNode(c *cluster, everFrozen map[peer.Address]bool) string {
 	for _, address := range c.addresses() {
 		node := c.nodes[address]
@@ -197,7 +195,7 @@
 			continue
 		}
 		if count := node.Stats().Refutations; count > 0 {
-			return fmt.Sprintf("%s had to refute %d times", address, count)
+			return fmt.Sprintf("%s was never frozen but had to refute %d times", address, count)
 		}
 	}
 	return ""
