--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -10,10 +10,10 @@
 	"github.com/bramblemast/bramblemast/pkg/quota"
 )
 
-// Cause is why a request was not served whole and in time.
+// Cause is the reason why a request was not served completely and in time.
 type Cause string
 
-// The causes, in the words that operators read.
+// Causes as shown to operators.
 const (
 	CauseServed          Cause = "none: it was served whole"
 	CauseStarting        Cause = "the node knew no configuration yet"
@@ -43,8 +43,8 @@
 	CausePartialFailed   Cause = "answered without some shards, whose servers failed or could not be reached"
 )
 
-// withOwned adds to the line of a request what its owners did for the services that it
-// lacks.
+// withOwned adds to the line of a request its owners' attempts at the missing services, and the extra
+// sub-requests that were denied to the owners.
 func withOwned(request Line, owned []Line) Line {
 	request.Attempts = slices.Clone(request.Attempts)
 	for _, line := range owned {
@@ -58,8 +58,8 @@
 	return request
 }
 
-// CauseOf reads the cause from the line of a request; withOwned adds what its owners
-// know.
+// CauseOf derives the cause from the line of a request. The line should include the attempts of the
+// request's owners, which withOwned adds.
 func CauseOf(line Line) Cause {
 	switch {
 	case line.Reason == "starting":
@@ -87,12 +87,12 @@
 	case line.Status < http.StatusBadRequest && len(line.Missing) == 0:
 		return CauseServed
 	case line.Status < http.StatusBadRequest:
-		return causeOfThin(line)
+		return causeOfPartial(line)
 	}
 	return causeOfFailure(line)
 }
 
-func causeOfThin(line Line) Cause {
+func causeOfPartial(line Line) Cause {
 	switch causeOfFailure(line) {
 	case CauseNoServer, CauseBusy:
 		return CausePartialNoServer
@@ -104,28 +104,28 @@
 	return CausePartialFailed
 }
 
-// causeOfFailure judges by the sub-requests that came last for what is missing.
+// causeOfFailure derives the cause from the last sub-requests for the missing services.
 func causeOfFailure(line Line) Cause {
-	tally := make(map[Cause]int)
+	counts := make(map[Cause]int)
 	for _, attempt := range line.Attempts {
-		tally[causeOfAttempt(attempt)]++
+		counts[causeOfAttempt(attempt)]++
 	}
 	switch {
 	case line.Reason == string(fanout.StopOverloaded) && line.Shed > 0:
 		return CauseNotOffered
 	case line.Shed > 0 && line.Parts < line.Required:
 		return CauseNoCapacity
-	case tally[CauseTimeout] > 0 && line.Denied > 0:
+	case counts[CauseTimeout] > 0 && line.Denied > 0:
 		return CauseTimeoutNoBudget
-	case tally[CauseTimeout] > 0:
+	case counts[CauseTimeout] > 0:
 		return CauseTimeout
-	case tally[CauseServerFailed] > 0:
+	case counts[CauseServerFailed] > 0:
 		return CauseServerFailed
-	case tally[CauseBroken] > 0:
+	case counts[CauseBroken] > 0:
 		return CauseBroken
-	case tally[CauseRefused] > 0:
+	case counts[CauseRefused] > 0:
 		return CauseRefused
-	case tally[CauseUnreachable] > 0:
+	case counts[CauseUnreachable] > 0:
 		return CauseUnreachable
 	case slices.ContainsFunc(line.Owners, isUnanswered):
 		return CauseOwnerTimeout
@@ -135,8 +135,8 @@
 	return CauseNoServer
 }
 
-// isUnanswered reports whether an owner did not answer, rather than being still at work.
-func isUnanswered(asked fanout.OwnerRecord) bool { return asked.Result != "pending" }
+// isUnanswered reports whether an owner failed to answer, as opposed to still working.
+func isUnanswered(owner fanout.OwnerRecord) bool { return owner.Result != "pending" }
 
 func causeOfAttempt(attempt fanout.AttemptRecord) Cause {
 	switch {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -12,8 +12,8 @@
 	"github.com/bramblemast/bramblemast/internal/explain"
 )
 
-// recorded are lines of a day with servers that crash and turn slow, nodes that
-// are stopped and killed, and configurations in quick succession.
+// recorded returns log lines of a system in which servers crash and slow down, nodes are stopped and
+// killed, and configurations change in quick succession.
 func recorded(t *testing.T) []explain.Line { return linesOf(t, "testdata/recorded.log") }
 
 func linesOf(t *testing.T, name string) []explain.Line {
@@ -25,18 +25,18 @@
 	defer func() { _ = file.Close() }()
 	lines, other, err := explain.Read(file)
 	if err != nil || other != 0 {
-		t.Fatalf("%v, %d other lines", err, other)
+		t.Fatalf("reading recorded log lines: error %v, %d other lines", err, other)
 	}
 	return lines
 }
 
-// TestFromARequestToItsCause are the walks of docs/OPERATIONS.md.
+// TestFromARequestToItsCause checks the walkthroughs of docs/OPERATIONS.md.
 func TestFromARequestToItsCause(t *testing.T) {
 	lines := recorded(t)
-	for _, walk := range []struct {
-		id    string
-		cause explain.Cause
-		says  []string
+	for _, test := range []struct {
+		id       string
+		cause    explain.Cause
+		contains []string
 	}{
 		{"64b4f2f0ebcbdc59", explain.CauseBusy, []string{"answered 503", "0 of 15 parts", "before: dependency regained (store)"}},
 		{"496cbb0faf4354e1", explain.CausePartialTimeout, []string{"answered 200, target; 9 of 10 parts", "pending after 108 ms"}},
@@ -47,22 +47,22 @@
 			"an older configuration: edge-setubal-sala-a-1 had version 37 in force 59 ms before",
 		}},
 	} {
-		t.Run(walk.id, func(t *testing.T) {
+		t.Run(test.id, func(t *testing.T) {
 			g := NewWithT(t)
-			story, err := explain.Explain(lines, walk.id)
+			story, err := explain.Explain(lines, test.id)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(story.Tries[0].Cause).To(Equal(walk.cause))
+			g.Expect(story.Tries[0].Cause).To(Equal(test.cause))
 			var text bytes.Buffer
 			story.Write(&text)
-			for _, part := range append(walk.says, "cause: "+string(walk.cause)) {
+			for _, part := range append(test.contains, "cause: "+string(test.cause)) {
 				g.Expect(text.String()).To(ContainSubstring(part))
 			}
 		})
 	}
 }
 
-// TestFromARequestThroughItsOwnerToItsCause is the fifth walk: the servers that were
-// asked for a shard stand in the line of its owner.
+// TestFromARequestThroughItsOwnerToItsCause checks the fifth walkthrough: the servers that were queried
+// for a shard are named only in the line of its owner.
 func TestFromARequestThroughItsOwnerToItsCause(t *testing.T) {
 	g := NewWithT(t)
 	story, err := explain.Explain(linesOf(t, "testdata/owners.log"), "dd38e8a6bd64c044")
@@ -79,7 +79,8 @@
 	}
 }
 
-// TestAnOwnerThatDidNotAnswerIsNamed, where nothing else is known.
+// TestAnOwnerThatDidNotAnswerIsNamed checks that an owner without an answer is the cause if nothing else
+// is known.
 func TestAnOwnerThatDidNotAnswerIsNamed(t *testing.T) {
 	g := NewWithT(t)
 	lines, _, err := explain.Read(strings.NewReader(`{"@timestamp":"2026-03-13T13:02:12Z","@message":"owner lost","node":"a",` +
@@ -97,12 +98,12 @@
 	g.Expect(text.String()).To(ContainSubstring("asked b for 3 shards: silent"))
 }
 
-// TestFromARefusalForOverloadToItsCause is the fourth walk, on lines of a burst.
+// TestFromARefusalForOverloadToItsCause checks the fourth walkthrough, on log lines of a burst.
 func TestFromARefusalForOverloadToItsCause(t *testing.T) {
 	lines := linesOf(t, "testdata/overload.log")
 	for id, expected := range map[string]struct {
-		cause explain.Cause
-		says  []string
+		cause    explain.Cause
+		contains []string
 	}{
 		"842d6d83a8d798bc": {explain.CauseNotOffered, []string{
 			"before: overload (kade41a: 94 sub-requests wait for a free server)", "0 of 10 parts, 9 wanted", "retry after 120 ms",
@@ -116,7 +117,7 @@
 			g.Expect(story.Tries[0].Cause).To(Equal(expected.cause))
 			var text bytes.Buffer
 			story.Write(&text)
-			for _, part := range expected.says {
+			for _, part := range expected.contains {
 				g.Expect(text.String()).To(ContainSubstring(part))
 			}
 		})
@@ -128,7 +129,7 @@
 	NewWithT(t).Expect(err).To(MatchError(explain.ErrUnknownRequest))
 }
 
-// TestASummaryCountsEachRequestOnce, within the span of time that is asked for.
+// TestASummaryCountsEachRequestOnce checks the counts, and that the time range is applied.
 func TestASummaryCountsEachRequestOnce(t *testing.T) {
 	g := NewWithT(t)
 	lines := recorded(t)
@@ -144,7 +145,7 @@
 	g.Expect(early[0].Last.Before(to)).To(BeTrue())
 }
 
-// TestLinesOfOtherProgramsArePassedOver.
+// TestLinesOfOtherProgramsArePassedOver checks that lines that are not a node's are counted and ignored.
 func TestLinesOfOtherProgramsArePassedOver(t *testing.T) {
 	g := NewWithT(t)
 	lines, other, err := explain.Read(strings.NewReader("panic: x\n\n{\"a\":1}\n{broken\n" +
@@ -155,7 +156,8 @@
 	g.Expect(lines[0].Node).To(Equal("node-1"))
 }
 
-// TestARequestThatEndedItsServersIsNamed, with what its node found out about it.
+// TestARequestThatEndedItsServersIsNamed checks that the story of a quarantined request names the servers
+// that ended while they had it, and no others.
 func TestARequestThatEndedItsServersIsNamed(t *testing.T) {
 	g := NewWithT(t)
 	lines, _, err := explain.Read(strings.NewReader(`{"@timestamp":"2026-03-13T13:02:12Z","@message":"request suspect","node":"a",` +
@@ -174,14 +176,14 @@
 	g.Expect(text.String()).NotTo(ContainSubstring("s9"))
 }
 
-// TestFromACallerThatIsRefusedToItsKey is walk 7: whether a key was sent, whose it is, and
-// which configuration did not know it.
+// TestFromACallerThatIsRefusedToItsKey checks walkthrough 7: whether a key was sent, whose it is, and
+// which configuration lacked it.
 func TestFromACallerThatIsRefusedToItsKey(t *testing.T) {
 	g := NewWithT(t)
 	lines := linesOf(t, "testdata/keys.log")
 	for id, expected := range map[string]struct {
-		cause explain.Cause
-		says  []string
+		cause    explain.Cause
+		contains []string
 	}{
 		"unknown": {explain.CauseUnknownKey, []string{
 			"request unknown with a key of hash 5e884898 on route \"r\", configuration 4", "before: configuration in force (version 4)",
@@ -198,13 +200,14 @@
 		g.Expect(story.Tries[0].Cause).To(Equal(expected.cause))
 		var text bytes.Buffer
 		story.Write(&text)
-		for _, part := range expected.says {
+		for _, part := range expected.contains {
 			g.Expect(text.String()).To(ContainSubstring(part))
 		}
 	}
 }
 
-// TestARefusedRequestNamesTheShardThatWasShortOfRoom, what it let in, and of whom.
+// TestARefusedRequestNamesTheShardThatWasShortOfRoom checks that the story names the service with too
+// little capacity, the share that it admitted, and the priority and tenant of that share.
 func TestARefusedRequestNamesTheShardThatWasShortOfRoom(t *testing.T) {
 	g := NewWithT(t)
 	lines, _, err := explain.Read(strings.NewReader(`{"@timestamp":"2026-03-13T13:02:12.1Z","@message":"request","node":"a",` +
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -1,5 +1,4 @@
-// Package explain reads the nodes' log lines and leads from a failed request to
-// its cause.
+// Package explain reads the nodes' log lines and finds the cause of a failed request.
 package explain
 
 import (
@@ -14,10 +13,10 @@
 	"github.com/bramblemast/bramblemast/pkg/fanout"
 )
 
-// Messages of the nodes' lines that are looked at.
+// Messages of the log lines that are evaluated.
 const (
 	messageRequest              = "request"
-	messageOwned                = "owned parts"
+	messageOwnedParts           = "owned parts"
 	messageOwnerLost            = "owner lost"
 	messageOwnerRegained        = "owner regained"
 	messageAtLimit              = "tenant at its limit"
@@ -27,15 +26,15 @@
 	messageConfigurationRefused = "configuration refused"
 	messageStarted              = "started"
 	messageStopping             = "stopping"
-	messageLost                 = "dependency lost"
-	messageRegained             = "dependency regained"
+	messageDependencyLost       = "dependency lost"
+	messageDependencyRegained   = "dependency regained"
 	messageOverload             = "overload"
 	messageStoreRestored        = "store came back from an older copy"
 	messageKeysLapsed           = "keys lapsed"
 	messageKeysConfirmed        = "keys confirmed"
 )
 
-// maxLineBytes bounds one line.
+// maxLineBytes bounds the length of one line; Read fails on a longer one.
 const maxLineBytes = 1 << 20
 
 // Line is one log line of a node.
@@ -44,7 +43,7 @@
 	Node    string
 	Level   string
 	Message string
-	// Text is the JSON of the line.
+	// Text is the JSON text of the line.
 	Text string
 
 	Request    string  `json:"request"`
@@ -64,9 +63,9 @@
 	Shed       int     `json:"shed"`
 	RetryAfter int64   `json:"retry_after_ms"`
 	Waiting    int     `json:"waiting"`
-	// ShortService is the service without enough room that decided whether the request was admitted,
-	// Share the part of the requests of its priority and tenant that was, and ShareAge the age of
-	// that share, in milliseconds.
+	// ShortService is the service with too little capacity that decided the admission of the request,
+	// Share the admitted share of the requests of its priority and tenant, and ShareAge the age of
+	// that share in milliseconds.
 	ShortService string                 `json:"short_service"`
 	Share        float64                `json:"share"`
 	ShareAge     int64                  `json:"share_age_ms"`
@@ -78,22 +77,23 @@
 	Owner        string                 `json:"owner"`
 	Owners       []fanout.OwnerRecord   `json:"owners"`
 	Error        string                 `json:"error"`
-	// KeyHash is the short hash of a key that was refused.
+	// KeyHash is the short hash of a refused key.
 	KeyHash string `json:"key_hash"`
-	// Fingerprint is the same for all tries of a request; ServersEnded ended while they had it.
+	// Fingerprint is the same for all attempts of a client's request. ServersEnded are the servers
+	// that ended while they had the request.
 	Fingerprint  string   `json:"fingerprint"`
 	ServersEnded []string `json:"servers_ended"`
-	// QuotaShare is the admitted share by which a request beyond its tenant's limit was refused,
-	// QuotaShareAge the time since the node was told it, and QuotaDecidedBy how the node stood to the
-	// tenant's coordinators.
+	// QuotaShare is the admitted share by which a request over its tenant's limit was refused,
+	// QuotaShareAge the time in milliseconds since the node received it, and QuotaDecidedBy the node's
+	// relation to the tenant's coordinators: the one that it used, or "alone" if it reached none.
 	QuotaShare     float64 `json:"quota_share"`
 	QuotaShareAge  int64   `json:"quota_share_age_ms"`
 	QuotaDecidedBy string  `json:"quota_decided_by"`
-	// RequestedPerSecond is the rate of a tenant's requests over all nodes, as its coordinator has it, and
-	// LimitPerSecond the rate of its limit.
+	// RequestedPerSecond is the rate of a tenant's requests over all nodes, as measured by its
+	// coordinator, and LimitPerSecond the rate of its limit.
 	RequestedPerSecond float64 `json:"asked_per_s"`
 	LimitPerSecond     float64 `json:"limit_per_s"`
-	// Coordinator is the coordinator of limits that the node lost.
+	// Coordinator is the coordinator of limits that the node lost contact with.
 	Coordinator string `json:"coordinator"`
 	Dependency  string `json:"dependency"`
 	Server      string `json:"server"`
@@ -102,22 +102,21 @@
 	Arm         string `json:"arm"`
 }
 
-// header are the fields that the logger itself writes.
-type header struct {
+// logHeader holds the fields that the logger itself writes.
+type logHeader struct {
 	At      time.Time `json:"@timestamp"`
 	Level   string    `json:"@level"`
 	Message string    `json:"@message"`
 	Node    string    `json:"node"`
 }
 
-// Read reads all lines of an input. What stands before the JSON of a line, such
-// as the name of its file, is passed over; a line without JSON is counted, not
-// taken for a fault.
+// Read reads all lines of an input. Text before the JSON of a line, such as a file name, is ignored.
+// Lines that are not log lines of a node are counted in other and are no error.
 func Read(input io.Reader) (lines []Line, other int, err error) {
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(make([]byte, 0, 1<<16), maxLineBytes)
 	for scanner.Scan() {
-		line, ok := parse(scanner.Bytes())
+		line, ok := parseLine(scanner.Bytes())
 		if !ok {
 			other++
 			continue
@@ -127,12 +126,12 @@
 	return lines, other, errors.Wrap(scanner.Err(), "read log lines")
 }
 
-func parse(text []byte) (Line, bool) {
+func parseLine(text []byte) (Line, bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
 		return Line{}, false
 	}
-	var head header
+	var head logHeader
 	var line Line
 	if json.Unmarshal(text[start:], &head) != nil || json.Unmarshal(text[start:], &line) != nil {
 		return Line{}, false
--- a/internal/explain/quota_test.go
+++ b/internal/explain/quota_test.go
@@ -9,8 +9,8 @@
 	"github.com/bramblemast/bramblemast/internal/explain"
 )
 
-// refusedLines are of a request beyond its tenant's limit, and of one at a node that reached no
-// coordinator.
+// refusedLines are the log lines of a request over its tenant's limit, and of one at a node that reached
+// no coordinator.
 const refusedLines = `
 {"@timestamp":"2026-03-13T13:02:10.0Z","@message":"tenant at its limit","node":"c","tenant":"acme","asked_per_s":80.2,"limit_per_s":10}
 {"@timestamp":"2026-03-13T13:02:10.5Z","@message":"tenant at its limit","node":"c","tenant":"other","asked_per_s":70,"limit_per_s":9}
@@ -19,25 +19,26 @@
 {"@timestamp":"2026-03-13T13:02:12.2Z","@message":"request","node":"b","request":"s","status":429,"reason":"over_limit","tenant":"acme","quota_share":1,"quota_share_age_ms":900,"quota_decided_by":"alone","retry_after_ms":800}
 `
 
-// TestARefusalBeyondALimitIsLedToItsShare, and to what the coordinator saw.
+// TestARefusalBeyondALimitIsLedToItsShare checks that the story of a request over its tenant's limit
+// names the admitted share and what the coordinator logged.
 func TestARefusalBeyondALimitIsLedToItsShare(t *testing.T) {
 	g := NewWithT(t)
 	lines, _, err := explain.Read(strings.NewReader(refusedLines))
 	g.Expect(err).NotTo(HaveOccurred())
-	told := func(id string) string {
+	explained := func(id string) string {
 		story, err := explain.Explain(lines, id)
 		g.Expect(err).NotTo(HaveOccurred())
 		var output strings.Builder
 		story.Write(&output)
 		return output.String()
 	}
-	g.Expect(told("r")).To(SatisfyAll(
+	g.Expect(explained("r")).To(SatisfyAll(
 		ContainSubstring("tenant at its limit (acme at c: asked 80 a second, limit 10)"),
 		ContainSubstring("tenant acme: 0.12 of its requests admitted, told 77 ms before; decided by first c"),
 		ContainSubstring("cause: "+string(explain.CauseOverLimit)),
 		Not(ContainSubstring("other")),
 	))
-	g.Expect(told("s")).To(SatisfyAll(
+	g.Expect(explained("s")).To(SatisfyAll(
 		ContainSubstring("coordinator of limits lost (c) deadline"),
 		ContainSubstring("cause: "+string(explain.CauseLimitIsolated)),
 	))
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -13,45 +13,46 @@
 	"github.com/bramblemast/bramblemast/pkg/outcome"
 )
 
-// contextSpan is how long before a request what its node believed is looked at.
+// contextSpan is how long before a request the lines about its node's state are evaluated.
 const contextSpan = 15 * time.Second
 
-// maxContext bounds the lines about what the node believed.
-const maxContext = 12
+// maxContextLines bounds the number of lines in Try.Before.
+const maxContextLines = 12
 
-// Story is what the lines tell of one request.
+// Story is everything that the log lines contain about one request.
 type Story struct {
 	ID string
-	// Tries are the lines of the request, over all nodes, in order of time.
+	// Tries are the attempts of the client, over all nodes, in order of time.
 	Tries []Try
 }
 
-// Try is one line of a request with what led to it.
+// Try is one attempt of the client: the line of the request and the lines that explain it.
 type Try struct {
 	Line
 	Cause Cause
-	// Owned are the lines of the nodes that were asked for its shards as their owners.
+	// Owned are the lines of the owners that were queried for its shards.
 	Owned []Line
-	// Before are the lines by which the node changed what it believed about the
-	// services that the request lacked, or about the store.
+	// Before are earlier lines that may explain the result: changes in the node's knowledge of the
+	// missing services, the store, the owners and the coordinators, among others.
 	Before []Line
-	// Newer is the line by which another node had put a newer configuration into
-	// force before this request was answered; nil if none had.
+	// Newer is the line of another node that had a newer configuration in force before this request
+	// was answered; nil if there was none.
 	Newer *Line
 }
 
-// ErrUnknownRequest means that no line names the request. Ordinary successes
-// are sampled, so a request without a line was most likely served.
+// ErrUnknownRequest means that no line names the request. Ordinary successes are sampled, so a request
+// without a line was most likely served.
 var ErrUnknownRequest = errors.New("no line names this request; ordinary successes are sampled")
 
-// Explain finds the story of one request.
+// Explain returns the story of the request with the given id. It returns ErrUnknownRequest, wrapped,
+// if no line names the request.
 func Explain(lines []Line, id string) (Story, error) {
 	story := Story{ID: id}
-	owned := ownedBy(lines)[id]
+	owned := ownerLines(lines)[id]
 	for _, line := range lines {
 		if line.Message == messageRequest && line.Request == id {
 			story.Tries = append(story.Tries, Try{
-				Line: line, Cause: CauseOf(withOwned(line, owned)), Owned: owned, Before: before(lines, line), Newer: newer(lines, line),
+				Line: line, Cause: CauseOf(withOwned(line, owned)), Owned: owned, Before: precedingLines(lines, line), Newer: newerConfiguration(lines, line),
 			})
 		}
 	}
@@ -62,36 +63,37 @@
 	return story, nil
 }
 
-// ownedBy returns the lines of owners by the id of the request.
-func ownedBy(lines []Line) map[string][]Line {
-	found := make(map[string][]Line)
+// ownerLines returns the lines of owners by request id.
+func ownerLines(lines []Line) map[string][]Line {
+	byRequest := make(map[string][]Line)
 	for _, line := range lines {
-		if line.Message == messageOwned {
-			found[line.Request] = append(found[line.Request], line)
+		if line.Message == messageOwnedParts {
+			byRequest[line.Request] = append(byRequest[line.Request], line)
 		}
 	}
-	return found
+	return byRequest
 }
 
-// before returns what the node learned before a request and had to do with it, and what the
-// coordinator of its tenant's limit saw.
-func before(lines []Line, request Line) []Line {
+// precedingLines returns the last maxContextLines lines before a request that may concern it: lines of
+// its node, and lines of any coordinator about the limit of its tenant.
+func precedingLines(lines []Line, request Line) []Line {
 	var found []Line
 	for _, line := range lines {
-		isElsewhere := line.Node != request.Node && line.Message != messageAtLimit && line.Message != messageBelowLimit
-		if isElsewhere || line.At.After(request.At) || request.At.Sub(line.At) > contextSpan {
+		isOtherNode := line.Node != request.Node && line.Message != messageAtLimit && line.Message != messageBelowLimit
+		if isOtherNode || line.At.After(request.At) || request.At.Sub(line.At) > contextSpan {
 			continue
 		}
-		if concerns(line, request) {
+		if mayConcern(line, request) {
 			found = append(found, line)
 		}
 	}
 	slices.SortStableFunc(found, func(a, b Line) int { return a.At.Compare(b.At) })
-	return found[max(0, len(found)-maxContext):]
+	return found[max(0, len(found)-maxContextLines):]
 }
 
-// newer returns the first line of a newer configuration at another node.
-func newer(lines []Line, request Line) *Line {
+// newerConfiguration returns the first line of a newer configuration at another node before the request;
+// nil if there is none.
+func newerConfiguration(lines []Line, request Line) *Line {
 	var first *Line
 	for index := range lines {
 		line := &lines[index]
@@ -105,12 +107,12 @@
 	return first
 }
 
-// concerns reports whether what a line tells may have had to do with a request.
-func concerns(line, request Line) bool {
+// mayConcern reports whether the event of a line may have affected a request.
+func mayConcern(line, request Line) bool {
 	switch line.Message {
 	case messageOverload, messageKeysLapsed, messageKeysConfirmed:
 		return true
-	case messageConfiguration, messageLost, messageRegained, messageStoreRestored, messageOwnerLost, messageOwnerRegained, messageStarted, messageStopping, messageConfigurationRefused:
+	case messageConfiguration, messageDependencyLost, messageDependencyRegained, messageStoreRestored, messageOwnerLost, messageOwnerRegained, messageStarted, messageStopping, messageConfigurationRefused:
 		return true
 	case messageAtLimit, messageBelowLimit:
 		return line.Tenant == request.Tenant && request.Reason == string(outcome.ReasonOverLimit)
@@ -123,16 +125,16 @@
 	return strings.HasPrefix(line.Message, "server ") && slices.Contains(request.Missing, line.Service)
 }
 
-// Write prints a story for a person.
+// Write prints the story as text for operators. Write errors are ignored.
 func (s Story) Write(output io.Writer) {
 	for _, try := range s.Tries {
 		fmt.Fprintf(output, "%s  %s  request %s%s on route %q, configuration %d\n",
-			clock(try.At), try.Node, s.ID, caller(try.Line), try.Route, try.Version)
+			formatTime(try.At), try.Node, s.ID, caller(try.Line), try.Route, try.Version)
 		for _, line := range try.Before {
-			fmt.Fprintf(output, "  %s  before: %s%s\n", clock(line.At), line.Message, subject(line))
+			fmt.Fprintf(output, "  %s  before: %s%s\n", formatTime(line.At), line.Message, details(line))
 		}
-		for _, asked := range try.Owners {
-			fmt.Fprintf(output, "  asked %s for %d shards: %s\n", asked.Owner, asked.Services, asked.Result)
+		for _, owner := range try.Owners {
+			fmt.Fprintf(output, "  asked %s for %d shards: %s\n", owner.Owner, owner.Services, owner.Result)
 		}
 		writeAttempts(output, "", try.Attempts)
 		for _, owned := range try.Owned {
@@ -141,7 +143,7 @@
 		}
 		fmt.Fprintf(output, "  +%4.0f ms  answered %d, %s; %d of %d parts, %d wanted\n",
 			try.TookMillis, try.Status, try.Reason, try.Parts, try.Total, try.Required)
-		writeRoom(output, try.Line)
+		writeShortService(output, try.Line)
 		if try.QuotaDecidedBy != "" {
 			fmt.Fprintf(output, "  tenant %s: %.2f of its requests admitted, told %d ms before; decided by %s\n",
 				try.Tenant, try.QuotaShare, try.QuotaShareAge, try.QuotaDecidedBy)
@@ -158,8 +160,8 @@
 	}
 }
 
-// caller returns who sent a request, as far as its node knew: the tenant, or the hash of a key that no
-// tenant holds; empty without either.
+// caller describes who sent a request: the tenant, or the hash of a key that no tenant holds; empty if
+// neither is known.
 func caller(line Line) string {
 	switch {
 	case line.Tenant != "":
@@ -170,8 +172,9 @@
 	return ""
 }
 
-// writeRoom prints which service was short of room for a request, and the share that it admitted.
-func writeRoom(output io.Writer, line Line) {
+// writeShortService prints which service had too little capacity for a request, and the share that it
+// admitted.
+func writeShortService(output io.Writer, line Line) {
 	if line.ShortService == "" {
 		return
 	}
@@ -179,8 +182,7 @@
 		line.ShortService, 100*line.Share, line.Priority, caller(line), line.ShareAge)
 }
 
-// writeAttempts prints sub-requests; their times count from when their node got the
-// request.
+// writeAttempts prints sub-requests; their times are relative to when their node received the request.
 func writeAttempts(output io.Writer, indent string, attempts []fanout.AttemptRecord) {
 	for _, attempt := range attempts {
 		fmt.Fprintf(output, "%s  +%4d ms  asked %s of %s in %s: %s after %d ms\n",
@@ -188,7 +190,7 @@
 	}
 }
 
-func subject(line Line) string {
+func details(line Line) string {
 	switch {
 	case line.Owner != "":
 		return fmt.Sprintf(" (%s) %s", line.Owner, line.Error)
@@ -210,4 +212,4 @@
 	return ""
 }
 
-func clock(at time.Time) string { return at.Format("15:04:05.000") }
+func formatTime(at time.Time) string { return at.Format("15:04:05.000") }
--- a/internal/explain/summary.go
+++ b/internal/explain/summary.go
@@ -6,22 +6,21 @@
 	"time"
 )
 
-// Group is the requests that were not served whole for the same cause on the
-// same route.
+// Group summarises the requests of one route that were not served completely for the same cause.
 type Group struct {
 	Cause Cause  `json:"cause"`
 	Route string `json:"route"`
-	// Service is the one that was missing most often; empty if none was.
+	// Service is the service that was missing most often; empty if none was.
 	Service string    `json:"service,omitempty"`
 	Count   int       `json:"count"`
 	First   time.Time `json:"first"`
 	Last    time.Time `json:"last"`
-	// Example is the id of the first request.
+	// Example is the id of the earliest request.
 	Example string `json:"example"`
 }
 
-// Summary groups the requests of a span of time by cause, the most frequent
-// first. A zero moment leaves that end open.
+// Summary groups the requests between from and to by cause and route, the most frequent first. A zero
+// time leaves that end open.
 func Summary(lines []Line, from, to time.Time) []Group {
 	type key struct {
 		cause Cause
@@ -29,28 +28,28 @@
 	}
 	groups := make(map[key]*Group)
 	services := make(map[key]map[string]int)
-	owned := ownedBy(lines)
+	owned := ownerLines(lines)
 	for _, line := range lines {
-		if line.Message != messageRequest || !within(line.At, from, to) {
+		if line.Message != messageRequest || !isWithin(line.At, from, to) {
 			continue
 		}
 		cause := CauseOf(withOwned(line, owned[line.Request]))
 		if cause == CauseServed {
 			continue
 		}
-		at := key{cause, line.Route}
-		if groups[at] == nil {
-			groups[at] = &Group{Cause: cause, Route: line.Route, First: line.At, Last: line.At, Example: line.Request}
-			services[at] = make(map[string]int)
+		groupKey := key{cause, line.Route}
+		if groups[groupKey] == nil {
+			groups[groupKey] = &Group{Cause: cause, Route: line.Route, First: line.At, Last: line.At, Example: line.Request}
+			services[groupKey] = make(map[string]int)
 		}
-		groups[at].add(line)
+		groups[groupKey].add(line)
 		for _, missing := range line.Missing {
-			services[at][missing]++
+			services[groupKey][missing]++
 		}
 	}
 	summary := make([]Group, 0, len(groups))
-	for at, group := range groups {
-		group.Service = mostFrequent(services[at])
+	for groupKey, group := range groups {
+		group.Service = mostFrequent(services[groupKey])
 		summary = append(summary, *group)
 	}
 	slices.SortFunc(summary, func(a, b Group) int {
@@ -69,7 +68,7 @@
 	}
 }
 
-func within(at, from, to time.Time) bool {
+func isWithin(at, from, to time.Time) bool {
 	return (from.IsZero() || !at.Before(from)) && (to.IsZero() || !at.After(to))
 }
 
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -16,8 +16,8 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// TestRequestsAreDividedByWeight checks that, after any number of requests, each service is within two
-// requests of its share.
+// TestRequestsAreDividedByWeight checks that, after any number of requests, each service is within one
+// request of its share, or two with many services.
 func TestRequestsAreDividedByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 2, 5).Draw(t, "weights")
--- a/internal/front/overload_test.go
+++ b/internal/front/overload_test.go
@@ -273,8 +273,8 @@
 }
 
 // TestALostShardIsWaitedFor checks that a request that lacks the part of a shard without servers keeps its
-// other parts and is answered as soon as a server is back, rather than refused: requests used to fail
-// after 160 ms of 3 s.
+// other parts and is answered as soon as a server is back, rather than refused: in one run, 98
+// requests failed after 160 ms of 3 s.
 func TestALostShardIsWaitedFor(t *testing.T) {
 	const outage = 700 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/front/weights_test.go
+++ b/internal/front/weights_test.go
@@ -26,9 +26,9 @@
 		const span = 4 * time.Second
 		rate := 4 * simCapacity / 3 * 4
 		answers := simulated.offer(rate, span)
-		runs := make(map[string]int)
+		runsByService := make(map[string]int)
 		for index, server := range simulated.servers[:2*simServers] {
-			runs[[]string{"shard-0", "shard-1"}[index/simServers]] += server.runs()
+			runsByService[[]string{"shard-0", "shard-1"}[index/simServers]] += server.runs()
 		}
 		served, refused := 0, 0
 		for _, answer := range answers {
@@ -39,7 +39,7 @@
 				refused++
 			}
 		}
-		g.Expect(runs["shard-1"]).To(BeNumerically("<=", len(answers)/4+1), "no more than the share of its weight")
+		g.Expect(runsByService["shard-1"]).To(BeNumerically("<=", len(answers)/4+1), "no more than the share of its weight")
 		g.Expect(served + refused).To(BeNumerically(">=", len(answers)*95/100))
 		g.Expect(refused).To(BeNumerically(">", len(answers)/3))
 	})
