--- a/pkg/membership/bridge.go
+++ b/pkg/membership/bridge.go
@@ -245,8 +245,8 @@
 	if !valid(self) || target.Zone(self.Zone) == m.options.Self.Zone {
 		return
 	}
-	for _, gone := range m.table.markReplaced(self, now) {
-		m.queue.addEntry(entryOf(gone))
+	for _, replaced := range m.table.markReplaced(self, now) {
+		m.queue.addEntry(entryOf(replaced))
 	}
 }
 
--- a/pkg/membership/cluster_test.go
+++ b/pkg/membership/cluster_test.go
@@ -134,7 +134,7 @@
 }
 
 // runningIDs returns the IDs of the running processes of a zone, sorted.
-func (c *cluster) running(zone target.Zone) []target.NodeID {
+func (c *cluster) runningIDs(zone target.Zone) []target.NodeID {
 	var ids []target.NodeID
 	for _, node := range c.nodes {
 		if node.options.Self.Zone == zone {
@@ -151,7 +151,7 @@
 	for _, address := range c.addresses() {
 		node := c.nodes[address]
 		own := node.options.Self.Zone
-		if held, running := idsIn(node, own, Alive), c.running(own); !slices.Equal(held, running) {
+		if held, running := idsIn(node, own, Alive), c.runningIDs(own); !slices.Equal(held, running) {
 			return fmt.Sprintf("%s holds %v as alive, running are %v", address, held, running)
 		}
 		for _, zone := range c.zones() {
@@ -166,7 +166,7 @@
 // remoteZoneProblem describes what is wrong in a node's list of another zone. The node must hold as
 // many members as it should know, and only running ones.
 func (c *cluster) remoteZoneProblem(node *testNode, zone target.Zone) string {
-	held, running := idsIn(node, zone, Alive), c.running(zone)
+	held, running := idsIn(node, zone, Alive), c.runningIDs(zone)
 	wanted := min(len(running), DefaultMembersPerZone)
 	if len(held) != wanted {
 		return fmt.Sprintf("%s holds %v of zone %s as alive, running are %v", node.address, held, zone, running)
--- a/pkg/membership/sync.go
+++ b/pkg/membership/sync.go
@@ -169,16 +169,17 @@
 	m.challenge(challenged)
 }
 
-// mergeLocked applies a list. Another node's claim that a member is suspect or dead is not applied,
-// because that node may have been cut off. Instead, the accused members are returned so that they
-// can be challenged. The caller holds the mutex.
+// mergeLocked applies a list. Another node's claim that a member of this zone is suspect or dead is
+// not applied, because that node may have been cut off. Instead, the accused members are returned
+// so that they can be challenged. Claims about this node, or about known members of other zones,
+// are applied directly. The caller holds the mutex.
 func (m *Membership) mergeLocked(entries []*pb.Entry, now time.Time, passOn bool) []challenge {
 	var challenges []challenge
 	declared := make([]*pb.Entry, 0, len(entries))
 	for _, entry := range entries {
 		known := m.table.records[target.NodeID(entry.GetId())]
-		direct := known != nil && (known.remote || known == m.table.self)
-		if !valid(entry) || direct || !accuses(entry) {
+		applyDirectly := known != nil && (known.remote || known == m.table.self)
+		if !valid(entry) || applyDirectly || !accuses(entry) {
 			declared = append(declared, entry)
 			continue
 		}
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -317,16 +317,16 @@
 // markReplaced marks as dead the other members of other zones that have the address of the process
 // that sent self. It returns them.
 func (t *table) markReplaced(self *pb.Entry, now time.Time) []*record {
-	var gone []*record
+	var replaced []*record
 	for _, r := range t.records {
 		if !r.remote || string(r.member.Address) != self.GetAddress() || string(r.member.ID) == self.GetId() {
 			continue
 		}
 		if t.markDead(r, r.member.Incarnation, true, now) {
-			gone = append(gone, r)
+			replaced = append(replaced, r)
 		}
 	}
-	return gone
+	return replaced
 }
 
 // restartSuspicions restarts the time to refute of every suspected member.
