--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -48,27 +48,27 @@
 		}
 		return 0
 	})
-	n.metrics.gauge("store_revision", "Revision of the store up to which the node has all changes.", func() float64 {
+	n.metrics.gauge("store_revision", "Revision of the store up to which the node is complete.", func() float64 {
 		revision, _ := n.follower.Revision()
 		return float64(revision)
 	})
-	n.metrics.gauge("store_era", "Era of the store, which rises each time that it is restored from an older copy; 0 if it has none.", func() float64 {
+	n.metrics.gauge("store_era", "Era of the store, which rises each time that it comes back from an older copy; 0 if it tells none.", func() float64 {
 		return float64(n.follower.Position().Era)
 	})
-	n.metrics.gauge("store_keys_kept", "Keys whose state from before a restore of the store is still in force.", func() float64 {
+	n.metrics.gauge("store_keys_kept", "Keys whose state from before a restore of the store is in force.", func() float64 {
 		return float64(len(n.follower.RetainedKeys()))
 	})
 	n.metrics.gauge("store_contact_age_seconds", "Time since the store last answered; -1 for never.", func() float64 {
 		_, contactAt := n.follower.Revision()
 		return secondsSince(contactAt)
 	})
-	n.metrics.gauge("store_news_age_seconds", "Time since the node's copy of the store was confirmed to be complete; -1 for never.", func() float64 {
+	n.metrics.gauge("store_news_age_seconds", "Time since the node knew all that the store held; -1 for never.", func() float64 {
 		return secondsSince(n.follower.ConfirmedAt())
 	})
-	n.metrics.gauge("servers", "Servers listed by the platform.", func() float64 { return float64(n.state.fleet.Len()) })
-	n.metrics.gauge("servers_pausing", "Servers that pause periodically and whose next pause is predicted.", func() float64 {
+	n.metrics.gauge("servers", "Servers that the platform lists.", func() float64 { return float64(n.state.fleet.Len()) })
+	n.metrics.gauge("servers_pausing", "Servers that pause by a clock and whose next pause is foreseen.", func() float64 {
 		return float64(n.state.fleet.CountPredictedPauses(time.Now()))
 	})
-	n.metrics.gauge("nodes", "Registered nodes.", func() float64 { return float64(len(n.state.knownNodes())) })
+	n.metrics.gauge("nodes", "Nodes that are registered.", func() float64 { return float64(len(n.state.knownNodes())) })
 	n.metrics.gauge("client_connections", "Open connections of clients.", func() float64 { return float64(n.listener.Open()) })
 }
--- a/internal/edge/quota.go
+++ b/internal/edge/quota.go
@@ -55,11 +55,11 @@
 	node.metrics.gauge("quota_tenants_at_limit", "Tenants at their limit that this node coordinates.", func() float64 {
 		return float64(created.limiter.TenantsAtLimit())
 	})
-	node.metrics.gauge("quota_tenants", "Tenants with a limit that this node recently received requests of.", func() float64 {
+	node.metrics.gauge("quota_tenants", "Tenants with a limit that this node was asked for lately.", func() float64 {
 		return float64(created.limiter.TenantCount())
 	})
-	node.metrics.counter("quota_reports_total", "Reports sent to coordinators of tenant limits.", func() uint64 { return created.limiter.MessagesSent().Reports })
-	node.metrics.counter("quota_verdicts_total", "Admitted shares sent to other nodes.", func() uint64 { return created.limiter.MessagesSent().Verdicts })
+	node.metrics.counter("quota_reports_total", "Reports to coordinators of limits.", func() uint64 { return created.limiter.MessagesSent().Reports })
+	node.metrics.counter("quota_verdicts_total", "Admitted shares told to other nodes.", func() uint64 { return created.limiter.MessagesSent().Verdicts })
 	return created
 }
 
--- a/internal/edge/room_log.go
+++ b/internal/edge/room_log.go
@@ -16,7 +16,7 @@
 	n.announcer = owner.NewAnnouncer(owner.AnnouncerOptions{
 		Admission: n.admission, Roster: n.state.roster, Transport: n.transport, OnPublish: newRoomLog(n.logger).write,
 	})
-	n.metrics.gauge("services_short_of_room", "Overloaded services for which this node admits only a part of the requests.", func() float64 {
+	n.metrics.gauge("services_short_of_room", "Services of which this node lets in only a part of the requests.", func() float64 {
 		return float64(n.admission.Admitter.LimitedServices())
 	})
 }
--- a/internal/edge/suspects.go
+++ b/internal/edge/suspects.go
@@ -46,15 +46,15 @@
 func (n *Node) openGossiper() {
 	n.gossiper = quarantine.NewGossiper(n.quarantine, n.transport)
 	n.state.gossiper = n.gossiper
-	n.metrics.counter("suspect_notes_told_total", "Notes on requests during which servers crashed that were sent to other nodes.", func() uint64 {
+	n.metrics.counter("suspect_notes_told_total", "Notes on requests under which servers ended that were told to other nodes.", func() uint64 {
 		sent, _ := n.gossiper.Counts()
 		return sent
 	})
-	n.metrics.counter("suspect_notes_heard_total", "Notes on requests during which servers crashed that were first received from other nodes.", func() uint64 {
+	n.metrics.counter("suspect_notes_heard_total", "Notes on requests under which servers ended that other nodes told first.", func() uint64 {
 		_, received := n.gossiper.Counts()
 		return received
 	})
-	n.metrics.counter("suspect_notes_refused_total", "Times that the queue of notes for other nodes was full: notes on crashes are sent later, the others reach nodes through the store.", n.gossiper.Refused)
+	n.metrics.counter("suspect_notes_refused_total", "Times that a note for other nodes found no room to wait: ends are told later, the rest by the store.", n.gossiper.Refused)
 }
 
 // peerAddresses returns the peer addresses of nodes.
--- a/pkg/catalog/change_encoding.go
+++ b/pkg/catalog/change_encoding.go
@@ -50,7 +50,7 @@
 	for index, base := range message.Bases {
 		revision := message.Revisions[index]
 		if base == 0 || revision == 0 || revision > maxCounter {
-			return nil, errors.Errorf("process %d: base or revision out of bounds", index)
+			return nil, errors.Errorf("process %d has a base or revision that is out of bounds", index)
 		}
 		changes = append(changes, Update{
 			Kind:   KindContents,
@@ -63,9 +63,9 @@
 func checkChange(message *catalogpb.VersionChange) error {
 	switch {
 	case len(message.Versions) == 0 || len(message.Versions) > maxIndexes:
-		return errors.New("number of versions is zero or above the limit")
+		return errors.New("has no versions or too many")
 	case len(message.Bases) != len(message.Revisions):
-		return errors.New("numbers of bases and revisions differ")
+		return errors.New("has more bases than revisions, or fewer")
 	}
 	seen := make(map[uint64]struct{}, len(message.Versions))
 	for _, version := range message.Versions {
--- a/pkg/catalog/encoding.go
+++ b/pkg/catalog/encoding.go
@@ -36,7 +36,7 @@
 		}
 	}
 	encoded, err := message.MarshalVT()
-	return encoded, errors.Wrap(err, "encode updates")
+	return encoded, errors.Wrap(err, "encode news")
 }
 
 // DecodeUpdates decodes a batch. If any update is malformed, the whole batch is rejected with an
@@ -44,13 +44,13 @@
 func DecodeUpdates(encoded []byte) ([]Update, error) {
 	var message catalogpb.NewsBatch
 	if err := message.UnmarshalVT(encoded); err != nil {
-		return nil, errors.Wrap(err, "decode updates")
+		return nil, errors.Wrap(err, "decode news")
 	}
 	batch := make([]Update, 0, len(message.News))
 	for index, item := range message.News {
 		update, err := FromProto(item)
 		if err != nil {
-			return nil, errors.Wrapf(err, "update %d", index)
+			return nil, errors.Wrapf(err, "news %d", index)
 		}
 		batch = append(batch, update)
 	}
--- a/pkg/directory/changes.go
+++ b/pkg/directory/changes.go
@@ -68,7 +68,7 @@
 func (p *Peers) handleChanges(_ context.Context, from target.NodeID, body []byte) (proto.Message, error) {
 	request := &directorypb.ChangesRequest{}
 	if err := request.UnmarshalVT(body); err != nil {
-		return nil, errors.Wrap(err, "decode changes request")
+		return nil, errors.Wrap(err, "decode question for changes")
 	}
 	// This is read before the replica, which may be newer by then.
 	confirmedAt := p.follower.ConfirmedAt()
