--- a/pkg/admission/latencies.go
+++ b/pkg/admission/latencies.go
@@ -18,7 +18,7 @@
 
 // latencyFollow is short even under load, because the latency also changes
 // with what requests ask. Overloaded requests are the main sign of overload.
-var latencyFollow = trend.Follow{Idle: 5 * time.Second, Busy: 15 * time.Second}
+var latencyFollow = trend.BaselineTimes{Idle: 5 * time.Second, Busy: 15 * time.Second}
 
 // latencies follows the latency of requests, of each kind and of all. It is not
 // safe for concurrent use.
@@ -29,7 +29,7 @@
 
 func newLatencies() latencies {
 	return latencies{
-		all:    trend.Latency{Follow: latencyFollow},
+		all:    trend.Latency{BaselineTimes: latencyFollow},
 		byKind: make(map[kind]*trend.Latency),
 	}
 }
@@ -42,7 +42,7 @@
 		if len(l.byKind) >= mostKinds {
 			return &l.all
 		}
-		own = &trend.Latency{Follow: latencyFollow}
+		own = &trend.Latency{BaselineTimes: latencyFollow}
 		l.byKind[of] = own
 	}
 	own.Record(latency, busy, now)
--- a/pkg/admission/predict.go
+++ b/pkg/admission/predict.go
@@ -56,7 +56,7 @@
 		DrainRate:      g.drainRate(),
 		Remaining:      remainingOf(request, now),
 		TypicalService: latency.Average(),
-		SlowService:    latency.Slow(),
+		SlowService:    latency.ApproximateP90(),
 	}
 	sameClass := g.queues[class].aheadOf(request.Tenant, alike)
 	state.QueuedAhead = sameClass
--- a/pkg/limit/controller.go
+++ b/pkg/limit/controller.go
@@ -7,9 +7,9 @@
 	"github.com/bramblemast/bramblemast/pkg/limit/trend"
 )
 
-// baselineFollow is long while the limit is in use, because then the node's own
+// baselineTimes is long while the limit is in use, because then the node's own
 // load may be what makes the server slow.
-var baselineFollow = trend.Follow{Idle: 5 * time.Second, Busy: time.Minute}
+var baselineTimes = trend.BaselineTimes{Idle: 5 * time.Second, Busy: time.Minute}
 
 // How the limit moves. Growth is in parts of the node's share of slots, so that
 // nodes with the same share converge to the same limit.
@@ -21,8 +21,8 @@
 	// growth, so that a limit that is far too low recovers quickly also where a
 	// node asks a server only a few times a second.
 	growthDoubling = 250 * time.Millisecond
-	// mostGrowth bounds the growth with one good answer.
-	mostGrowth = 0.1
+	// maxGrowth bounds the growth with one good answer.
+	maxGrowth = 0.1
 	// recoveryTime is the time in which a limit rises from nothing to the share
 	// without any answers. All nodes at their share are just what the server
 	// can serve, and a node that waited for answers to rise would hardly ask.
@@ -32,27 +32,27 @@
 	// the tolerated one.
 	failureFactor = 0.5
 	slowFactor    = 0.97
-	// floorShare is the lowest limit, as a part of the share, or of one slot if
+	// minLimitShare is the lowest limit, as a part of the share, or of one slot if
 	// that is less. It is what tries whether a server is back.
-	floorShare = 0.25
-	// leastSlots keeps a share above zero.
-	leastSlots = 0.001
+	minLimitShare = 0.25
+	// minSlots keeps a share above zero.
+	minSlots = 0.001
 )
 
-// pace is how far the limit moves with one answer.
-type pace struct {
+// stepSizes are the changes of the limit by a single answer.
+type stepSizes struct {
 	// growth is the rise with a good answer right after a decrease.
 	growth float64
 	// shedFactor is the decrease after a shed sub-request.
 	shedFactor float64
 }
 
-// Both paces stand still where about one sub-request in twenty is shed:
+// With both, the limit stays constant where about one sub-request in twenty is shed:
 // growth / (1 - shedFactor) is 0.05 and 0.067 of the share. Below one slot a
 // node sees few answers of a server, and each has to count for more.
 var (
-	wholePace    = pace{growth: 0.005, shedFactor: 0.9}
-	fractionPace = pace{growth: 0.02, shedFactor: 0.7}
+	wholeSlotSteps      = stepSizes{growth: 0.005, shedFactor: 0.9}
+	fractionalSlotSteps = stepSizes{growth: 0.02, shedFactor: 0.7}
 )
 
 // controller moves one server's limit. It is not safe for concurrent use.
@@ -67,19 +67,19 @@
 	latency   trend.Latency
 	// congested is when the last sign of congestion came, decreased when the
 	// limit was last lowered for one.
-	congested time.Time
-	decreased time.Time
+	lastCongestion time.Time
+	lastDecrease   time.Time
 	// recovered is up to when the rise with time was counted in.
-	recovered time.Time
+	lastRecovery time.Time
 	// failing means that the last answer was a failure.
 	failing bool
 }
 
 func newController(options *Options, share Share, now time.Time) controller {
-	c := controller{options: options, congested: now, recovered: now}
-	c.latency.Follow = baselineFollow
+	c := controller{options: options, lastCongestion: now, lastRecovery: now}
+	c.latency.BaselineTimes = baselineTimes
 	c.setShare(share)
-	c.limit = c.bounded(c.slots * options.StartShare)
+	c.limit = c.clamp(c.slots * options.StartShare)
 	c.rampUntil = c.ceiling
 	return c
 }
@@ -87,14 +87,14 @@
 // setShare changes the yardstick and the bounds; the limit keeps its relation
 // to the share.
 func (c *controller) setShare(share Share) {
-	slots := math.Max(share.Slots, leastSlots)
+	slots := math.Max(share.Slots, minSlots)
 	if c.slots > 0 {
 		c.limit *= slots / c.slots
 		c.rampUntil *= slots / c.slots
 	}
 	c.slots = slots
 	c.ceiling = float64(max(1, share.Connections))
-	c.limit = c.bounded(c.limit)
+	c.limit = c.clamp(c.limit)
 }
 
 // record moves the limit after a sub-request. Limited says that the limit was
@@ -105,7 +105,7 @@
 	case result.Cancelled:
 		return
 	case result.Shed:
-		c.decrease(c.pace().shedFactor, now)
+		c.decrease(c.stepSizes().shedFactor, now)
 		c.rampUntil = c.limit
 	case result.Failed:
 		c.recordFailure(now)
@@ -133,56 +133,56 @@
 		return
 	}
 	if limited {
-		c.limit = c.bounded(c.limit + c.step(now))
+		c.limit = c.clamp(c.limit + c.increase(now))
 	}
 }
 
 // step is the rise that a good answer is worth.
-func (c *controller) step(now time.Time) float64 {
+func (c *controller) increase(now time.Time) float64 {
 	if c.limit < c.rampUntil {
 		return rampFactor * math.Min(c.limit, 1)
 	}
-	quiet := float64(now.Sub(c.congested)) / float64(growthDoubling)
-	return math.Min(mostGrowth, c.pace().growth*(1+quiet)) * c.slots
+	quiet := float64(now.Sub(c.lastCongestion)) / float64(growthDoubling)
+	return math.Min(maxGrowth, c.stepSizes().growth*(1+quiet)) * c.slots
 }
 
-func (c *controller) pace() pace {
+func (c *controller) stepSizes() stepSizes {
 	if c.limit < 1 {
-		return fractionPace
+		return fractionalSlotSteps
 	}
-	return wholePace
+	return wholeSlotSteps
 }
 
 // recover raises a limit below the share by the time that has passed.
 func (c *controller) recover(now time.Time) {
-	elapsed := now.Sub(c.recovered)
-	c.recovered = now
+	elapsed := now.Sub(c.lastRecovery)
+	c.lastRecovery = now
 	if c.limit >= c.slots || c.failing {
 		return
 	}
 	rise := c.slots * float64(elapsed) / float64(recoveryTime)
-	c.limit = c.bounded(math.Min(c.limit+rise, c.slots))
+	c.limit = c.clamp(math.Min(c.limit+rise, c.slots))
 }
 
 // decrease lowers the limit at most once in the time of an answer, because
 // sub-requests that were sent together tell of the same congestion.
 func (c *controller) decrease(factor float64, now time.Time) {
-	c.congested = now
-	if now.Sub(c.decreased) < c.latency.Average() {
+	c.lastCongestion = now
+	if now.Sub(c.lastDecrease) < c.latency.Average() {
 		return
 	}
-	c.decreased = now
-	c.limit = c.bounded(c.limit * factor)
+	c.lastDecrease = now
+	c.limit = c.clamp(c.limit * factor)
 }
 
 // bounded returns limit within the floor and the ceiling.
-func (c *controller) bounded(limit float64) float64 {
-	floor := floorShare * math.Min(c.slots, 1)
+func (c *controller) clamp(limit float64) float64 {
+	floor := minLimitShare * math.Min(c.slots, 1)
 	return math.Min(math.Max(limit, floor), c.ceiling)
 }
 
 // whole returns the number of slots that are counted.
-func (c *controller) whole() int { return int(c.limit) }
+func (c *controller) wholeSlots() int { return int(c.limit) }
 
 // inFlightLimit returns the number of sub-requests that may be in flight at one
 // moment; at least 1.
--- a/pkg/limit/server.go
+++ b/pkg/limit/server.go
@@ -23,9 +23,9 @@
 	inFlight   int
 	queue      waiterQueue
 	// free is a list of released permits for reuse.
-	free *Permit
+	freePermits *Permit
 	// wake dispatches when the pacer has a token; nil until first needed.
-	wake *time.Timer
+	dispatchTimer *time.Timer
 	// configured means that the node means to use the server.
 	configured bool
 	// closed means that the server was forgotten.
@@ -60,16 +60,16 @@
 	s.dispatch(now)
 }
 
-// closeIfStray closes the server if it was never configured and nobody uses it,
+// closeIfUnused closes the server if it was never configured and nobody uses it,
 // and reports whether it did.
-func (s *server) closeIfStray() bool {
+func (s *server) closeIfUnused() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.closed = s.closed || s.stray()
+	s.closed = s.closed || s.unused()
 	return s.closed
 }
 
-func (s *server) stray() bool { return !s.configured && s.inFlight == 0 && s.queue.count == 0 }
+func (s *server) unused() bool { return !s.configured && s.inFlight == 0 && s.queue.count == 0 }
 
 // close refuses the callers that wait.
 func (s *server) close() {
@@ -79,8 +79,8 @@
 	for s.queue.count > 0 {
 		s.queue.popFront().refuse(s.refusal(outcome.ReasonDraining, 0))
 	}
-	if s.wake != nil {
-		s.wake.Stop()
+	if s.dispatchTimer != nil {
+		s.dispatchTimer.Stop()
 	}
 }
 
@@ -96,11 +96,11 @@
 // take hands out a permit if the limit allows it. The clock is only read when
 // the whole slots are in use.
 func (s *server) take() (*Permit, bool) {
-	if s.inFlight < s.controller.whole() {
+	if s.inFlight < s.controller.wholeSlots() {
 		return s.takeWhole(), true
 	}
 	s.advance(time.Now())
-	whole := s.controller.whole()
+	whole := s.controller.wholeSlots()
 	switch {
 	case s.inFlight < whole:
 		return s.takeWhole(), true
@@ -113,7 +113,7 @@
 
 func (s *server) takeWhole() *Permit {
 	s.inFlight++
-	return s.newPermit(s.inFlight >= s.controller.whole())
+	return s.newPermit(s.inFlight >= s.controller.wholeSlots())
 }
 
 func (s *server) takeFraction() *Permit {
@@ -134,11 +134,11 @@
 }
 
 func (s *server) newPermit(limited bool) *Permit {
-	permit := s.free
+	permit := s.freePermits
 	if permit == nil {
 		permit = &Permit{}
 	} else {
-		s.free = permit.next
+		s.freePermits = permit.next
 	}
 	permit.server, permit.limited, permit.next = s, limited, nil
 	return permit
@@ -162,10 +162,10 @@
 	if !result.Cancelled {
 		s.failures.record(result.Shed || result.Failed, now)
 	}
-	p.next = s.free
-	s.free = p
+	p.next = s.freePermits
+	s.freePermits = p
 	s.dispatch(now)
-	return s.stray()
+	return s.unused()
 }
 
 // dispatch serves the callers that wait, in order, refuses those that the limit
@@ -184,26 +184,26 @@
 	for s.queue.count > 0 && s.predictedWait(s.queue.count-1) > s.options.MaxWait {
 		s.queue.popBack().refuse(s.overloaded())
 	}
-	s.scheduleWake(now)
+	s.scheduleDispatch(now)
 }
 
-// scheduleWake arranges a dispatch for when the pacer has a token.
-func (s *server) scheduleWake(now time.Time) {
+// scheduleDispatch arranges a dispatch for when the pacer has a token.
+func (s *server) scheduleDispatch(now time.Time) {
 	s.advance(now)
-	if s.queue.count == 0 || s.inFlight != s.controller.whole() || s.controller.fraction() == 0 {
+	if s.queue.count == 0 || s.inFlight != s.controller.wholeSlots() || s.controller.fraction() == 0 {
 		return
 	}
-	const leastDelay = 50 * time.Microsecond
+	const minDelay = 50 * time.Microsecond
 	delay := s.pacer.untilNext(s.controller.fraction(), s.controller.latency.Average())
-	delay = max(delay, leastDelay)
-	if s.wake == nil {
-		s.wake = time.AfterFunc(delay, s.onWake)
+	delay = max(delay, minDelay)
+	if s.dispatchTimer == nil {
+		s.dispatchTimer = time.AfterFunc(delay, s.onDispatchTimer)
 		return
 	}
-	s.wake.Reset(delay)
+	s.dispatchTimer.Reset(delay)
 }
 
-func (s *server) onWake() {
+func (s *server) onDispatchTimer() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.dispatch(time.Now())
@@ -232,7 +232,7 @@
 		return nil, s.overloaded()
 	}
 	s.queue.pushBack(w)
-	s.scheduleWake(time.Now())
+	s.scheduleDispatch(time.Now())
 	return nil, nil
 }
 
@@ -279,21 +279,21 @@
 	if s.queue.count > 0 {
 		return true
 	}
-	if s.inFlight < s.controller.whole() {
+	if s.inFlight < s.controller.wholeSlots() {
 		return false
 	}
 	s.advance(time.Now())
-	whole := s.controller.whole()
+	whole := s.controller.wholeSlots()
 	return s.inFlight > whole || s.inFlight == whole && !s.fractionReady()
 }
 
 // overloaded is the refusal of a caller for which the wait is too long now.
 func (s *server) overloaded() *outcome.Error {
-	return s.refusal(outcome.ReasonOverloaded, max(s.predictedWait(s.queue.count), leastRetryAfter))
+	return s.refusal(outcome.ReasonOverloaded, max(s.predictedWait(s.queue.count), minRetryAfter))
 }
 
-// leastRetryAfter is told to callers while no latency is known.
-const leastRetryAfter = time.Millisecond
+// minRetryAfter is told to callers while no latency is known.
+const minRetryAfter = time.Millisecond
 
 func (s *server) refusal(reason outcome.Reason, retryAfter time.Duration) *outcome.Error {
 	return &outcome.Error{
--- a/pkg/limit/servers.go
+++ b/pkg/limit/servers.go
@@ -81,7 +81,7 @@
 	home := s.shardOf(idle.id)
 	home.mutex.Lock()
 	defer home.mutex.Unlock()
-	if (*home.current.Load())[idle.id] == idle && idle.closeIfStray() {
+	if (*home.current.Load())[idle.id] == idle && idle.closeIfUnused() {
 		home.remove(idle.id)
 	}
 }
--- a/pkg/limit/simulation_test.go
+++ b/pkg/limit/simulation_test.go
@@ -50,31 +50,31 @@
 
 // simServer serves with a number of slots and a bounded backlog.
 type simServer struct {
-	mutex     sync.Mutex
-	random    *rand.Rand
-	slots     chan struct{}
-	present   int
-	most      int
-	service   time.Duration
-	downFrom  time.Time
-	downUntil time.Time
+	mutex      sync.Mutex
+	random     *rand.Rand
+	slots      chan struct{}
+	present    int
+	maxPresent int
+	service    time.Duration
+	downFrom   time.Time
+	downUntil  time.Time
 }
 
 // ending is how the simulated server answered.
-type ending int
+type response int
 
 const (
-	served ending = iota
+	served response = iota
 	shed
 	failed
 )
 
 // serve runs one sub-request.
-func (s *simServer) serve() ending {
+func (s *simServer) serve() response {
 	s.mutex.Lock()
 	now := time.Now()
 	down := !now.Before(s.downFrom) && now.Before(s.downUntil)
-	full := s.present >= s.most
+	full := s.present >= s.maxPresent
 	if down || full {
 		s.mutex.Unlock()
 		if down {
@@ -113,12 +113,12 @@
 func (sim simulation) runInBubble() simulationResult {
 	start := time.Now()
 	server := &simServer{
-		random:    rand.New(rand.NewPCG(simulatedSeed, 1)),
-		slots:     make(chan struct{}, simulatedSlots),
-		most:      simulatedSlots + sim.backlog,
-		service:   sim.service,
-		downFrom:  start.Add(sim.downFrom),
-		downUntil: start.Add(sim.downUntil),
+		random:     rand.New(rand.NewPCG(simulatedSeed, 1)),
+		slots:      make(chan struct{}, simulatedSlots),
+		maxPresent: simulatedSlots + sim.backlog,
+		service:    sim.service,
+		downFrom:   start.Add(sim.downFrom),
+		downUntil:  start.Add(sim.downUntil),
 	}
 	count := &counters{begin: start.Add(sim.warmUp)}
 	var group sync.WaitGroup
@@ -175,7 +175,7 @@
 	count.record(arrived, end, time.Since(sent))
 }
 
-func (c *counters) record(arrived time.Time, end ending, latency time.Duration) {
+func (c *counters) record(arrived time.Time, end response, latency time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	switch {
--- a/pkg/limit/trend/trend.go
+++ b/pkg/limit/trend/trend.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// averageWeight is the weight of one answer in the average.
-	averageWeight = 0.1
+	// sampleWeight is the weight of one answer in the average.
+	sampleWeight = 0.1
 	// clipFactor bounds what one answer counts for, in multiples of the
 	// average, so that a straggler does not look like a slow server.
 	clipFactor = 2.0
-	// slowDeviations is how many deviations above the average Slow lies.
-	slowDeviations = 2
+	// p90Deviations is the number of mean deviations that ApproximateP90 adds to the average.
+	p90Deviations = 2
 )
 
-// Follow is how long the baseline takes to follow a higher average.
-type Follow struct {
+// BaselineTimes are the time constants with which the baseline rises towards a higher average.
+type BaselineTimes struct {
 	// Idle is used while the observer's own limit is not in use: it is short,
 	// because then the observer does not cause the latency.
 	Idle time.Duration
@@ -27,9 +27,9 @@
 }
 
 // Latency keeps a moving average and a baseline, the average at low load. The
-// zero value with Follow set is ready. It is not safe for concurrent use.
+// zero value with BaselineTimes set is ready to use. It is not safe for concurrent use.
 type Latency struct {
-	Follow Follow
+	BaselineTimes BaselineTimes
 	// mean, deviation and baseline are in nanoseconds; zero before the first
 	// answer. Deviation is the mean distance from the mean.
 	mean      float64
@@ -46,21 +46,21 @@
 		return
 	}
 	value = min(max(value, l.mean/clipFactor), l.mean*clipFactor)
-	l.deviation += averageWeight * (math.Abs(value-l.mean) - l.deviation)
-	l.mean += averageWeight * (value - l.mean)
-	l.followBaseline(busy, now)
+	l.deviation += sampleWeight * (math.Abs(value-l.mean) - l.deviation)
+	l.mean += sampleWeight * (value - l.mean)
+	l.updateBaseline(busy, now)
 }
 
-func (l *Latency) followBaseline(busy bool, now time.Time) {
+func (l *Latency) updateBaseline(busy bool, now time.Time) {
 	elapsed := now.Sub(l.recorded)
 	l.recorded = now
 	if l.mean <= l.baseline {
 		l.baseline = l.mean
 		return
 	}
-	follow := l.Follow.Idle
+	follow := l.BaselineTimes.Idle
 	if busy {
-		follow = l.Follow.Busy
+		follow = l.BaselineTimes.Busy
 	}
 	l.baseline += (l.mean - l.baseline) * min(1, float64(elapsed)/float64(follow))
 }
@@ -77,8 +77,8 @@
 // Average returns the moving average; zero before the first answer.
 func (l *Latency) Average() time.Duration { return time.Duration(l.mean) }
 
-// Slow returns a latency that about nine answers in ten stay below; zero before
+// ApproximateP90 returns a latency that about nine answers in ten stay below; zero before
 // the first answer.
-func (l *Latency) Slow() time.Duration {
-	return time.Duration(l.mean + slowDeviations*l.deviation)
+func (l *Latency) ApproximateP90() time.Duration {
+	return time.Duration(l.mean + p90Deviations*l.deviation)
 }
