--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -30,8 +30,8 @@
 	return lines
 }
 
-// TestFromARequestToItsCause checks the walkthroughs of docs/OPERATIONS.md.
-func TestFromARequestToItsCause(t *testing.T) {
+// TestCauseOfARequest checks the walkthroughs of docs/OPERATIONS.md.
+func TestCauseOfARequest(t *testing.T) {
 	lines := recorded(t)
 	for _, test := range []struct {
 		id       string
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestFromARequestThroughItsOwnerToItsCause checks the fifth walkthrough: the servers that were queried
+// TestCauseInTheLineOfAnOwner checks the fifth walkthrough: the servers that were queried
 // for a shard are named only in the line of its owner.
-func TestFromARequestThroughItsOwnerToItsCause(t *testing.T) {
+func TestCauseInTheLineOfAnOwner(t *testing.T) {
 	g := NewWithT(t)
 	story, err := explain.Explain(linesOf(t, "testdata/owners.log"), "dd38e8a6bd64c044")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestAnOwnerThatDidNotAnswerIsNamed checks that an owner without an answer is the cause if nothing else
-// is known.
+// TestAnOwnerThatDidNotAnswerIsNamed checks that an owner without an answer is the cause if nothing
+// else is known.
 func TestAnOwnerThatDidNotAnswerIsNamed(t *testing.T) {
 	g := NewWithT(t)
 	lines, _, err := explain.Read(strings.NewReader(`{"@timestamp":"2026-03-13T13:02:12Z","@message":"owner lost","node":"a",` +
@@ -98,8 +98,8 @@
 	g.Expect(text.String()).To(ContainSubstring("asked b for 3 shards: silent"))
 }
 
-// TestFromARefusalForOverloadToItsCause checks the fourth walkthrough, on log lines of a burst.
-func TestFromARefusalForOverloadToItsCause(t *testing.T) {
+// TestCauseOfARefusalForOverload checks the fourth walkthrough, on log lines of a burst.
+func TestCauseOfARefusalForOverload(t *testing.T) {
 	lines := linesOf(t, "testdata/overload.log")
 	for id, expected := range map[string]struct {
 		cause    explain.Cause
@@ -145,8 +145,8 @@
 	g.Expect(early[0].Last.Before(to)).To(BeTrue())
 }
 
-// TestLinesOfOtherProgramsArePassedOver checks that lines that are not a node's are counted and ignored.
-func TestLinesOfOtherProgramsArePassedOver(t *testing.T) {
+// TestLinesOfOtherProgramsAreIgnored checks that lines that are not a node's are counted and ignored.
+func TestLinesOfOtherProgramsAreIgnored(t *testing.T) {
 	g := NewWithT(t)
 	lines, other, err := explain.Read(strings.NewReader("panic: x\n\n{\"a\":1}\n{broken\n" +
 		`  3.5 node-1 {"@timestamp":"2026-05-08T01:48:40Z","@message":"started","node":"node-1"}` + "\n"))
@@ -156,8 +156,8 @@
 	g.Expect(lines[0].Node).To(Equal("node-1"))
 }
 
-// TestARequestThatEndedItsServersIsNamed checks that the story of a quarantined request names the servers
-// that ended while they had it, and no others.
+// TestARequestThatEndedItsServersIsNamed checks that the story of a quarantined request names the
+// servers that ended while they had it, and no others.
 func TestARequestThatEndedItsServersIsNamed(t *testing.T) {
 	g := NewWithT(t)
 	lines, _, err := explain.Read(strings.NewReader(`{"@timestamp":"2026-03-13T13:02:12Z","@message":"request suspect","node":"a",` +
@@ -176,9 +176,9 @@
 	g.Expect(text.String()).NotTo(ContainSubstring("s9"))
 }
 
-// TestFromACallerThatIsRefusedToItsKey checks walkthrough 7: whether a key was sent, whose it is, and
+// TestCauseOfARefusedKey checks walkthrough 7: whether a key was sent, whose it is, and
 // which configuration lacked it.
-func TestFromACallerThatIsRefusedToItsKey(t *testing.T) {
+func TestCauseOfARefusedKey(t *testing.T) {
 	g := NewWithT(t)
 	lines := linesOf(t, "testdata/keys.log")
 	for id, expected := range map[string]struct {
@@ -206,9 +206,9 @@
 	}
 }
 
-// TestARefusedRequestNamesTheShardThatWasShortOfRoom checks that the story names the service with too
+// TestARefusedRequestNamesTheServiceWithoutCapacity checks that the story names the service with too
 // little capacity, the share that it admitted, and the priority and tenant of that share.
-func TestARefusedRequestNamesTheShardThatWasShortOfRoom(t *testing.T) {
+func TestARefusedRequestNamesTheServiceWithoutCapacity(t *testing.T) {
 	g := NewWithT(t)
 	lines, _, err := explain.Read(strings.NewReader(`{"@timestamp":"2026-03-13T13:02:12.1Z","@message":"request","node":"a",` +
 		`"request":"r","status":503,"reason":"not_offered","parts":0,"required":35,"total":36,"shed":36,"tenant":"acme",` +
--- a/internal/explain/quota_test.go
+++ b/internal/explain/quota_test.go
@@ -9,8 +9,8 @@
 	"github.com/bramblemast/bramblemast/internal/explain"
 )
 
-// refusedLines are the log lines of a request over its tenant's limit, and of one at a node that reached
-// no coordinator.
+// refusedLines are the log lines of a request over its tenant's limit, and of one at a node that
+// reached no coordinator.
 const refusedLines = `
 {"@timestamp":"2026-03-13T13:02:10.0Z","@message":"tenant at its limit","node":"c","tenant":"acme","asked_per_s":80.2,"limit_per_s":10}
 {"@timestamp":"2026-03-13T13:02:10.5Z","@message":"tenant at its limit","node":"c","tenant":"other","asked_per_s":70,"limit_per_s":9}
@@ -19,9 +19,9 @@
 {"@timestamp":"2026-03-13T13:02:12.2Z","@message":"request","node":"b","request":"s","status":429,"reason":"over_limit","tenant":"acme","quota_share":1,"quota_share_age_ms":900,"quota_decided_by":"alone","retry_after_ms":800}
 `
 
-// TestARefusalBeyondALimitIsLedToItsShare checks that the story of a request over its tenant's limit
+// TestARefusalOverALimitNamesItsShare checks that the story of a request over its tenant's limit
 // names the admitted share and what the coordinator logged.
-func TestARefusalBeyondALimitIsLedToItsShare(t *testing.T) {
+func TestARefusalOverALimitNamesItsShare(t *testing.T) {
 	g := NewWithT(t)
 	lines, _, err := explain.Read(strings.NewReader(refusedLines))
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -40,8 +40,8 @@
 	Newer *Line
 }
 
-// ErrUnknownRequest means that no line names the request. Ordinary successes are sampled, so a request
-// without a line was most likely served.
+// ErrUnknownRequest means that no line names the request. Ordinary successes are sampled, so a
+// request without a line was most likely served.
 var ErrUnknownRequest = errors.New("no line names this request; ordinary successes are sampled")
 
 // Explain returns the story of the request with the given id. It returns ErrUnknownRequest, wrapped,
@@ -74,25 +74,25 @@
 	return byRequest
 }
 
-// precedingLines returns the last maxContextLines lines before a request that may concern it: lines of
-// its node, and lines of any coordinator about the limit of its tenant.
+// precedingLines returns the last maxContextLines lines before a request that may concern it: lines
+// of its node, and lines of any coordinator about the limit of its tenant.
 func precedingLines(lines []Line, request Line) []Line {
-	var found []Line
+	var preceding []Line
 	for _, line := range lines {
 		isOtherNode := line.Node != request.Node && line.Message != messageAtLimit && line.Message != messageBelowLimit
 		if isOtherNode || line.At.After(request.At) || request.At.Sub(line.At) > contextSpan {
 			continue
 		}
 		if mayConcern(line, request) {
-			found = append(found, line)
+			preceding = append(preceding, line)
 		}
 	}
-	slices.SortStableFunc(found, func(a, b Line) int { return a.At.Compare(b.At) })
-	return found[max(0, len(found)-maxContextLines):]
+	slices.SortStableFunc(preceding, func(a, b Line) int { return a.At.Compare(b.At) })
+	return preceding[max(0, len(preceding)-maxContextLines):]
 }
 
-// newerConfiguration returns the first line of a newer configuration at another node before the request;
-// nil if there is none.
+// newerConfiguration returns the first line of a newer configuration at another node before the
+// request; nil if there is none.
 func newerConfiguration(lines []Line, request Line) *Line {
 	var first *Line
 	for index := range lines {
@@ -160,8 +160,8 @@
 	}
 }
 
-// caller describes who sent a request: the tenant, or the hash of a key that no tenant holds; empty if
-// neither is known.
+// caller describes who sent a request: the tenant, or the hash of a key that no tenant holds; empty
+// if neither is known.
 func caller(line Line) string {
 	switch {
 	case line.Tenant != "":
@@ -182,7 +182,8 @@
 		line.ShortService, 100*line.Share, line.Priority, caller(line), line.ShareAge)
 }
 
-// writeAttempts prints sub-requests; their times are relative to when their node received the request.
+// writeAttempts prints sub-requests; their times are relative to when their node received the
+// request.
 func writeAttempts(output io.Writer, indent string, attempts []fanout.AttemptRecord) {
 	for _, attempt := range attempts {
 		fmt.Fprintf(output, "%s  +%4d ms  asked %s of %s in %s: %s after %d ms\n",
--- a/internal/front/client_request.go
+++ b/internal/front/client_request.go
@@ -41,7 +41,8 @@
 	readError error
 }
 
-// serve runs a completely read request on servers, unless it is quarantined or over its tenant's limit.
+// serve runs a completely read request on servers, unless it is quarantined or over its tenant's
+// limit.
 func (c *clientRequest) serve(request *exchange.Request) {
 	c.request = request
 	if c.isQuarantined() {
@@ -158,8 +159,8 @@
 	return answer != nil && answer.Status >= http.StatusInternalServerError && answer.Evidence != ""
 }
 
-// answerFailure sends the final answer of a request that could not be served. Status 503 promises that
-// the request did not run, so it is sent only if that is known.
+// answerFailure sends the final answer of a request that could not be served. Status 503 promises
+// that the request did not run, so it is sent only if that is known.
 func (c *clientRequest) answerFailure(plan fanout.Plan, result fanout.Result) {
 	if result.Reason == fanout.StopCancelled {
 		c.record(statusClientGone, plan, result)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -16,8 +16,8 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// TestRequestsAreDividedByWeight checks that, after any number of requests, each service is within one
-// request of its share, or two with many services.
+// TestRequestsAreDividedByWeight checks that, after any number of requests, each service is within
+// one request of its share, or two with many services.
 func TestRequestsAreDividedByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 2, 5).Draw(t, "weights")
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestTheTimesOfARequest checks that the shorter of the client's and the route's timeout applies, and
-// that an answer is sent before the target.
-func TestTheTimesOfARequest(t *testing.T) {
+// TestDeadlineAndTargetOfARequest checks that the shorter of the client's and the route's timeout
+// applies, and that an answer is sent before the target.
+func TestDeadlineAndTargetOfARequest(t *testing.T) {
 	g := NewWithT(t)
 	startedAt := time.Unix(100, 0)
 	bounded := &route.Route{Timeout: 2 * time.Second, Target: 120 * time.Millisecond}
@@ -77,9 +77,9 @@
 	g.Expect(target(&route.Route{}, startedAt).IsZero()).To(BeTrue())
 }
 
-// TestTooManyConnectionsEndTheLongestResting checks that a connection beyond the limit ends the one
+// TestTooManyConnectionsEndTheLongestIdle checks that a connection beyond the limit ends the one
 // that has been idle for longest, and no other.
-func TestTooManyConnectionsEndTheLongestResting(t *testing.T) {
+func TestTooManyConnectionsEndTheLongestIdle(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := Listen("127.0.0.1:0", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		writer.WriteHeader(http.StatusNoContent)
@@ -130,9 +130,9 @@
 	return false
 }
 
-// TestARestingConnectionIsEnded checks that a connection is ended after the idle timeout, while one
+// TestAnIdleConnectionIsEnded checks that a connection is ended after the idle timeout, while one
 // with a request in progress stays open until the request is answered.
-func TestARestingConnectionIsEnded(t *testing.T) {
+func TestAnIdleConnectionIsEnded(t *testing.T) {
 	g := NewWithT(t)
 	release, working := make(chan struct{}), make(chan struct{})
 	listener, err := Listen("127.0.0.1:0", http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -173,9 +173,9 @@
 	_, _ = idle.Close(), busy.Close()
 }
 
-// TestAStopServesWhatANewConnectionBrings checks that a client that has connected just before a planned
-// stop closes the listening socket gets its answer, and that one that sends nothing delays the stop
-// only briefly.
+// TestAStopServesWhatANewConnectionBrings checks that a client that has connected just before a
+// planned stop closes the listening socket gets its answer, and that one that sends nothing delays
+// the stop only briefly.
 func TestAStopServesWhatANewConnectionBrings(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := Listen("127.0.0.1:0", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -174,8 +174,8 @@
 	current.serve(request)
 }
 
-// awaitTable returns the configuration in force. If there is none, it waits for up to Starting.MaxWait
-// and may return nil.
+// awaitTable returns the configuration in force. If there is none, it waits for up to
+// Starting.MaxWait and may return nil.
 func (h *Handler) awaitTable() *route.Table {
 	table := h.state.Table()
 	for waited := time.Duration(0); table == nil && waited < h.state.Starting().MaxWait; waited += startupPollInterval {
@@ -191,8 +191,8 @@
 // errBodyTooLarge means that the body of a client's request exceeds the configured limit.
 var errBodyTooLarge = errors.New("request body exceeds the configured limit")
 
-// read reads the complete request of a client, so that it can be sent to more than one server. If that
-// fails, it returns the HTTP status for the client and an error.
+// read reads the complete request of a client, so that it can be sent to more than one server. If
+// that fails, it returns the HTTP status for the client and an error.
 func (h *Handler) read(received *http.Request, limits route.Limits) (*exchange.Request, int, error) {
 	request := &exchange.Request{
 		Method: received.Method, Target: received.RequestURI, Host: received.Host,
--- a/internal/front/limit.go
+++ b/internal/front/limit.go
@@ -8,8 +8,8 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// Limits enforces the limits of tenants, which hold over all nodes together. It is safe for concurrent
-// use and never waits for another node.
+// Limits enforces the limits of tenants, which hold over all nodes together. It is safe for
+// concurrent use and never waits for another node.
 type Limits interface {
 	// Admit counts one request of a tenant against its limit, or refuses it as over the limit.
 	Admit(tenant *route.Tenant, requestID string, now time.Time) LimitDecision
@@ -41,7 +41,8 @@
 // Refund implements Limits.
 func (noLimits) Refund(*route.Tenant, time.Time) {}
 
-// isWithinLimit counts the request against its tenant's limit, and refuses it if it is over the limit.
+// isWithinLimit counts the request against its tenant's limit, and refuses it if it is over the
+// limit.
 func (c *clientRequest) isWithinLimit() bool {
 	if c.tenant == nil || !c.tenant.Limit.IsBound() {
 		return true
--- a/internal/front/no_target_test.go
+++ b/internal/front/no_target_test.go
@@ -45,8 +45,8 @@
 	})
 }
 
-// TestABurstThatFitsTheDeadlineIsServed checks that a route without a target serves a short burst: 1.5
-// times the capacity for half a second queues for at most an eighth of the deadline.
+// TestABurstThatFitsTheDeadlineIsServed checks that a route without a target serves a short burst:
+// 1.5 times the capacity for half a second queues for at most an eighth of the deadline.
 func TestABurstThatFitsTheDeadlineIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/front/overload_test.go
+++ b/internal/front/overload_test.go
@@ -19,8 +19,8 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// The deployment of these tests: each of twelve shards has two servers with two slots, so the capacity
-// of the shards is 200 requests per second.
+// The deployment of these tests: each of twelve shards has two servers with two slots, so the
+// capacity of the shards is 200 requests per second.
 const (
 	simShards   = 12
 	simServers  = 2
@@ -187,44 +187,44 @@
 }
 
 // offer sends rate requests per second for the given time and returns all answers.
-func (s *simulation) offer(rate float64, span time.Duration) []simAnswer {
+func (s *simulation) offer(rate float64, duration time.Duration) []simAnswer {
 	var clients sync.WaitGroup
-	answers := make([]simAnswer, int(rate*span.Seconds()))
+	answers := make([]simAnswer, int(rate*duration.Seconds()))
 	for index := range answers {
-		clients.Go(func() { answers[index] = s.ask(fmt.Sprint("request-", index)) })
+		clients.Go(func() { answers[index] = s.sendRequest(fmt.Sprint("request-", index)) })
 		time.Sleep(time.Duration(float64(time.Second) / rate))
 	}
 	clients.Wait()
 	return answers
 }
 
-func (s *simulation) ask(id string) simAnswer {
-	began := time.Now()
+func (s *simulation) sendRequest(id string) simAnswer {
+	startedAt := time.Now()
 	request := httptest.NewRequest(http.MethodGet, "/a", nil)
 	request.Host = "h"
 	request.Header.Set(exchangetest.Dialect.RequestID, id)
 	request.Header.Set(exchangetest.Dialect.DeadlineMillis, strconv.FormatInt(simDeadline.Milliseconds(), 10))
 	recorder := httptest.NewRecorder()
 	s.handler.ServeHTTP(recorder, request)
-	return simAnswer{id: id, status: recorder.Code, took: time.Since(began), wait: recorder.Header().Get("Retry-After")}
+	return simAnswer{id: id, status: recorder.Code, took: time.Since(startedAt), wait: recorder.Header().Get("Retry-After")}
 }
 
 // useful returns the number of complete answers within the target as a share of the capacity.
-func useful(answers []simAnswer, span time.Duration) float64 {
+func useful(answers []simAnswer, duration time.Duration) float64 {
 	count := 0
 	for _, answer := range answers {
 		if answer.status == http.StatusOK && answer.took <= simTarget {
 			count++
 		}
 	}
-	return float64(count) / (simCapacity * span.Seconds())
+	return float64(count) / (simCapacity * duration.Seconds())
 }
 
-// TestOverloadServesTheSameRequestsEverywhere checks that at twice the capacity of the shards, every
-// shard prefers the same requests, so that nearly all work ends in complete answers within the target.
-// The other requests are refused early, with a retry time, or wait for their last parts. The useful
-// share depends on the order in which goroutines run at one instant of the synctest bubble: 0.95 to
-// 0.99 in 100 runs on one to eight processors.
+// TestOverloadServesTheSameRequestsEverywhere checks that at twice the capacity of the shards,
+// every shard prefers the same requests, so that nearly all work ends in complete answers within
+// the target. The other requests are refused early, with a retry time, or wait for their last
+// parts. The useful share depends on the order in which goroutines run at one instant of the
+// synctest bubble: 0.95 to 0.99 in 100 runs on one to eight processors.
 func TestOverloadServesTheSameRequestsEverywhere(t *testing.T) {
 	const span = 6 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -259,8 +259,8 @@
 	})
 }
 
-// expectTrueRefusal checks that a refusal has a retry time, that its record has the retry time and the
-// sub-requests shed, and that no server has run the request.
+// expectTrueRefusal checks that a refusal has a retry time, that its record has the retry time and
+// the sub-requests shed, and that no server has run the request.
 func (s *simulation) expectTrueRefusal(g *WithT, answer simAnswer) {
 	g.Expect(answer.wait).NotTo(BeEmpty())
 	record, found := s.records.refused[answer.id]
@@ -272,9 +272,9 @@
 	}
 }
 
-// TestALostShardIsWaitedFor checks that a request that lacks the part of a shard without servers keeps its
-// other parts and is answered as soon as a server is back, rather than refused: in one run, 98
-// requests failed after 160 ms of 3 s.
+// TestALostShardIsWaitedFor checks that a request that lacks the part of a shard without servers
+// keeps its other parts and is answered as soon as a server is back, rather than refused: in one
+// run, 98 requests failed after 160 ms of 3 s.
 func TestALostShardIsWaitedFor(t *testing.T) {
 	const outage = 700 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
@@ -289,7 +289,7 @@
 				ID: "returned", Service: "shard-0", Address: "shard-0-0", Slots: simSlots,
 			}, time.Now())
 		})
-		answer := simulated.ask("lost-shard")
+		answer := simulated.sendRequest("lost-shard")
 		g.Expect(answer.status).To(Equal(http.StatusOK))
 		g.Expect(answer.took).To(BeNumerically("~", outage, simTarget))
 		for index, server := range simulated.servers {
@@ -323,8 +323,9 @@
 	})
 }
 
-// TestRefusedClientsComeBackLaterInALongOverload checks that retry times are longer in a long overload: a
-// client that may retry once would otherwise be refused again, as 681 requests once were.
+// TestRefusedClientsComeBackLaterInALongOverload checks that retry times are longer in a long
+// overload: a client that may retry once would otherwise be refused again, as 681 requests once
+// were.
 func TestRefusedClientsComeBackLaterInALongOverload(t *testing.T) {
 	const span = 4 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -345,8 +346,9 @@
 	})
 }
 
-// TestAnOverloadBeginsAnewAfterQuiet checks that a refusal after overloadQuietPeriod starts a new overload.
-func TestAnOverloadBeginsAnewAfterQuiet(t *testing.T) {
+// TestAnOverloadEndsAfterTheQuietPeriod checks that a refusal after overloadQuietPeriod starts a
+// new overload.
+func TestAnOverloadEndsAfterTheQuietPeriod(t *testing.T) {
 	g := NewWithT(t)
 	overloads, now := newOverloadTracker(), time.Unix(0, 0)
 	g.Expect(overloads.recordRefusal("a", now, now)).To(BeZero())
@@ -359,17 +361,17 @@
 	g.Expect(overloads.recordRefusal("a", now.Add(2*overloadQuietPeriod), now.Add(2*overloadQuietPeriod))).To(BeZero())
 }
 
-// TestARefusalAtTheNodesBoundIsTrue checks that a request beyond MaxInFlight is refused immediately, with a
-// retry time, and that nothing of it is sent to a server.
+// TestARefusalAtTheNodesBoundIsTrue checks that a request beyond MaxInFlight is refused
+// immediately, with a retry time, and that nothing of it is sent to a server.
 func TestARefusalAtTheNodesBoundIsTrue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		simulated := newSimulation()
 		simulated.handler.inFlight = make(chan struct{}, 1)
 		first := make(chan simAnswer, 1)
-		go func() { first <- simulated.ask("first") }()
+		go func() { first <- simulated.sendRequest("first") }()
 		synctest.Wait()
-		second := simulated.ask("second")
+		second := simulated.sendRequest("second")
 		g.Expect(second.status).To(Equal(http.StatusServiceUnavailable))
 		g.Expect(second.took).To(BeZero())
 		g.Expect(second.wait).NotTo(BeEmpty())
@@ -377,7 +379,7 @@
 			g.Expect(server.ran).NotTo(HaveKey("second"))
 		}
 		g.Expect((<-first).status).To(Equal(http.StatusOK), "the request in progress is served")
-		g.Expect(simulated.ask("third").status).To(Equal(http.StatusOK))
+		g.Expect(simulated.sendRequest("third").status).To(Equal(http.StatusOK))
 		simulated.close()
 	})
 }
--- a/internal/front/policy.go
+++ b/internal/front/policy.go
@@ -78,7 +78,8 @@
 	return startedAt.Add(max(timeout-deadlineReserve, time.Millisecond))
 }
 
-// target returns when the node answers if it has the required parts; zero on a route without a target.
+// target returns when the node answers if it has the required parts; zero on a route without a
+// target.
 func target(matched *route.Route, startedAt time.Time) time.Time {
 	if matched.Target <= 0 {
 		return time.Time{}
--- a/internal/front/tenant.go
+++ b/internal/front/tenant.go
@@ -66,8 +66,8 @@
 	c.refuse(http.StatusUnauthorized, outcome.ReasonUnauthenticated, 0)
 }
 
-// replaceCallerHeaders replaces the key and any tenant header of the client by the name of its tenant.
-// The key is a secret between the client and this node.
+// replaceCallerHeaders replaces the key and any tenant header of the client by the name of its
+// tenant. The key is a secret between the client and this node.
 func (c *clientRequest) replaceCallerHeaders(header http.Header) {
 	if !c.hasTenants {
 		return
@@ -91,8 +91,8 @@
 // its log lines, but nobody can derive the key from the hash.
 const keyHashLength = 4
 
-// keyHashIf returns the short hash of the key if reason refuses a key; empty for other reasons, and if
-// the client did not send exactly one key.
+// keyHashIf returns the short hash of the key if reason refuses a key; empty for other reasons, and
+// if the client did not send exactly one key.
 func (c *clientRequest) keyHashIf(reason outcome.Reason) string {
 	isKeyRefused := reason == outcome.ReasonUnauthenticated || reason == outcome.ReasonKeysUnconfirmed
 	if !isKeyRefused || len(c.keys) != 1 || c.keys[0] == "" {
--- a/internal/front/tenant_test.go
+++ b/internal/front/tenant_test.go
@@ -45,7 +45,8 @@
 func (unresponsiveOwner) Grant([]int) {}
 func (unresponsiveOwner) MarkSilent() {}
 
-// newKeyedHandler is a handler with a private and a public route, and the tenant "desk" with the key "k-desk".
+// newKeyedHandler returns a handler with a private and a public route, and the tenant "desk" with the
+// key "k-desk".
 func newKeyedHandler(owners fanout.Owners, freshness func() KeyFreshness) *Handler {
 	rules, err := policy.Build(policy.Spec{})
 	if err != nil {
@@ -92,9 +93,9 @@
 	})
 }
 
-// TestHowFarKeysAreTrusted checks how keys are treated by the age of the node's knowledge of them: a
-// known key is accepted unless all keys have lapsed, and an unknown key that may have been added since
-// gets status 503, which may be retried, rather than 401.
+// TestHowFarKeysAreTrusted checks how keys are treated by the age of the node's knowledge of them:
+// a known key is accepted unless all keys have lapsed, and an unknown key that may have been added
+// since gets status 503, which may be retried, rather than 401.
 func TestHowFarKeysAreTrusted(t *testing.T) {
 	// reached as a status means that the request is sent to the owner.
 	const admitted = 0
@@ -128,9 +129,9 @@
 	}
 }
 
-// TestTheTenantTellsRequestsApart checks that the fingerprints of suspect requests differ by tenant: the
-// key has been removed from the request by then.
-func TestTheTenantTellsRequestsApart(t *testing.T) {
+// TestFingerprintsDifferByTenant checks that the fingerprints of suspect requests differ by tenant:
+// the key has been removed from the request by then.
+func TestFingerprintsDifferByTenant(t *testing.T) {
 	g := NewWithT(t)
 	dialect := keyedDialect()
 	fingerprint := func(tenant string) exchange.Fingerprint {
--- a/internal/front/wait_test.go
+++ b/internal/front/wait_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestRefusedClientsDoNotReturnTogether checks that retry times are spread, and that the clients closest
+// TestRetryTimesAreSpread checks that retry times are spread, and that the clients closest
 // to admission retry first.
-func TestRefusedClientsDoNotReturnTogether(t *testing.T) {
+func TestRetryTimesAreSpread(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(spreadWait(maxRetryAfter, 0)).To(Equal(time.Second))
 	g.Expect(spreadWait(maxRetryAfter, 0.5)).To(Equal(1500 * time.Millisecond))
--- a/internal/front/weights_test.go
+++ b/internal/front/weights_test.go
@@ -11,9 +11,10 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// TestWhatDoesNotFitAServiceIsNotMovedToAnother checks that requests beyond the capacity of a service are
-// refused rather than sent to the route's other service. The route divides its requests 3 to 1; the
-// first service gets four times its capacity, and the second gets no more than its fourth.
+// TestWhatDoesNotFitAServiceIsNotMovedToAnother checks that requests beyond the capacity of a
+// service are refused rather than sent to the route's other service. The route divides its requests
+// 3 to 1; the first service gets four times its capacity, and the second gets no more than its
+// fourth.
 func TestWhatDoesNotFitAServiceIsNotMovedToAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
