--- a/pkg/limit/controller.go
+++ b/pkg/limit/controller.go
@@ -7,33 +7,36 @@
 	"github.com/bramblemast/bramblemast/pkg/limit/trend"
 )
 
-// baselineTimes is long while the limit is in use, because then the node's own
-// load may be what makes the server slow.
+// baselineTimes has a long Busy time, because while the limit is in full use the
+// node's own load may be what slows the server down.
 var baselineTimes = trend.BaselineTimes{Idle: 5 * time.Second, Busy: time.Minute}
 
-// How the limit moves. Growth is in parts of the node's share of slots, so that
-// nodes with the same share converge to the same limit.
+// Parameters of the limit's changes. Growth is a fraction of the node's share of
+// slots, so that nodes with the same share converge to the same limit.
 const (
-	// rampFactor is the rise with a good answer while a server is new or comes
-	// back, as a part of the limit, or of one slot if that is less.
+	// rampFactor is the increase per good answer while a server is new or
+	// recovering, as a fraction of the limit or of one slot, whichever is smaller.
 	rampFactor = 0.5
-	// growthDoubling is the time without a sign of congestion that doubles the
-	// growth, so that a limit that is far too low recovers quickly also where a
-	// node asks a server only a few times a second.
+	// growthDoubling is the time without congestion after which growth has
+	// doubled; growth rises linearly with that time. A limit that is far too low
+	// then recovers quickly even if the node sends the server only a few
+	// sub-requests a second.
 	growthDoubling = 250 * time.Millisecond
-	// maxGrowth bounds the growth with one good answer.
+	// maxGrowth bounds the growth per good answer, as a fraction of the share.
 	maxGrowth = 0.1
-	// recoveryTime is the time in which a limit rises from nothing to the share
-	// without any answers. All nodes at their share are just what the server
-	// can serve, and a node that waited for answers to rise would hardly ask.
+	// recoveryTime is the time in which a limit rises from zero to the share
+	// without any answers. The shares of all nodes add up to what the server can
+	// serve, and a node that needed answers to raise its limit would hardly send
+	// any sub-requests.
 	recoveryTime = 4 * time.Second
-	// failureFactor and slowFactor are the decreases after a failed
-	// sub-request, and after a good answer while the average latency is above
-	// the tolerated one.
+	// failureFactor and slowFactor multiply the limit after a failed sub-request,
+	// and after a good answer whose latency and average are both above the
+	// tolerated latency.
 	failureFactor = 0.5
 	slowFactor    = 0.97
-	// minLimitShare is the lowest limit, as a part of the share, or of one slot if
-	// that is less. It is what tries whether a server is back.
+	// minLimitShare is the lowest limit, as a fraction of the share or of one slot,
+	// whichever is smaller. Sub-requests at this limit probe whether a server has
+	// recovered.
 	minLimitShare = 0.25
 	// minSlots keeps a share above zero.
 	minSlots = 0.001
@@ -41,15 +44,16 @@
 
 // stepSizes are the changes of the limit by a single answer.
 type stepSizes struct {
-	// growth is the rise with a good answer right after a decrease.
+	// growth is the increase per good answer right after congestion, as a fraction
+	// of the share.
 	growth float64
-	// shedFactor is the decrease after a shed sub-request.
+	// shedFactor multiplies the limit after a shed sub-request.
 	shedFactor float64
 }
 
 // With both, the limit stays constant where about one sub-request in twenty is shed:
 // growth / (1 - shedFactor) is 0.05 and 0.067 of the share. Below one slot a
-// node sees few answers of a server, and each has to count for more.
+// node sees few answers from a server, so each has to count for more.
 var (
 	wholeSlotSteps      = stepSizes{growth: 0.005, shedFactor: 0.9}
 	fractionalSlotSteps = stepSizes{growth: 0.02, shedFactor: 0.7}
@@ -60,16 +64,17 @@
 	options *Options
 	slots   float64
 	ceiling float64
-	// limit is the number of sub-requests that may be in flight; not whole.
+	// limit is the number of sub-requests that may be in flight; it may be
+	// fractional.
 	limit float64
 	// rampUntil is the limit below which good answers raise it by rampFactor.
 	rampUntil float64
 	latency   trend.Latency
-	// congested is when the last sign of congestion came, decreased when the
-	// limit was last lowered for one.
+	// lastCongestion is the time of the last sign of congestion, lastDecrease the
+	// time of the last decrease of the limit.
 	lastCongestion time.Time
 	lastDecrease   time.Time
-	// recovered is up to when the rise with time was counted in.
+	// lastRecovery is the time up to which recover has raised the limit.
 	lastRecovery time.Time
 	// failing means that the last answer was a failure.
 	failing bool
@@ -84,8 +89,7 @@
 	return c
 }
 
-// setShare changes the yardstick and the bounds; the limit keeps its relation
-// to the share.
+// setShare replaces the share and the bounds; the limit scales with the share.
 func (c *controller) setShare(share Share) {
 	slots := math.Max(share.Slots, minSlots)
 	if c.slots > 0 {
@@ -99,7 +103,7 @@
 
 // record moves the limit after a sub-request. Limited says that the limit was
 // in full use when the sub-request was sent; only then is a good answer
-// evidence that more would be served.
+// evidence that the server could serve more.
 func (c *controller) record(result Result, limited bool, now time.Time) {
 	switch {
 	case result.Cancelled:
@@ -114,8 +118,8 @@
 	}
 }
 
-// recordFailure lowers the limit far. What it was before is remembered, so that
-// the limit is there again soon after the server has come back.
+// recordFailure lowers the limit by failureFactor. It keeps the limit from before the first failure
+// in rampUntil, so that the limit returns to it quickly once the server recovers.
 func (c *controller) recordFailure(now time.Time) {
 	if !c.failing {
 		c.rampUntil = c.limit
@@ -137,7 +141,7 @@
 	}
 }
 
-// step is the rise that a good answer is worth.
+// increase is the amount by which a good answer raises the limit.
 func (c *controller) increase(now time.Time) float64 {
 	if c.limit < c.rampUntil {
 		return rampFactor * math.Min(c.limit, 1)
@@ -153,7 +157,8 @@
 	return wholeSlotSteps
 }
 
-// recover raises a limit below the share by the time that has passed.
+// recover raises a limit below the share in proportion to the elapsed time, unless
+// the last answer was a failure.
 func (c *controller) recover(now time.Time) {
 	elapsed := now.Sub(c.lastRecovery)
 	c.lastRecovery = now
@@ -164,8 +169,8 @@
 	c.limit = c.clamp(math.Min(c.limit+rise, c.slots))
 }
 
-// decrease lowers the limit at most once in the time of an answer, because
-// sub-requests that were sent together tell of the same congestion.
+// decrease lowers the limit at most once per average latency, because
+// sub-requests that were sent together report the same congestion.
 func (c *controller) decrease(factor float64, now time.Time) {
 	c.lastCongestion = now
 	if now.Sub(c.lastDecrease) < c.latency.Average() {
@@ -175,20 +180,21 @@
 	c.limit = c.clamp(c.limit * factor)
 }
 
-// bounded returns limit within the floor and the ceiling.
+// clamp returns limit bounded by the floor and the ceiling.
 func (c *controller) clamp(limit float64) float64 {
 	floor := minLimitShare * math.Min(c.slots, 1)
 	return math.Min(math.Max(limit, floor), c.ceiling)
 }
 
-// whole returns the number of slots that are counted.
+// wholeSlots returns the number of whole slots, which are counted rather than
+// paced.
 func (c *controller) wholeSlots() int { return int(c.limit) }
 
-// inFlightLimit returns the number of sub-requests that may be in flight at one
-// moment; at least 1.
+// inFlightLimit returns the number of sub-requests that may be in flight at a
+// time; at least 1.
 func (c *controller) inFlightLimit() int { return int(math.Ceil(c.limit)) }
 
-// fraction returns the part of a slot that is paced.
+// fraction returns the fractional slot, which the pacer spreads over time.
 func (c *controller) fraction() float64 { return c.limit - math.Floor(c.limit) }
 
 // drainInterval is the average time between two finished sub-requests at the
--- a/pkg/limit/failures.go
+++ b/pkg/limit/failures.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// failureWeight is the weight of one result in the share of failures.
+	// failureWeight is the weight of one result in the failure share.
 	failureWeight = 0.1
-	// failureHalfLife is the time in which the share fades to half without
+	// failureHalfLife is the time in which the failure share halves if there are no
 	// results.
 	failureHalfLife = 2 * time.Second
 )
 
-// failureTracker keeps the recent share of failed sub-requests. It is not safe
+// failureTracker keeps an exponentially decaying share of failed sub-requests. It is not safe
 // for concurrent use.
 type failureTracker struct {
 	share   float64
--- a/pkg/limit/pacer.go
+++ b/pkg/limit/pacer.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// paceBurst is the number of uses of the fractional slot that may be saved up
-// while it is idle, so that uneven arrivals are not refused at low load.
+// paceBurst is the capacity of the token bucket: the number of uses of the
+// fractional slot that accumulate while it is idle, so that uneven arrivals are
+// not refused at low load.
 const paceBurst = 4
 
 // pacer spreads the uses of a fractional slot over time, as a token bucket. It
@@ -13,7 +14,8 @@
 	refilled time.Time
 }
 
-// refill adds the tokens that the time since the last refill is worth.
+// refill adds the tokens for the time since the last refill. While no latency is
+// known, the bucket is full.
 func (p *pacer) refill(fraction float64, latency time.Duration, now time.Time) {
 	elapsed := now.Sub(p.refilled)
 	p.refilled = now
@@ -24,7 +26,7 @@
 	p.tokens = min(paceBurst, p.tokens+fraction*float64(elapsed)/float64(latency))
 }
 
-// untilNext is the time until a whole token is there, as of the last refill.
+// untilNext returns the time from the last refill until a whole token is available.
 func (p *pacer) untilNext(fraction float64, latency time.Duration) time.Duration {
 	if p.tokens >= 1 || fraction <= 0 {
 		return 0
--- a/pkg/limit/server.go
+++ b/pkg/limit/server.go
@@ -22,11 +22,11 @@
 	failures   failureTracker
 	inFlight   int
 	queue      waiterQueue
-	// free is a list of released permits for reuse.
+	// free is a free list of released permits.
 	freePermits *Permit
-	// wake dispatches when the pacer has a token; nil until first needed.
+	// dispatchTimer calls dispatch when the pacer has a token; nil until first needed.
 	dispatchTimer *time.Timer
-	// configured means that the node means to use the server.
+	// configured means that Configure was called for the server.
 	configured bool
 	// closed means that the server was forgotten.
 	closed bool
@@ -36,7 +36,7 @@
 // once and not be used after that.
 type Permit struct {
 	server *server
-	// limited means that the limit was in full use with this permit.
+	// limited means that the limit was in full use once this permit was taken.
 	limited bool
 	next    *Permit
 }
@@ -71,7 +71,7 @@
 
 func (s *server) unused() bool { return !s.configured && s.inFlight == 0 && s.queue.count == 0 }
 
-// close refuses the callers that wait.
+// close refuses all waiting callers and stops the timer.
 func (s *server) close() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -93,8 +93,8 @@
 	return s.take()
 }
 
-// take hands out a permit if the limit allows it. The clock is only read when
-// the whole slots are in use.
+// take returns a permit if the limit allows it. The clock is read only when all
+// whole slots are in use.
 func (s *server) take() (*Permit, bool) {
 	if s.inFlight < s.controller.wholeSlots() {
 		return s.takeWhole(), true
@@ -122,12 +122,12 @@
 	return s.newPermit(s.inFlight > 1 || s.pacer.tokens < 1)
 }
 
-// fractionReady reports whether the pacer allows a use of the fractional slot.
+// fractionReady reports whether the pacer has a token for the fractional slot.
 func (s *server) fractionReady() bool {
 	return s.controller.fraction() > 0 && s.pacer.tokens >= 1
 }
 
-// advance brings what moves with time up to now.
+// advance updates the limit and the pacer to the given time.
 func (s *server) advance(now time.Time) {
 	s.controller.recover(now)
 	s.pacer.refill(s.controller.fraction(), s.controller.latency.Average(), now)
@@ -144,7 +144,7 @@
 	return permit
 }
 
-// Release gives the permit back and moves the server's limit by the result.
+// Release returns the permit and adjusts the server's limit according to the result.
 func (p *Permit) Release(result Result) {
 	s := p.server
 	if s.release(p, result, time.Now()) {
@@ -152,7 +152,7 @@
 	}
 }
 
-// release reports whether the server is left without use and unconfigured.
+// release reports whether the server is now unused and was never configured.
 func (s *server) release(p *Permit, result Result, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -168,8 +168,8 @@
 	return s.unused()
 }
 
-// dispatch serves the callers that wait, in order, refuses those that the limit
-// has become too low for, and sees to it that it is called again in time.
+// dispatch grants permits to waiting callers in order, refuses those whose
+// predicted wait has become too long, and schedules the next dispatch.
 func (s *server) dispatch(now time.Time) {
 	if s.queue.count == 0 || s.closed {
 		return
@@ -187,7 +187,7 @@
 	s.scheduleDispatch(now)
 }
 
-// scheduleDispatch arranges a dispatch for when the pacer has a token.
+// scheduleDispatch schedules a dispatch for when the pacer has a token.
 func (s *server) scheduleDispatch(now time.Time) {
 	s.advance(now)
 	if s.queue.count == 0 || s.inFlight != s.controller.wholeSlots() || s.controller.fraction() == 0 {
@@ -209,14 +209,14 @@
 	s.dispatch(time.Now())
 }
 
-// predictedWait is the wait of a caller with so many others ahead of it; zero
-// while no latency is known.
+// predictedWait returns the expected wait of a caller with the given number of
+// callers ahead of it; zero while no latency is known.
 func (s *server) predictedWait(ahead int) time.Duration {
 	return time.Duration(ahead+1) * s.controller.drainInterval()
 }
 
-// enqueue puts a caller that may wait until bound into the queue, or returns
-// the refusal. It returns a permit instead if one has become free meanwhile.
+// enqueue queues a caller that may wait for at most bound, or returns a refusal. It
+// returns a permit instead if one has become available meanwhile.
 func (s *server) enqueue(w *waiter, bound time.Duration) (*Permit, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -236,8 +236,8 @@
 	return nil, nil
 }
 
-// abandon takes a caller out of the queue and reports false if it was answered
-// before.
+// abandon removes a caller from the queue. It returns false if the caller has
+// already been answered.
 func (s *server) abandon(w *waiter) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -248,7 +248,8 @@
 	return true
 }
 
-// waitBound is the longest wait that leaves time for a typical answer.
+// waitBound returns the longest wait, up to MaxWait, that leaves time for an answer
+// of average latency before the deadline.
 func (s *server) waitBound(ctx context.Context) time.Duration {
 	deadline, limited := ctx.Deadline()
 	if !limited {
@@ -273,8 +274,8 @@
 	return observed
 }
 
-// saturated reports whether a new caller would have to wait. It may bring the
-// limit up to now.
+// saturated reports whether a new caller would have to wait. It may advance the
+// limit to the current time.
 func (s *server) saturated() bool {
 	if s.queue.count > 0 {
 		return true
@@ -287,12 +288,13 @@
 	return s.inFlight > whole || s.inFlight == whole && !s.fractionReady()
 }
 
-// overloaded is the refusal of a caller for which the wait is too long now.
+// overloaded returns the refusal of a caller whose wait would be too long.
 func (s *server) overloaded() *outcome.Error {
 	return s.refusal(outcome.ReasonOverloaded, max(s.predictedWait(s.queue.count), minRetryAfter))
 }
 
-// minRetryAfter is told to callers while no latency is known.
+// minRetryAfter is the minimum RetryAfter of an overload refusal; it applies while no
+// latency is known.
 const minRetryAfter = time.Millisecond
 
 func (s *server) refusal(reason outcome.Reason, retryAfter time.Duration) *outcome.Error {
--- a/pkg/limit/servers.go
+++ b/pkg/limit/servers.go
@@ -1,15 +1,15 @@
-// Package limit bounds the sub-requests that this node has at each back-end
-// server.
+// Package limit bounds the sub-requests that this node has in flight at each
+// back-end server.
 //
 // Many nodes share a server without seeing each other, so a node knows only its
-// share of the slots and what its own answers show. The limit of a server
+// share of the slots and the answers to its own sub-requests. The limit of a server
 // starts below that share, rises while answers are good and the limit is in
-// use, and falls when the server sheds, fails or slows down (additive increase,
+// full use, and falls when the server sheds, fails or slows down (additive increase,
 // multiplicative decrease). It never exceeds the node's share of connections.
 //
-// A limit need not be whole: whole slots are counted, and the fractional slot
-// is paced, so that a limit of 0.07 lets one sub-request at a time run for
-// seven hundredths of the time. See docs/design/limits.md.
+// A limit may be fractional: whole slots are counted, and the fractional slot is
+// paced by a token bucket, so that a limit of 0.07 lets one sub-request at a time
+// run for 7% of the time. See docs/design/limits.md.
 //
 // All methods are safe for concurrent use. Acquiring and releasing a free
 // permit allocates nothing.
@@ -26,7 +26,8 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// shardCount spreads servers over maps, so that adding one copies little.
+// shardCount is the number of maps that servers are spread over. Adding a server
+// copies only one of them.
 const shardCount = 64
 
 // Servers limits the sub-requests to every server of a node.
@@ -38,8 +39,8 @@
 	waiters sync.Pool
 }
 
-// shard holds some of the servers. Readers take the current map without a
-// lock; it is never changed, only replaced.
+// shard holds some of the servers. Readers load the current map without a lock; a
+// map is never modified, only replaced by a copy.
 type shard struct {
 	current atomic.Pointer[map[target.ServerID]*server]
 	// mutex is held while current is replaced.
@@ -56,15 +57,15 @@
 	return servers
 }
 
-// Configure sets the node's share of a server, at first or after the number of
+// Configure sets the node's share of a server, initially or after the number of
 // nodes that share it has changed.
 func (s *Servers) Configure(id target.ServerID, share Share) {
 	s.obtain(id, share).configure(share, time.Now())
 }
 
-// Forget drops the state of a server that is gone. Callers that wait for it are
-// refused; permits that are out may still be released. If the server comes
-// back it starts anew, and does not count the permits that were out.
+// Forget drops the state of a removed server. Waiting callers are refused with
+// reason draining; outstanding permits may still be released. If the server comes
+// back, it starts with fresh state that does not count the outstanding permits.
 func (s *Servers) Forget(id target.ServerID) {
 	home := s.shardOf(id)
 	home.mutex.Lock()
@@ -76,7 +77,7 @@
 }
 
 // dropIdle drops the state of a server that was never configured and that
-// nobody uses, for example one that a query asked after it was forgotten.
+// nobody uses, for example one that a query used after Forget.
 func (s *Servers) dropIdle(idle *server) {
 	home := s.shardOf(idle.id)
 	home.mutex.Lock()
@@ -93,20 +94,21 @@
 	h.current.Store(&next)
 }
 
-// TryAcquire takes a permit if there is one now and nobody waits for one. The
-// permit must be released. A server that was not configured gets a small share,
-// and its state is dropped when its last permit is released.
+// TryAcquire takes a permit if one is available now and no caller is waiting. The
+// permit must be released. A server that was not configured gets a small default
+// share, and its state is dropped when its last permit is released.
 func (s *Servers) TryAcquire(id target.ServerID) (*Permit, bool) {
 	return s.lookup(id).tryAcquire()
 }
 
-// Acquire takes a permit, after a short wait in order of arrival if need be.
+// Acquire takes a permit, waiting briefly in order of arrival if necessary.
 // The permit must be released.
 //
 // The wait is bounded by Options and by ctx. A caller that would wait too long
-// is refused at once, and one that waits is refused as soon as the limit falls
+// is refused at once, and a waiting caller is refused as soon as the limit falls
 // too low for it. The error is an *outcome.Error with outcome NotRun: reason
-// overloaded with RetryAfter set, or cancelled or deadline if ctx ended.
+// overloaded with RetryAfter set, or cancelled or deadline if ctx ended, or draining
+// if the server was forgotten.
 func (s *Servers) Acquire(ctx context.Context, id target.ServerID) (*Permit, error) {
 	server := s.lookup(id)
 	permit, taken := server.tryAcquire()
@@ -116,8 +118,8 @@
 	return s.wait(ctx, server)
 }
 
-// Observe returns the state of a server; of an unknown one, that of a server
-// that was never asked.
+// Observe returns the state of a server. An unknown server is reported as unused,
+// with limit 1.
 func (s *Servers) Observe(id target.ServerID) Observation {
 	found := (*s.shardOf(id).current.Load())[id]
 	if found == nil {
@@ -147,8 +149,8 @@
 	return found
 }
 
-// obtain returns the state of a server, and makes it with this share if there
-// is none.
+// obtain returns the state of a server and creates it with the given share if it
+// does not exist.
 func (s *Servers) obtain(id target.ServerID, share Share) *server {
 	home := s.shardOf(id)
 	if found := (*home.current.Load())[id]; found != nil {
--- a/pkg/limit/trend/trend.go
+++ b/pkg/limit/trend/trend.go
@@ -1,5 +1,5 @@
-// Package trend follows the latency of a server or a service and tells whether
-// it is longer than at low load.
+// Package trend tracks the latency of a server or a service and detects when it
+// is higher than at low load.
 package trend
 
 import (
@@ -8,10 +8,10 @@
 )
 
 const (
-	// sampleWeight is the weight of one answer in the average.
+	// sampleWeight is the weight of one sample in the moving average.
 	sampleWeight = 0.1
-	// clipFactor bounds what one answer counts for, in multiples of the
-	// average, so that a straggler does not look like a slow server.
+	// clipFactor bounds each sample to between average/clipFactor and
+	// average*clipFactor, so that a straggler does not look like a slow server.
 	clipFactor = 2.0
 	// p90Deviations is the number of mean deviations that ApproximateP90 adds to the average.
 	p90Deviations = 2
@@ -19,10 +19,10 @@
 
 // BaselineTimes are the time constants with which the baseline rises towards a higher average.
 type BaselineTimes struct {
-	// Idle is used while the observer's own limit is not in use: it is short,
-	// because then the observer does not cause the latency.
+	// Idle applies while the observer's own limit is not in full use. It is short,
+	// because the observer's load is then not the cause of the latency.
 	Idle time.Duration
-	// Busy is used while the limit is in use.
+	// Busy applies while the limit is in full use.
 	Busy time.Duration
 }
 
@@ -38,7 +38,8 @@
 	recorded  time.Time
 }
 
-// Record adds the latency of one good answer.
+// Record adds the latency of one successful answer. Busy says that the observer's
+// limit was in full use.
 func (l *Latency) Record(latency time.Duration, busy bool, now time.Time) {
 	value := float64(max(latency, 1))
 	if l.mean == 0 {
@@ -66,9 +67,9 @@
 }
 
 // Inflated reports whether answers take longer than tolerance times the
-// baseline and slack. Both the average and the latest answer must tell so: one
-// slow answer may be a straggler, and an average is slow to forget where
-// answers are few.
+// baseline and slack. Both the average and the latest answer must exceed this: a
+// single slow answer may be a straggler, and the average is slow to come down
+// when answers are rare.
 func (l *Latency) Inflated(latest time.Duration, tolerance float64, slack time.Duration) bool {
 	tolerated := l.baseline*tolerance + float64(slack)
 	return l.mean > tolerated && float64(latest) > tolerated
--- a/pkg/limit/waiter.go
+++ b/pkg/limit/waiter.go
@@ -7,8 +7,9 @@
 	"github.com/bramblemast/bramblemast/pkg/outcome"
 )
 
-// waiter is a caller that waits for a permit. Its answer comes once, through
-// the channel; the other fields are guarded by the server's mutex.
+// waiter is a caller waiting for a permit. It gets exactly one answer through the
+// channel unless it leaves the queue first; queued and the links are guarded by
+// the server's mutex.
 type waiter struct {
 	answer chan waitAnswer
 	timer  *time.Timer
@@ -33,8 +34,8 @@
 
 func (w *waiter) refuse(refusal *outcome.Error) { w.answer <- waitAnswer{refusal: refusal} }
 
-// wait queues the caller at the server until a permit, a refusal, the bound of
-// the wait or the end of ctx.
+// wait queues the caller at the server until it gets a permit or a refusal, the
+// wait bound expires or ctx ends.
 func (s *Servers) wait(ctx context.Context, server *server) (*Permit, error) {
 	bound := server.waitBound(ctx)
 	w := s.waiters.Get().(*waiter)
@@ -55,8 +56,8 @@
 	}
 }
 
-// stopWaiting takes the caller out of the queue. An answer that came first
-// counts.
+// stopWaiting removes the caller from the queue. If an answer came first, that
+// answer is returned instead.
 func (s *server) stopWaiting(w *waiter, refusal func() *outcome.Error) (*Permit, error) {
 	if s.abandon(w) {
 		return nil, refusal()
