--- a/pkg/configsync/bootstrap.go
+++ b/pkg/configsync/bootstrap.go
@@ -39,7 +39,7 @@
 			r.becomeReady(result)
 			return
 		}
-		r.logger.Warn("not ready: neither the store nor a ready peer could be reached", "waited", time.Since(started).String())
+		r.logger.Warn("not ready: neither the store nor a ready peer was reached", "waited", time.Since(started).String())
 		if !r.pause(ctx, backoff) {
 			return
 		}
--- a/pkg/configsync/watch.go
+++ b/pkg/configsync/watch.go
@@ -186,7 +186,7 @@
 		}
 		r.recordStoreCall(newIndex, err)
 		if err != nil {
-			r.logger.Warn("store watch failed", "prefix", prefix, "error", err, "backoff", backoff.String())
+			r.logger.Warn("watch failed", "prefix", prefix, "error", err, "backoff", backoff.String())
 			if !r.pause(ctx, max(backoff, r.storeInterval())) {
 				return
 			}
@@ -194,7 +194,7 @@
 			continue
 		}
 		if newIndex < index {
-			r.logger.Error("store index went back: the store was rolled back", "prefix", prefix, "from", index, "to", newIndex)
+			r.logger.Error("the store went back", "prefix", prefix, "from", index, "to", newIndex)
 		}
 		index, backoff = newIndex, initialStoreBackoff
 		comparison := r.applyStoreState(prefix, entries, started, SourceStore)
@@ -262,7 +262,7 @@
 	comparison := r.table.compareWithStore(prefix, found, readStart)
 	if behind := comparison.behind; len(behind) > 0 {
 		r.counters.storeBehind.Add(uint64(len(behind)))
-		r.logger.Error("store has lost templates or holds older versions than this node", "prefix", prefix, "templates", len(behind),
+		r.logger.Error("the store is behind this node", "prefix", prefix, "templates", len(behind),
 			"first", behind[0].Key(), "held", behind[0].Version(), "stored", found[behind[0].Key()])
 	}
 	return comparison
--- a/pkg/configsync/wire.go
+++ b/pkg/configsync/wire.go
@@ -86,5 +86,5 @@
 // rejectMalformed counts and logs a document that can't be decoded.
 func (r *Replica) rejectMalformed(sender string, err error) {
 	r.counters.malformed.Add(1)
-	r.logger.Warn("malformed document rejected", "sender", sender, "error", err)
+	r.logger.Warn("document refused", "sender", sender, "error", err)
 }
