--- a/pkg/exchange/attempt.go
+++ b/pkg/exchange/attempt.go
@@ -43,7 +43,7 @@
 	Withdrawn bool
 	// Arrived reports whether any byte of the request may have reached the
 	// server; valid after Run.
-	Arrived bool
+	MayHaveArrived bool
 	// ConnectTime is the time that a new connection took; zero if none was
 	// opened. Valid after Run.
 	ConnectTime time.Duration
@@ -201,7 +201,7 @@
 func (a *Attempt) converse(used *connection) (*Response, time.Duration, error) {
 	buffer := make([]byte, 0, 512)
 	message := a.Request.appendHead(buffer, a.Dialect, a.Instance, time.Until(a.Deadline))
-	a.Arrived = true
+	a.MayHaveArrived = true
 	if len(a.Request.Body) < largeBody {
 		message = append(message, a.Request.Body...)
 		if _, err := used.Write(message); err != nil {
--- a/pkg/exchange/exchange_test.go
+++ b/pkg/exchange/exchange_test.go
@@ -141,11 +141,11 @@
 			_, attempt, err := send(exchange.NewPool(name, network), request("r"), time.Second)
 			g.Expect(outcome.Of(err)).To(Equal(outcome.Unknown), name)
 			g.Expect(err).To(HaveOccurred(), name)
-			g.Expect(attempt.Arrived).To(BeTrue(), name)
+			g.Expect(attempt.MayHaveArrived).To(BeTrue(), name)
 		}
 		_, attempt, err := send(exchange.NewPool("nowhere", network), request("r"), time.Second)
 		g.Expect(outcome.Of(err)).To(Equal(outcome.NotRun))
-		g.Expect(attempt.Arrived).To(BeFalse())
+		g.Expect(attempt.MayHaveArrived).To(BeFalse())
 	})
 }
 
--- a/pkg/exchange/fuzz_test.go
+++ b/pkg/exchange/fuzz_test.go
@@ -34,7 +34,7 @@
 		if id != "r" && (id != "" || answer.Header.Get("Refused") == "") {
 			t.Fatalf("took an answer to %q", id)
 		}
-		if rest > GreatestIdle || rest > 0 && used.reader.Buffered() > 0 {
+		if rest > MaxIdleTime || rest > 0 && used.reader.Buffered() > 0 {
 			t.Fatalf("a connection rests for %s with %d bytes unread", rest, used.reader.Buffered())
 		}
 	})
@@ -72,5 +72,5 @@
 	answer, rest, err := readResponse(used, &Request{Method: "GET", ID: "r"}, dialect)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(answer.Body).To(Equal(body))
-	g.Expect(rest).To(Equal(GreatestIdle))
+	g.Expect(rest).To(Equal(MaxIdleTime))
 }
--- a/pkg/exchange/pool.go
+++ b/pkg/exchange/pool.go
@@ -17,9 +17,9 @@
 	// keepAliveSlack is how much earlier than announced by the server an idle
 	// connection is no longer used.
 	keepAliveSlack = 700 * time.Millisecond
-	// GreatestIdle is how long a connection is kept idle at most. Those of a node that loses
+	// MaxIdleTime is how long a connection is kept idle at most. Those of a node that loses
 	// power stay open at the server, so a node keeps only what it uses often.
-	GreatestIdle = 12 * time.Second
+	MaxIdleTime = 12 * time.Second
 	// scarceSpan is for how long new connections are confirmed after the server
 	// has turned one away.
 	scarceSpan = 3 * time.Second
@@ -65,7 +65,7 @@
 
 // NewPool returns an empty pool for the server at address.
 func NewPool(address string, dialer Dialer) *Pool {
-	return &Pool{address: address, dialer: dialer, bound: LongestIdle}
+	return &Pool{address: address, dialer: dialer, bound: DefaultIdleBound}
 }
 
 // IdleBound bounds the idle connections to one server.
@@ -73,13 +73,13 @@
 	// First is for how long a connection stays idle after its first request,
 	// Again after each further one: what was used again is likely to be used once
 	// more.
-	First, Again time.Duration
+	AfterFirstUse, AfterReuse time.Duration
 	// Most is how many connections are idle at a time; zero for any number.
-	Most int
+	MaxConnections int
 }
 
-// LongestIdle keeps any number of connections for as long as servers allow.
-var LongestIdle = IdleBound{First: GreatestIdle, Again: GreatestIdle}
+// DefaultIdleBound keeps any number of connections for as long as servers allow.
+var DefaultIdleBound = IdleBound{AfterFirstUse: MaxIdleTime, AfterReuse: MaxIdleTime}
 
 // SetIdle bounds the connections that are put back from now on.
 func (p *Pool) SetIdle(bound IdleBound) {
@@ -171,12 +171,12 @@
 func (p *Pool) put(used *connection, announced time.Duration, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	bound := p.bound.First
+	bound := p.bound.AfterFirstUse
 	if used.reused {
-		bound = p.bound.Again
+		bound = p.bound.AfterReuse
 	}
 	used.idleSince, used.idleUntil = now, now.Add(min(announced, bound))
-	if p.closed || p.bound.Most > 0 && len(p.idle) >= p.bound.Most {
+	if p.closed || p.bound.MaxConnections > 0 && len(p.idle) >= p.bound.MaxConnections {
 		// The connection is given up: its end tells nothing.
 		_ = used.Close()
 		return
--- a/pkg/exchange/response.go
+++ b/pkg/exchange/response.go
@@ -112,9 +112,9 @@
 			name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 			seconds, err := strconv.Atoi(strings.TrimSpace(value))
 			if err == nil && strings.EqualFold(name, "timeout") {
-				return min(max(0, time.Duration(seconds)*time.Second-keepAliveSlack), GreatestIdle)
+				return min(max(0, time.Duration(seconds)*time.Second-keepAliveSlack), MaxIdleTime)
 			}
 		}
 	}
-	return GreatestIdle
+	return MaxIdleTime
 }
--- a/pkg/exchange/turned_away_test.go
+++ b/pkg/exchange/turned_away_test.go
@@ -81,7 +81,7 @@
 		_, second, err := send(pool, request("r2"), time.Second)
 		g.Expect(outcome.Of(err)).To(Equal(outcome.NotRun))
 		g.Expect(second.TurnedAway).To(BeTrue())
-		g.Expect(second.Arrived).To(BeFalse())
+		g.Expect(second.MayHaveArrived).To(BeFalse())
 		g.Expect(server.written.Load()).To(Equal(int64(1)), "nothing more was sent")
 
 		server.full.Store(false)
--- a/pkg/fanout/launch.go
+++ b/pkg/fanout/launch.go
@@ -282,7 +282,7 @@
 		return fleet.Abandoned
 	case err != nil && started.TurnedAway:
 		return fleet.TurnedAway
-	case err != nil && !started.Arrived && outcome.Of(err) == outcome.NotRun:
+	case err != nil && !started.MayHaveArrived && outcome.Of(err) == outcome.NotRun:
 		return fleet.Unreachable
 	case err != nil:
 		return fleet.Failed
--- a/pkg/fanout/result.go
+++ b/pkg/fanout/result.go
@@ -41,12 +41,12 @@
 		part.executions--
 		part.refusals++
 		part.markNotRun(failed.lease)
-		if !failed.Arrived {
+		if !failed.MayHaveArrived {
 			part.arrivals--
 		}
 	case isNotRun:
 		part.executions--
-		if !failed.Arrived {
+		if !failed.MayHaveArrived {
 			part.arrivals--
 			part.markNotRun(failed.lease)
 		}
--- a/pkg/fleet/idle.go
+++ b/pkg/fleet/idle.go
@@ -24,7 +24,7 @@
 
 // scarceIdle is the idle bound where not every node can keep a connection: connections in regular
 // use are kept, those of one or two hedges are not.
-var scarceIdle = exchange.IdleBound{First: time.Second, Again: 2500 * time.Millisecond}
+var scarceIdle = exchange.IdleBound{AfterFirstUse: time.Second, AfterReuse: 2500 * time.Millisecond}
 
 // idleBound returns how many connections to a server are kept idle, and for how long. Where each
 // node can keep one, they are kept for as long as servers allow. Where there are too many nodes for
@@ -32,7 +32,7 @@
 func (f *Fleet) idleBound(server *member) exchange.IdleBound {
 	connections := float64(f.connections[server.Service])
 	if connections <= 0 {
-		return exchange.LongestIdle
+		return exchange.DefaultIdleBound
 	}
 	if f.areConnectionsScarce(connections) {
 		return scarceIdle
@@ -41,8 +41,8 @@
 	if server.Zone == f.settings.Local.Zone {
 		share, sharers = sameZoneIdleShare, f.callers.ByZone[server.Zone]
 	}
-	bound := exchange.LongestIdle
-	bound.Most = max(1, int(share*connections/float64(max(1, sharers))))
+	bound := exchange.DefaultIdleBound
+	bound.MaxConnections = max(1, int(share*connections/float64(max(1, sharers))))
 	return bound
 }
 
