--- a/pkg/admission/predict.go
+++ b/pkg/admission/predict.go
@@ -47,16 +47,16 @@
 func (g *Gate) state(request *Request, class rank, alike int, now time.Time) policy.AdmissionState {
 	latency := g.controller.latencies.of(kind{request.Tenant, class})
 	state := policy.AdmissionState{
-		Class:          classes[class],
-		InFlight:       g.inFlight,
-		Queued:         g.queued,
-		QueuedAlike:    alike,
-		Standing:       g.queues[class].meter.standing,
-		Limit:          g.controller.places(),
-		DrainRate:      g.drainRate(),
-		Remaining:      remainingOf(request, now),
-		TypicalService: latency.Average(),
-		SlowService:    latency.ApproximateP90(),
+		Class:           classes[class],
+		InFlight:        g.inFlight,
+		Queued:          g.queued,
+		QueuedSameClass: alike,
+		BacklogAge:      g.queues[class].meter.standing,
+		Limit:           g.controller.places(),
+		DrainRate:       g.drainRate(),
+		Remaining:       remainingOf(request, now),
+		TypicalService:  latency.Average(),
+		SlowService:     latency.ApproximateP90(),
 	}
 	sameClass := g.queues[class].aheadOf(request.Tenant, alike)
 	state.QueuedAhead = sameClass
--- a/pkg/fanout/launch.go
+++ b/pkg/fanout/launch.go
@@ -111,7 +111,7 @@
 		Typical: profile.Mean, Network: lease.Network,
 	}
 	if !r.plan.Target.IsZero() {
-		observation.Useful = max(r.plan.Target.Sub(now), time.Nanosecond)
+		observation.UsefulRemaining = max(r.plan.Target.Sub(now), time.Nanosecond)
 		observation.Alternative, _ = r.runner.Fleet.Estimate(r.choice(part), now)
 	}
 	wait, ok := r.plan.Hedge.Delay(observation)
--- a/pkg/policy/admission.go
+++ b/pkg/policy/admission.go
@@ -89,7 +89,7 @@
 // to one service time. Archive requests have the time to wait.
 func longestWait(state AdmissionState) time.Duration {
 	wait := state.Remaining - slowService(state)
-	if state.Standing <= standingQueue || state.Class == ClassArchive {
+	if state.BacklogAge <= standingQueue || state.Class == ClassArchive {
 		return wait
 	}
 	return min(wait, slowService(state))
@@ -126,7 +126,7 @@
 
 // queueUpTo queues a request unless its tenant and class have enough waiting.
 func queueUpTo(maxQueued int, state AdmissionState) AdmissionDecision {
-	if state.QueuedAlike >= maxQueued {
+	if state.QueuedSameClass >= maxQueued {
 		return AdmissionDecision{Verdict: Refuse, RetryAfter: RetryAfter(state)}
 	}
 	return AdmissionDecision{Verdict: Queue}
--- a/pkg/policy/hedge.go
+++ b/pkg/policy/hedge.go
@@ -99,12 +99,12 @@
 		return 0, false
 	}
 	wait := observed.Network + time.Duration(h.factor*float64(typical))
-	if observed.Useful > 0 {
+	if observed.UsefulRemaining > 0 {
 		second := 2 * typical
-		if expected := typical + observed.Alternative; observed.Useful-expected >= typical {
+		if expected := typical + observed.Alternative; observed.UsefulRemaining-expected >= typical {
 			second = max(second, expected)
 		}
-		wait = min(wait, max(observed.Useful-second, typical))
+		wait = min(wait, max(observed.UsefulRemaining-second, typical))
 	}
 	return wait, wait < observed.Remaining
 }
--- a/pkg/policy/policies_test.go
+++ b/pkg/policy/policies_test.go
@@ -146,7 +146,7 @@
 	DescribeTable("typical: in time for the server that is asked next",
 		func(useful, alternative, wantDelay time.Duration) {
 			delay, hedge := built(policy.Spec{Hedge: policy.HedgeSpec{Policy: "typical", Factor: 2.5}}).Hedge.Delay(policy.HedgeObservation{
-				Typical: 10 * ms, Network: 20 * ms, Remaining: time.Second, Useful: useful, Alternative: alternative,
+				Typical: 10 * ms, Network: 20 * ms, Remaining: time.Second, UsefulRemaining: useful, Alternative: alternative,
 			})
 			Expect(hedge).To(BeTrue())
 			Expect(delay).To(Equal(wantDelay))
@@ -202,7 +202,7 @@
 
 var _ = Describe("Admission policies", func() {
 	busy := policy.AdmissionState{
-		Class: policy.ClassInteractive, InFlight: 10, Limit: 10, Queued: 4, QueuedAhead: 4, QueuedAlike: 4,
+		Class: policy.ClassInteractive, InFlight: 10, Limit: 10, Queued: 4, QueuedAhead: 4, QueuedSameClass: 4,
 		DrainRate: 1000, TypicalService: 10 * ms, SlowService: 20 * ms, Remaining: 88 * ms,
 	}
 
@@ -217,21 +217,21 @@
 		},
 		Entry("unlimited", "unlimited", func(s *policy.AdmissionState) { s.Remaining = 0 }, policy.Admit),
 		Entry("bounded, place in the queue", "bounded_queue", func(s *policy.AdmissionState) { s.Remaining = 0 }, policy.Queue),
-		Entry("bounded, queue full", "bounded_queue", func(s *policy.AdmissionState) { s.QueuedAlike = 5 }, policy.Refuse),
+		Entry("bounded, queue full", "bounded_queue", func(s *policy.AdmissionState) { s.QueuedSameClass = 5 }, policy.Refuse),
 		Entry("bounded, room", "bounded_queue", func(s *policy.AdmissionState) { s.InFlight = 9; s.QueuedAhead = 0 }, policy.Admit),
 		Entry("deadline, the wait fits", "deadline_aware", func(s *policy.AdmissionState) {}, policy.Queue),
 		Entry("deadline, the wait is too long", "deadline_aware", func(s *policy.AdmissionState) { s.DrainRate = 60 }, policy.Refuse),
 		Entry("deadline, no time for a slow request", "deadline_aware", func(s *policy.AdmissionState) { s.Remaining = 22 * ms }, policy.Refuse),
 		Entry("deadline, a burst may wait", "deadline_aware", func(s *policy.AdmissionState) {
-			s.DrainRate, s.Standing = 200, 50*ms
+			s.DrainRate, s.BacklogAge = 200, 50*ms
 		}, policy.Queue),
 		Entry("deadline, a standing queue is kept short", "deadline_aware", func(s *policy.AdmissionState) {
-			s.DrainRate, s.Standing = 200, 200*ms
+			s.DrainRate, s.BacklogAge = 200, 200*ms
 		}, policy.Refuse),
 		Entry("deadline, archive may wait in a standing queue", "deadline_aware", func(s *policy.AdmissionState) {
-			s.DrainRate, s.Standing, s.Class = 200, 200*ms, policy.ClassArchive
+			s.DrainRate, s.BacklogAge, s.Class = 200, 200*ms, policy.ClassArchive
 		}, policy.Queue),
-		Entry("deadline, queue full", "deadline_aware", func(s *policy.AdmissionState) { s.QueuedAlike = 5 }, policy.Refuse),
+		Entry("deadline, queue full", "deadline_aware", func(s *policy.AdmissionState) { s.QueuedSameClass = 5 }, policy.Refuse),
 		Entry("deadline, nothing measured", "deadline_aware", func(s *policy.AdmissionState) { s.DrainRate = 0 }, policy.Queue),
 		Entry("deadline, idle although the service was slow", "deadline_aware", func(s *policy.AdmissionState) {
 			s.InFlight, s.Queued, s.QueuedAhead, s.TypicalService = 0, 0, 0, time.Second
--- a/pkg/policy/policy.go
+++ b/pkg/policy/policy.go
@@ -55,7 +55,7 @@
 	Remaining time.Duration
 	// Useful is the time until an answer loses most of its value; zero if it
 	// keeps it until the deadline.
-	Useful time.Duration
+	UsefulRemaining time.Duration
 	// Typical is the mean time of a server, and Network the time beyond it
 	// within which its answers usually come; zero if unknown.
 	Typical time.Duration
@@ -145,12 +145,12 @@
 	Queued   int
 	// QueuedAhead counts the waiting requests that would be served first.
 	QueuedAhead int
-	// QueuedAlike counts the waiting requests of the same tenant and class that
+	// QueuedSameClass counts the waiting requests of the same tenant and class that
 	// came first.
-	QueuedAlike int
+	QueuedSameClass int
 	// Standing is how long requests of the class have been waiting without a
 	// lasting pause. A burst passes soon; overload does not.
-	Standing time.Duration
+	BacklogAge time.Duration
 	// Limit is the number of requests that the gate runs at once now.
 	Limit int
 	// DrainRate is the measured rate of finished requests per second; zero if
