--- a/pkg/limit/limit_test.go
+++ b/pkg/limit/limit_test.go
@@ -22,18 +22,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// withoutDeadline hides Deadline, which may not be asked in virtual time.
+// withoutDeadline hides Deadline, which must not be called in virtual time.
 type withoutDeadline struct{ testing.TB }
 
-// model is the state of one server in the property test.
+// model is the expected state of one server in the property test.
 type model struct {
 	permits     []*limit.Permit
 	connections int
 }
 
 // TestPermitsStayWithinBounds runs random calls against a model that only
-// counts permits: the connections are never exceeded, no permit is lost or made
-// up, and the limit stays between one and the connections.
+// counts permits: the number of connections is never exceeded, no permit is lost or
+// invented, and the limit stays between one and the connections.
 func TestPermitsStayWithinBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(withoutDeadline{t}, func(t *rapid.T) {
@@ -61,10 +61,10 @@
 				"": func(t *rapid.T) {
 					observed := servers.Observe(server)
 					if observed.InFlight != len(state.permits) {
-						t.Fatalf("in flight %d, want %d", observed.InFlight, len(state.permits))
+						t.Fatalf("%d sub-requests in flight, want %d", observed.InFlight, len(state.permits))
 					}
 					if observed.Limit < 1 {
-						t.Fatalf("limit %d", observed.Limit)
+						t.Fatalf("limit is %d, want at least 1", observed.Limit)
 					}
 					requireAtMost(t, observed.Limit, max(1, state.connections))
 				},
@@ -77,24 +77,24 @@
 
 func requireAtMost(t *rapid.T, value, bound int) {
 	if value > bound {
-		t.Fatalf("%d, want at most %d", value, bound)
+		t.Fatalf("got %d, want at most %d", value, bound)
 	}
 }
 
-// requireUsable wants a permit within the longest time between two uses of the
-// smallest fraction of a slot, so that no state is a dead end.
+// requireUsable requires that a permit is available after the longest time between
+// two uses of the smallest fractional slot, so that no state blocks a server for ever.
 func requireUsable(t *rapid.T, servers *limit.Servers) {
 	time.Sleep(5 * time.Minute)
 	permit, taken := servers.TryAcquire(server)
 	if !taken {
-		t.Fatalf("no permit after five minutes: %+v", servers.Observe(server))
+		t.Fatalf("no permit available after five minutes: %+v", servers.Observe(server))
 	}
 	permit.Release(limit.Result{Cancelled: true})
 }
 
 func (m *model) release(t *rapid.T) {
 	if len(m.permits) == 0 {
-		t.Skip("no permit is out")
+		t.Skip("no outstanding permit")
 	}
 	index := rapid.IntRange(0, len(m.permits)-1).Draw(t, "permit")
 	result := limit.Result{
@@ -114,9 +114,9 @@
 	m.permits = nil
 }
 
-// single returns a limiter whose server has one slot and one connection, with
-// answers that take a known time.
-func single(latency time.Duration) *limit.Servers {
+// newSingleSlotServers returns a limiter whose server has one slot and one
+// connection, with one answer of the given latency recorded.
+func newSingleSlotServers(latency time.Duration) *limit.Servers {
 	servers := limit.NewServers(limit.Options{StartShare: 1})
 	servers.Configure(server, limit.Share{Slots: 1, Connections: 1})
 	permit, _ := servers.TryAcquire(server)
@@ -127,7 +127,7 @@
 func TestWaitersAreServedInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		servers := single(time.Millisecond)
+		servers := newSingleSlotServers(time.Millisecond)
 		held, _ := servers.TryAcquire(server)
 		var served atomic.Int64
 		for position := range int64(5) {
@@ -150,10 +150,10 @@
 	})
 }
 
-func TestWaitThatWouldBeTooLongIsRefusedAtOnce(t *testing.T) {
+func TestTooLongPredictedWaitIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		servers := single(15 * time.Millisecond)
+		servers := newSingleSlotServers(15 * time.Millisecond)
 		held, _ := servers.TryAcquire(server)
 		began := time.Now()
 		for _, deadline := range []time.Duration{20 * time.Millisecond, time.Millisecond} {
@@ -176,10 +176,10 @@
 	}
 }
 
-func TestEndOfTheCallerFreesItsPlaceAtOnce(t *testing.T) {
+func TestCancelledWaiterLeavesQueueAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		servers := single(5 * time.Millisecond)
+		servers := newSingleSlotServers(5 * time.Millisecond)
 		held, _ := servers.TryAcquire(server)
 		ctx, cancel := context.WithCancel(t.Context())
 		refused := make(chan error, 1)
@@ -198,12 +198,12 @@
 	})
 }
 
-// TestPermitOfACallerThatGoesIsNotLost grants a permit to a caller that has just
-// gone and has not left the queue yet, many times.
-func TestPermitOfACallerThatGoesIsNotLost(t *testing.T) {
+// TestPermitGrantedToCancelledWaiterIsNotLost repeatedly grants a permit to a
+// caller that has been cancelled but has not left the queue yet.
+func TestPermitGrantedToCancelledWaiterIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		servers := single(time.Millisecond)
+		servers := newSingleSlotServers(time.Millisecond)
 		for range 100 {
 			held, taken := servers.TryAcquire(server)
 			g.Expect(taken).To(BeTrue())
@@ -223,10 +223,10 @@
 	})
 }
 
-func TestForgettingAServerRefusesThoseThatWait(t *testing.T) {
+func TestForgetRefusesWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		servers := single(5 * time.Millisecond)
+		servers := newSingleSlotServers(5 * time.Millisecond)
 		held, _ := servers.TryAcquire(server)
 		refused := make(chan error, 1)
 		go func() {
@@ -241,8 +241,8 @@
 	})
 }
 
-// TestAFractionServesASteadyStreamOfWaiters shows that new callers do not put
-// off the ones that wait for the paced slot. The first answer raises the limit
+// TestAFractionServesASteadyStreamOfWaiters checks that new callers do not
+// delay those that wait for the paced slot. The first answer raises the limit
 // from 0.5 to 0.75; the others count as cancelled, so that it stays there.
 func TestAFractionServesASteadyStreamOfWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -263,13 +263,13 @@
 			}()
 			time.Sleep(time.Millisecond)
 		}
-		g.Expect(served.Load()).To(BeNumerically("~", 150, 5), "three quarters of a slot for a second")
+		g.Expect(served.Load()).To(BeNumerically("~", 150, 5), "sub-requests served by three quarters of a slot in one second")
 		cancel()
 		time.Sleep(time.Second)
 	})
 }
 
-func TestServersThatWereNotConfiguredLeaveNothingBehind(t *testing.T) {
+func TestUnconfiguredServersLeaveNoState(t *testing.T) {
 	g := NewWithT(t)
 	servers := limit.NewServers(limit.Options{})
 	g.Expect(servers.Observe("unknown")).To(Equal(limit.Observation{Limit: 1}))
@@ -286,7 +286,7 @@
 	g.Expect(servers.Len()).To(Equal(1))
 }
 
-func TestAStragglerDoesNotLowerTheLimit(t *testing.T) {
+func TestStragglersDoNotLowerLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		servers := limit.NewServers(limit.Options{StartShare: 1})
@@ -303,10 +303,10 @@
 	})
 }
 
-func TestFailuresFadeWithTime(t *testing.T) {
+func TestFailureShareDecays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		servers := single(time.Millisecond)
+		servers := newSingleSlotServers(time.Millisecond)
 		for range 20 {
 			time.Sleep(5 * time.Millisecond)
 			permit, _ := servers.TryAcquire(server)
@@ -318,7 +318,7 @@
 	})
 }
 
-func TestFreePermitsCostNoAllocation(t *testing.T) {
+func TestAcquireAndReleaseDoNotAllocate(t *testing.T) {
 	g := NewWithT(t)
 	servers := limit.NewServers(limit.Options{StartShare: 1})
 	servers.Configure(server, limit.Share{Slots: 5, Connections: 75})
@@ -334,7 +334,7 @@
 }
 
 // BenchmarkAcquireRelease spreads callers over as many servers as one node has
-// at the size to design for.
+// at the largest deployment size in the design.
 func BenchmarkAcquireRelease(b *testing.B) {
 	for _, count := range []int{16, 1250} {
 		b.Run(fmt.Sprintf("servers=%d", count), func(b *testing.B) {
--- a/pkg/limit/simulation_test.go
+++ b/pkg/limit/simulation_test.go
@@ -14,8 +14,8 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// The simulated server: 5 slots and 75 connections, as in the deployments that
-// the project is made for.
+// The simulated server has 5 slots and 75 connections, as in the deployments that
+// the project is designed for.
 const (
 	simulatedSlots       = 5
 	simulatedConnections = 75
@@ -28,7 +28,7 @@
 // simulation is one run of many nodes against one server, in virtual time.
 type simulation struct {
 	nodes int
-	// load is the offered load in multiples of the capacity.
+	// load is the offered load as a multiple of the server's capacity.
 	load    float64
 	service time.Duration
 	// backlog is the number of sub-requests that the server queues before it
@@ -41,26 +41,26 @@
 	downFrom, downUntil time.Duration
 }
 
-// simulationResult counts what happened in the measured time (failed: while
-// the server was down), as shares of the server's capacity in that time.
+// simulationResult holds the sub-requests of each kind in the measured time (failed:
+// while the server was down), as shares of the server's capacity in that time.
 type simulationResult struct {
 	goodput, shed, refused, failed float64
 	meanLatency                    time.Duration
 }
 
-// simServer serves with a number of slots and a bounded backlog.
+// simServer is a server with a number of slots and a bounded backlog.
 type simServer struct {
-	mutex      sync.Mutex
-	random     *rand.Rand
-	slots      chan struct{}
-	present    int
-	maxPresent int
-	service    time.Duration
-	downFrom   time.Time
-	downUntil  time.Time
+	mutex       sync.Mutex
+	random      *rand.Rand
+	slots       chan struct{}
+	inFlight    int
+	maxInFlight int
+	service     time.Duration
+	downFrom    time.Time
+	downUntil   time.Time
 }
 
-// ending is how the simulated server answered.
+// response is the simulated server's response to a sub-request.
 type response int
 
 const (
@@ -69,12 +69,12 @@
 	failed
 )
 
-// serve runs one sub-request.
+// serve runs one sub-request and returns the server's response.
 func (s *simServer) serve() response {
 	s.mutex.Lock()
 	now := time.Now()
 	down := !now.Before(s.downFrom) && now.Before(s.downUntil)
-	full := s.present >= s.maxPresent
+	full := s.inFlight >= s.maxInFlight
 	if down || full {
 		s.mutex.Unlock()
 		if down {
@@ -82,21 +82,21 @@
 		}
 		return shed
 	}
-	s.present++
+	s.inFlight++
 	duration := time.Duration(float64(s.service) * (0.5 + 0.5*s.random.ExpFloat64()))
 	s.mutex.Unlock()
 	s.slots <- struct{}{}
 	time.Sleep(duration)
 	<-s.slots
 	s.mutex.Lock()
-	s.present--
+	s.inFlight--
 	s.mutex.Unlock()
 	return served
 }
 
 type counters struct {
 	mutex                       sync.Mutex
-	begin                       time.Time
+	measureFrom                 time.Time
 	good, shed, refused, failed int
 	latency                     time.Duration
 }
@@ -113,14 +113,14 @@
 func (sim simulation) runInBubble() simulationResult {
 	start := time.Now()
 	server := &simServer{
-		random:     rand.New(rand.NewPCG(simulatedSeed, 1)),
-		slots:      make(chan struct{}, simulatedSlots),
-		maxPresent: simulatedSlots + sim.backlog,
-		service:    sim.service,
-		downFrom:   start.Add(sim.downFrom),
-		downUntil:  start.Add(sim.downUntil),
+		random:      rand.New(rand.NewPCG(simulatedSeed, 1)),
+		slots:       make(chan struct{}, simulatedSlots),
+		maxInFlight: simulatedSlots + sim.backlog,
+		service:     sim.service,
+		downFrom:    start.Add(sim.downFrom),
+		downUntil:   start.Add(sim.downUntil),
 	}
-	count := &counters{begin: start.Add(sim.warmUp)}
+	count := &counters{measureFrom: start.Add(sim.warmUp)}
 	var group sync.WaitGroup
 	for node := range sim.nodes {
 		group.Go(func() { sim.runNode(node, server, count) })
@@ -135,12 +135,13 @@
 	}
 }
 
-// capacity is the number of sub-requests that the server can serve in a time.
+// capacity returns the number of sub-requests that the server can serve in a duration.
 func (sim simulation) capacity(duration time.Duration) float64 {
 	return simulatedSlots * float64(duration) / float64(sim.service)
 }
 
-// runNode offers the node's part of the load, open loop, until the end.
+// runNode offers the node's part of the load as an open loop (without waiting for
+// answers) until the end of the measured time.
 func (sim simulation) runNode(node int, server *simServer, count *counters) {
 	random := rand.New(rand.NewPCG(simulatedSeed, uint64(node)+100))
 	servers := limit.NewServers(sim.options)
@@ -149,7 +150,7 @@
 		Connections: simulatedConnections / sim.nodes,
 	})
 	interval := float64(sim.service) * float64(sim.nodes) / (simulatedSlots * sim.load)
-	end := count.begin.Add(sim.measure)
+	end := count.measureFrom.Add(sim.measure)
 	var group sync.WaitGroup
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(interval * random.ExpFloat64()))
@@ -169,20 +170,20 @@
 	}
 	sent := time.Now()
 	time.Sleep(simulatedNetwork)
-	end := server.serve()
+	answer := server.serve()
 	time.Sleep(simulatedNetwork)
-	permit.Release(limit.Result{Latency: time.Since(sent), Shed: end == shed, Failed: end == failed})
-	count.record(arrived, end, time.Since(sent))
+	permit.Release(limit.Result{Latency: time.Since(sent), Shed: answer == shed, Failed: answer == failed})
+	count.record(arrived, answer, time.Since(sent))
 }
 
-func (c *counters) record(arrived time.Time, end response, latency time.Duration) {
+func (c *counters) record(arrived time.Time, answer response, latency time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	switch {
-	case end == failed:
+	case answer == failed:
 		c.failed++
-	case arrived.Before(c.begin):
-	case end == shed:
+	case arrived.Before(c.measureFrom):
+	case answer == shed:
 		c.shed++
 	default:
 		c.good++
@@ -193,14 +194,14 @@
 func (c *counters) recordRefused(arrived time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !arrived.Before(c.begin) {
+	if !arrived.Before(c.measureFrom) {
 		c.refused++
 	}
 }
 
-// TestGoodputBelowAndAboveCapacity shows that nodes which do not see each other
-// converge near the capacity of a server that they share: it is kept busy at
-// twice its capacity, sheds little, and nearly nothing is refused below it.
+// TestGoodputBelowAndAboveCapacity checks that nodes which do not see each other
+// converge near the capacity of a shared server: at twice its capacity it stays
+// busy and sheds little, and below capacity nearly nothing is refused.
 func TestGoodputBelowAndAboveCapacity(t *testing.T) {
 	for _, service := range []time.Duration{900 * time.Microsecond, 5 * time.Millisecond} {
 		for _, nodes := range []int{1, 3, 75} {
@@ -212,14 +213,14 @@
 			g.Expect(below.goodput).To(BeNumerically(">=", 0.9*low.load))
 			g.Expect(below.shed).To(BeNumerically("<=", 0.01))
 			g.Expect(above.goodput).To(BeNumerically(">=", 0.9))
-			g.Expect(above.shed).To(BeNumerically("<=", 0.1), "shed sub-requests cost attempts")
+			g.Expect(above.shed).To(BeNumerically("<=", 0.1), "shed sub-requests, as a share of capacity; each costs an attempt")
 		}
 	}
 }
 
-// TestQueueingServerIsNotOverfilled shows that latency alone bounds the load of
-// a server that queues without end and never sheds.
-func TestQueueingServerIsNotOverfilled(t *testing.T) {
+// TestQueueingServerIsNotOverloaded checks that latency alone bounds the load of
+// a server that queues without bound and never sheds.
+func TestQueueingServerIsNotOverloaded(t *testing.T) {
 	for _, nodes := range []int{1, 3} {
 		g := NewWithT(t)
 		sim := simulation{
@@ -233,9 +234,9 @@
 	}
 }
 
-// TestServerComesBack shows that the limit is low while a server fails, and
-// that nodes use the server again within a second of its return.
-func TestServerComesBack(t *testing.T) {
+// TestServerRecovery checks that the limit is low while a server fails, and
+// that nodes use the server again within a second of its recovery.
+func TestServerRecovery(t *testing.T) {
 	for _, nodes := range []int{1, 3, 75} {
 		g := NewWithT(t)
 		sim := simulation{
@@ -244,7 +245,7 @@
 			downFrom: 2 * time.Second, downUntil: 4 * time.Second,
 		}
 		result := sim.run(t)
-		g.Expect(result.failed).To(BeNumerically("<=", 0.25), "sub-requests sent to the failed server")
+		g.Expect(result.failed).To(BeNumerically("<=", 0.25), "sub-requests sent to the failed server, as a share of its capacity")
 		g.Expect(result.goodput).To(BeNumerically(">=", 0.9*sim.load))
 	}
 }
