--- a/pkg/limit/controller.go
+++ b/pkg/limit/controller.go
@@ -42,7 +42,7 @@
 	minSlots = 0.001
 )
 
-// stepSizes are the changes of the limit by a single answer.
+// stepSizes says how much a single answer changes the limit.
 type stepSizes struct {
 	// growth is the increase per good answer right after congestion, as a fraction
 	// of the share.
@@ -51,7 +51,7 @@
 	shedFactor float64
 }
 
-// With both, the limit stays constant where about one sub-request in twenty is shed:
+// With either set the limit stays constant where about one sub-request in twenty is shed:
 // growth / (1 - shedFactor) is 0.05 and 0.067 of the share. Below one slot a
 // node sees few answers from a server, so each has to count for more.
 var (
@@ -59,7 +59,7 @@
 	fractionalSlotSteps = stepSizes{growth: 0.02, shedFactor: 0.7}
 )
 
-// controller moves one server's limit. It is not safe for concurrent use.
+// controller adjusts the limit of one server. It is not safe for concurrent use.
 type controller struct {
 	options *Options
 	slots   float64
@@ -74,7 +74,7 @@
 	// time of the last decrease of the limit.
 	lastCongestion time.Time
 	lastDecrease   time.Time
-	// lastRecovery is the time up to which recover has raised the limit.
+	// lastRecovery is the time up to which recoverWithTime has raised the limit.
 	lastRecovery time.Time
 	// failing means that the last answer was a failure.
 	failing bool
@@ -89,7 +89,7 @@
 	return c
 }
 
-// setShare replaces the share and the bounds; the limit scales with the share.
+// setShare replaces the share and the bounds. The limit is scaled with the share.
 func (c *controller) setShare(share Share) {
 	slots := math.Max(share.Slots, minSlots)
 	if c.slots > 0 {
@@ -101,7 +101,7 @@
 	c.limit = c.clamp(c.limit)
 }
 
-// record moves the limit after a sub-request. Limited says that the limit was
+// record adjusts the limit after a sub-request. Limited says that the limit was
 // in full use when the sub-request was sent; only then is a good answer
 // evidence that the server could serve more.
 func (c *controller) record(result Result, limited bool, now time.Time) {
@@ -146,8 +146,8 @@
 	if c.limit < c.rampUntil {
 		return rampFactor * math.Min(c.limit, 1)
 	}
-	quiet := float64(now.Sub(c.lastCongestion)) / float64(growthDoubling)
-	return math.Min(maxGrowth, c.stepSizes().growth*(1+quiet)) * c.slots
+	quietPeriods := float64(now.Sub(c.lastCongestion)) / float64(growthDoubling)
+	return math.Min(maxGrowth, c.stepSizes().growth*(1+quietPeriods)) * c.slots
 }
 
 func (c *controller) stepSizes() stepSizes {
@@ -157,9 +157,9 @@
 	return wholeSlotSteps
 }
 
-// recover raises a limit below the share in proportion to the elapsed time, unless
+// recoverWithTime raises a limit below the share in proportion to the elapsed time, unless
 // the last answer was a failure.
-func (c *controller) recover(now time.Time) {
+func (c *controller) recoverWithTime(now time.Time) {
 	elapsed := now.Sub(c.lastRecovery)
 	c.lastRecovery = now
 	if c.limit >= c.slots || c.failing {
--- a/pkg/limit/failures.go
+++ b/pkg/limit/failures.go
@@ -28,8 +28,8 @@
 	if value == 0 && t.share == 0 {
 		return
 	}
-	faded := t.current(now)
-	t.share = faded + failureWeight*(value-faded)
+	decayed := t.current(now)
+	t.share = decayed + failureWeight*(value-decayed)
 	t.updated = now
 }
 
--- a/pkg/limit/server.go
+++ b/pkg/limit/server.go
@@ -22,13 +22,13 @@
 	failures   failureTracker
 	inFlight   int
 	queue      waiterQueue
-	// free is a free list of released permits.
+	// freePermits is a free list of released permits.
 	freePermits *Permit
 	// dispatchTimer calls dispatch when the pacer has a token; nil until first needed.
 	dispatchTimer *time.Timer
 	// configured means that Configure was called for the server.
 	configured bool
-	// closed means that the server was forgotten.
+	// closed means that the state of the server was dropped.
 	closed bool
 }
 
@@ -129,7 +129,7 @@
 
 // advance updates the limit and the pacer to the given time.
 func (s *server) advance(now time.Time) {
-	s.controller.recover(now)
+	s.controller.recoverWithTime(now)
 	s.pacer.refill(s.controller.fraction(), s.controller.latency.Average(), now)
 }
 
--- a/pkg/limit/waiter.go
+++ b/pkg/limit/waiter.go
@@ -52,7 +52,7 @@
 	case <-w.timer.C:
 		return server.stopWaiting(w, server.timedOut)
 	case <-ctx.Done():
-		return server.stopWaiting(w, func() *outcome.Error { return server.ended(ctx) })
+		return server.stopWaiting(w, func() *outcome.Error { return server.contextEnded(ctx) })
 	}
 }
 
@@ -79,7 +79,7 @@
 	return s.overloaded()
 }
 
-func (s *server) ended(ctx context.Context) *outcome.Error {
+func (s *server) contextEnded(ctx context.Context) *outcome.Error {
 	refusal := s.refusal(outcome.ReasonCancelled, 0)
 	if context.Cause(ctx) == context.DeadlineExceeded {
 		refusal.Reason = outcome.ReasonDeadline
