--- a/pkg/policy/admission.go
+++ b/pkg/policy/admission.go
@@ -16,16 +16,16 @@
 })
 
 const (
-	// archiveShare is the share of the limit above which archive requests wait
+	// archiveLimitShare is the share of the limit above which archive requests wait
 	// although there is room, so that a ticker seldom finds the gate full.
-	archiveShare = 0.75
-	// standingQueue is how long a queue may stand before it is shortened.
-	standingQueue = 100 * time.Millisecond
-	// unknownRetryAfter is told to callers while no drain was measured.
-	unknownRetryAfter = 100 * time.Millisecond
-	// leastRetryAfter and mostRetryAfter bound what callers are told.
-	leastRetryAfter = time.Millisecond
-	mostRetryAfter  = 30 * time.Second
+	archiveLimitShare = 0.75
+	// maxBurstBacklog is how long a queue may stand before it is shortened.
+	maxBurstBacklog = 100 * time.Millisecond
+	// defaultRetryAfter is told to callers while no drain was measured.
+	defaultRetryAfter = 100 * time.Millisecond
+	// minRetryAfter and maxRetryAfter bound what callers are told.
+	minRetryAfter = time.Millisecond
+	maxRetryAfter = 30 * time.Second
 )
 
 // unlimited is the baseline: everything runs at once.
@@ -62,10 +62,10 @@
 
 // Decide implements AdmissionPolicy.
 func (p deadlineAwareAdmission) Decide(state AdmissionState) AdmissionDecision {
-	if state.QueuedAhead == 0 && state.InFlight < limitFor(state) && mayRunNow(state) {
+	if state.QueuedAhead == 0 && state.InFlight < classLimit(state) && mayRunNow(state) {
 		return AdmissionDecision{Verdict: Admit}
 	}
-	if PredictedWait(state) > longestWait(state) {
+	if PredictedWait(state) > maxAllowedWait(state) {
 		return AdmissionDecision{Verdict: Refuse, RetryAfter: RetryAfter(state)}
 	}
 	return queueUpTo(p.maxQueued, state)
@@ -80,16 +80,16 @@
 	return slowService(state) <= state.Remaining
 }
 
-// longestWait is the wait that a request may have. What is left has to be
+// maxAllowedWait is the wait that a request may have. What is left has to be
 // enough for a slow request: a queue of requests that are just in time for a
 // typical one would deliver half of them too late.
 //
 // In a burst the queue may be as long as that. While a queue stands, its length
 // only adds to the latency of all and nothing to what is served, so it is kept
 // to one service time. Archive requests have the time to wait.
-func longestWait(state AdmissionState) time.Duration {
+func maxAllowedWait(state AdmissionState) time.Duration {
 	wait := state.Remaining - slowService(state)
-	if state.BacklogAge <= standingQueue || state.Class == ClassArchive {
+	if state.BacklogAge <= maxBurstBacklog || state.Class == ClassArchive {
 		return wait
 	}
 	return min(wait, slowService(state))
@@ -112,16 +112,16 @@
 		return 0
 	}
 	seconds := requests / state.DrainRate
-	return time.Duration(min(seconds, mostRetryAfter.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// limitFor returns the number of requests that may run before one of this
+// classLimit returns the number of requests that may run before one of this
 // class has to wait.
-func limitFor(state AdmissionState) int {
+func classLimit(state AdmissionState) int {
 	if state.Class != ClassArchive {
 		return state.Limit
 	}
-	return max(1, int(archiveShare*float64(state.Limit)))
+	return max(1, int(archiveLimitShare*float64(state.Limit)))
 }
 
 // queueUpTo queues a request unless its tenant and class have enough waiting.
@@ -137,14 +137,14 @@
 func RetryAfter(state AdmissionState) time.Duration {
 	wait := drainTime(state, float64(state.QueuedAhead)+1)
 	if wait == 0 {
-		wait = max(unknownRetryAfter, state.TypicalService)
+		wait = max(defaultRetryAfter, state.TypicalService)
 	}
-	return max(leastRetryAfter, wait)
+	return max(minRetryAfter, wait)
 }
 
 func validateQueue(spec AdmissionSpec) FieldErrors {
-	var wrong FieldErrors
-	wrong.checkAtLeast("max_queued", spec.MaxQueued, 1)
-	wrong.checkAtMost("max_queued", spec.MaxQueued, maxQueued)
-	return wrong
+	var errs FieldErrors
+	errs.checkMin("max_queued", spec.MaxQueued, 1)
+	errs.checkMax("max_queued", spec.MaxQueued, maxQueued)
+	return errs
 }
--- a/pkg/policy/build.go
+++ b/pkg/policy/build.go
@@ -8,9 +8,9 @@
 // Build makes the policies that spec names. Empty fields are set to their
 // defaults. The error is a FieldErrors that lists every bad field.
 func Build(spec Spec) (Set, error) {
-	set, wrong := build(spec)
-	if len(wrong) > 0 {
-		return Set{}, wrong
+	set, errs := build(spec)
+	if len(errs) > 0 {
+		return Set{}, errs
 	}
 	return set, nil
 }
@@ -18,35 +18,35 @@
 // Validate returns every bad field of spec, or nil. Empty fields are good:
 // they stand for their defaults.
 func Validate(spec Spec) FieldErrors {
-	_, wrong := build(spec)
-	return wrong
+	_, errs := build(spec)
+	return errs
 }
 
 func build(spec Spec) (Set, FieldErrors) {
 	spec = withDefaults(spec)
 	var set Set
-	var wrong, found FieldErrors
-	set.Replica, found = replicas.build(spec.Replica.Policy, spec.Replica)
-	wrong = append(wrong, found...)
-	set.Hedge, found = hedges.build(spec.Hedge.Policy, spec.Hedge)
-	wrong = append(wrong, found...)
-	set.Stop, found = stops.build(spec.Stop.Policy, spec.Stop)
-	wrong = append(wrong, found...)
-	set.Admission, found = admissions.build(spec.Admission.Policy, spec.Admission)
-	wrong = append(wrong, found...)
-	set.Retry, found = retries.build(spec.Retry.Policy, spec.Retry)
-	wrong = append(wrong, found...)
+	var errs, kindErrors FieldErrors
+	set.Replica, kindErrors = replicas.build(spec.Replica.Policy, spec.Replica)
+	errs = append(errs, kindErrors...)
+	set.Hedge, kindErrors = hedges.build(spec.Hedge.Policy, spec.Hedge)
+	errs = append(errs, kindErrors...)
+	set.Stop, kindErrors = stops.build(spec.Stop.Policy, spec.Stop)
+	errs = append(errs, kindErrors...)
+	set.Admission, kindErrors = admissions.build(spec.Admission.Policy, spec.Admission)
+	errs = append(errs, kindErrors...)
+	set.Retry, kindErrors = retries.build(spec.Retry.Policy, spec.Retry)
+	errs = append(errs, kindErrors...)
 	set.ExtraLoad = spec.ExtraLoad
-	wrong = append(wrong, validateExtraLoad(spec.ExtraLoad).Prefixed("extra_load")...)
-	return set, wrong
+	errs = append(errs, validateExtraLoad(spec.ExtraLoad).Prefixed("extra_load")...)
+	return set, errs
 }
 
 func validateExtraLoad(spec ExtraLoadSpec) FieldErrors {
-	var wrong FieldErrors
-	wrong.checkShare("share", spec.Share)
-	wrong.checkAtLeast("burst", spec.Burst, 0)
-	wrong.checkAtMost("burst", spec.Burst, maxBurst)
-	return wrong
+	var errs FieldErrors
+	errs.checkShare("share", spec.Share)
+	errs.checkMin("burst", spec.Burst, 0)
+	errs.checkMax("burst", spec.Burst, maxBurst)
+	return errs
 }
 
 // The greatest parameters that make sense; more is taken for a slip.
@@ -67,15 +67,15 @@
 	}
 }
 
-func (e *FieldErrors) checkAtLeast(path string, value, least int) {
-	if value < least {
-		e.add(path, "%d: want at least %d", value, least)
+func (e *FieldErrors) checkMin(path string, value, minimum int) {
+	if value < minimum {
+		e.add(path, "%d: want at least %d", value, minimum)
 	}
 }
 
-func (e *FieldErrors) checkAtMost(path string, value, most int) {
-	if value > most {
-		e.add(path, "%d: want at most %d", value, most)
+func (e *FieldErrors) checkMax(path string, value, maximum int) {
+	if value > maximum {
+		e.add(path, "%d: want at most %d", value, maximum)
 	}
 }
 
--- a/pkg/policy/build_test.go
+++ b/pkg/policy/build_test.go
@@ -21,10 +21,10 @@
 	It("fills every empty field with its default", func() {
 		Expect(policy.Validate(policy.Spec{})).To(BeEmpty())
 		Expect(policy.Validate(policy.Defaults())).To(BeEmpty())
-		set := built(policy.Spec{})
+		set := mustBuild(policy.Spec{})
 		Expect(set.ExtraLoad).To(Equal(policy.Defaults().ExtraLoad))
-		for _, made := range []any{set.Replica, set.Hedge, set.Stop, set.Admission, set.Retry} {
-			Expect(made).NotTo(BeNil())
+		for _, builtPolicy := range []any{set.Replica, set.Hedge, set.Stop, set.Admission, set.Retry} {
+			Expect(builtPolicy).NotTo(BeNil())
 		}
 	})
 
@@ -37,35 +37,35 @@
 			Retry:     policy.RetrySpec{MaxAttempts: 99},
 			ExtraLoad: policy.ExtraLoadSpec{Share: -0.1, Burst: -1},
 		})
-		var wrong policy.FieldErrors
-		Expect(err).To(BeAssignableToTypeOf(wrong))
-		wrong = err.(policy.FieldErrors)
-		paths := make([]string, 0, len(wrong))
-		for _, field := range wrong {
+		var errs policy.FieldErrors
+		Expect(err).To(BeAssignableToTypeOf(errs))
+		errs = err.(policy.FieldErrors)
+		paths := make([]string, 0, len(errs))
+		for _, field := range errs {
 			paths = append(paths, field.Path)
 			Expect(field.Message).NotTo(BeEmpty())
 			Expect(err.Error()).To(ContainSubstring(field.Error()))
 		}
 		Expect(paths).To(ConsistOf("replica.policy", "hedge.quantile", "hedge.delay", "stop.coverage", "stop.grace",
 			"admission.max_queued", "retry.max_attempts", "extra_load.share", "extra_load.burst"))
-		Expect(wrong[0].Message).To(ContainSubstring("least_in_flight, random, two_choices"))
+		Expect(errs[0].Message).To(ContainSubstring("least_in_flight, random, two_choices"))
 	})
 
 	It("wants a delay for a fixed hedge", func() {
-		wrong := policy.Validate(policy.Spec{Hedge: policy.HedgeSpec{Policy: "fixed"}})
-		Expect(wrong).To(HaveLen(1))
-		Expect(wrong[0].Path).To(Equal("hedge.delay"))
+		errs := policy.Validate(policy.Spec{Hedge: policy.HedgeSpec{Policy: "fixed"}})
+		Expect(errs).To(HaveLen(1))
+		Expect(errs[0].Path).To(Equal("hedge.delay"))
 	})
 
 	It("rejects numbers that are none", func() {
 		nan := 0.0
 		nan /= nan
-		wrong := policy.Validate(policy.Spec{
+		errs := policy.Validate(policy.Spec{
 			Hedge:     policy.HedgeSpec{Quantile: nan},
 			Stop:      policy.StopSpec{Policy: "coverage", Coverage: nan},
 			ExtraLoad: policy.ExtraLoadSpec{Share: nan},
 		})
-		Expect(wrong).To(HaveLen(3))
+		Expect(errs).To(HaveLen(3))
 	})
 
 	It("takes the policies of embedders by name", func() {
@@ -73,7 +73,7 @@
 			return alwaysFirst{}, nil
 		})
 		Expect(policy.Names(policy.KindReplica)).To(ContainElement("always_first"))
-		Expect(built(policy.Spec{Replica: policy.ReplicaSpec{Policy: "always_first"}}).Replica).To(Equal(alwaysFirst{}))
+		Expect(mustBuild(policy.Spec{Replica: policy.ReplicaSpec{Policy: "always_first"}}).Replica).To(Equal(alwaysFirst{}))
 		Expect(func() { policy.RegisterReplica("random", nil) }).To(Panic())
 	})
 
--- a/pkg/policy/defaults.go
+++ b/pkg/policy/defaults.go
@@ -68,32 +68,32 @@
 // withDefaults fills every field that is empty.
 func withDefaults(spec Spec) Spec {
 	defaults := Defaults()
-	fill(&spec.Replica.Policy, defaults.Replica.Policy)
-	fill(&spec.Hedge.Policy, defaults.Hedge.Policy)
+	setDefault(&spec.Replica.Policy, defaults.Replica.Policy)
+	setDefault(&spec.Hedge.Policy, defaults.Hedge.Policy)
 	if spec.Hedge.Policy != HedgeFixed {
-		fill(&spec.Hedge.Delay, defaults.Hedge.Delay)
+		setDefault(&spec.Hedge.Delay, defaults.Hedge.Delay)
 	}
-	fill(&spec.Hedge.Quantile, defaults.Hedge.Quantile)
-	fill(&spec.Hedge.Factor, defaults.Hedge.Factor)
-	fill(&spec.Stop.Policy, defaults.Stop.Policy)
+	setDefault(&spec.Hedge.Quantile, defaults.Hedge.Quantile)
+	setDefault(&spec.Hedge.Factor, defaults.Hedge.Factor)
+	setDefault(&spec.Stop.Policy, defaults.Stop.Policy)
 	if spec.Stop.Policy != StopRuleFirst {
-		fill(&spec.Stop.Coverage, defaults.Stop.Coverage)
+		setDefault(&spec.Stop.Coverage, defaults.Stop.Coverage)
 	}
-	fill(&spec.Stop.Grace, defaults.Stop.Grace)
-	fill(&spec.Stop.Records, defaults.Stop.Records)
-	fill(&spec.Admission.Policy, defaults.Admission.Policy)
-	fill(&spec.Admission.MaxQueued, defaults.Admission.MaxQueued)
-	fill(&spec.Retry.Policy, defaults.Retry.Policy)
-	fill(&spec.Retry.MaxAttempts, defaults.Retry.MaxAttempts)
-	fill(&spec.ExtraLoad.Share, defaults.ExtraLoad.Share)
-	fill(&spec.ExtraLoad.Burst, defaults.ExtraLoad.Burst)
+	setDefault(&spec.Stop.Grace, defaults.Stop.Grace)
+	setDefault(&spec.Stop.Records, defaults.Stop.Records)
+	setDefault(&spec.Admission.Policy, defaults.Admission.Policy)
+	setDefault(&spec.Admission.MaxQueued, defaults.Admission.MaxQueued)
+	setDefault(&spec.Retry.Policy, defaults.Retry.Policy)
+	setDefault(&spec.Retry.MaxAttempts, defaults.Retry.MaxAttempts)
+	setDefault(&spec.ExtraLoad.Share, defaults.ExtraLoad.Share)
+	setDefault(&spec.ExtraLoad.Burst, defaults.ExtraLoad.Burst)
 	return spec
 }
 
 // fill sets an empty field to its default.
-func fill[T comparable](field *T, standard T) {
-	var empty T
-	if *field == empty {
-		*field = standard
+func setDefault[T comparable](field *T, defaultValue T) {
+	var zero T
+	if *field == zero {
+		*field = defaultValue
 	}
 }
--- a/pkg/policy/hedge.go
+++ b/pkg/policy/hedge.go
@@ -30,12 +30,12 @@
 type fixedHedge struct{ delay time.Duration }
 
 func newFixedHedge(spec HedgeSpec) (HedgePolicy, FieldErrors) {
-	var wrong FieldErrors
+	var errs FieldErrors
 	if spec.Delay <= 0 {
-		wrong.add("delay", "%s: want a time above 0 for policy %q", spec.Delay.Std(), HedgeFixed)
+		errs.add("delay", "%s: want a time above 0 for policy %q", spec.Delay.Std(), HedgeFixed)
 	}
-	wrong.checkHedgeDelay(spec.Delay)
-	return fixedHedge{delay: spec.Delay.Std()}, wrong
+	errs.checkHedgeDelay(spec.Delay)
+	return fixedHedge{delay: spec.Delay.Std()}, errs
 }
 
 // Delay implements HedgePolicy.
@@ -50,25 +50,25 @@
 }
 
 func newQuantileHedge(spec HedgeSpec) (HedgePolicy, FieldErrors) {
-	var wrong FieldErrors
+	var errs FieldErrors
 	if !(spec.Quantile > 0 && spec.Quantile < 1) {
-		wrong.add("quantile", "%v: want a number above 0 and below 1", spec.Quantile)
+		errs.add("quantile", "%v: want a number above 0 and below 1", spec.Quantile)
 	}
 	if spec.Delay < 0 {
-		wrong.add("delay", "%s: want no negative time", spec.Delay.Std())
+		errs.add("delay", "%s: want no negative time", spec.Delay.Std())
 	}
-	wrong.checkHedgeDelay(spec.Delay)
-	return quantileHedge{quantile: spec.Quantile, floor: spec.Delay.Std()}, wrong
+	errs.checkHedgeDelay(spec.Delay)
+	return quantileHedge{quantile: spec.Quantile, floor: spec.Delay.Std()}, errs
 }
 
 // Delay implements HedgePolicy. There is no hedge while too few latencies were
 // seen, nor if a typical sub-request would not end in the time that remains.
 func (h quantileHedge) Delay(observed HedgeObservation) (time.Duration, bool) {
-	usual := observed.Quantile(h.quantile)
-	if usual <= 0 {
+	quantileLatency := observed.Quantile(h.quantile)
+	if quantileLatency <= 0 {
 		return 0, false
 	}
-	delay := max(usual, h.floor)
+	delay := max(quantileLatency, h.floor)
 	if delay+observed.Quantile(medianQuantile) > observed.Remaining {
 		return 0, false
 	}
@@ -80,11 +80,11 @@
 type typicalHedge struct{ factor float64 }
 
 func newTypicalHedge(spec HedgeSpec) (HedgePolicy, FieldErrors) {
-	var wrong FieldErrors
+	var errs FieldErrors
 	if !(spec.Factor >= 1 && spec.Factor <= maxHedgeFactor) {
-		wrong.add("factor", "%v: want 1 to %v for policy %q", spec.Factor, maxHedgeFactor, HedgeTypical)
+		errs.add("factor", "%v: want 1 to %v for policy %q", spec.Factor, maxHedgeFactor, HedgeTypical)
 	}
-	return typicalHedge{factor: spec.Factor}, wrong
+	return typicalHedge{factor: spec.Factor}, errs
 }
 
 // Delay implements HedgePolicy. The wait is shorter where otherwise a second
@@ -100,11 +100,11 @@
 	}
 	wait := observed.Network + time.Duration(h.factor*float64(typical))
 	if observed.UsefulRemaining > 0 {
-		second := 2 * typical
+		alternativeTime := 2 * typical
 		if expected := typical + observed.Alternative; observed.UsefulRemaining-expected >= typical {
-			second = max(second, expected)
+			alternativeTime = max(alternativeTime, expected)
 		}
-		wait = min(wait, max(observed.UsefulRemaining-second, typical))
+		wait = min(wait, max(observed.UsefulRemaining-alternativeTime, typical))
 	}
 	return wait, wait < observed.Remaining
 }
--- a/pkg/policy/policies_test.go
+++ b/pkg/policy/policies_test.go
@@ -14,15 +14,15 @@
 const ms = time.Millisecond
 
 // built returns the policies of a specification that is known to be good.
-func built(spec policy.Spec) policy.Set {
+func mustBuild(spec policy.Spec) policy.Set {
 	set, err := policy.Build(spec)
 	Expect(err).NotTo(HaveOccurred())
 	return set
 }
 
 // chosen counts how often each candidate is chosen in 1,000 draws.
-func chosen(name string, candidates []policy.ReplicaState) []int {
-	chooser := built(policy.Spec{Replica: policy.ReplicaSpec{Policy: name}}).Replica
+func countChoices(name string, candidates []policy.ReplicaState) []int {
+	chooser := mustBuild(policy.Spec{Replica: policy.ReplicaSpec{Policy: name}}).Replica
 	random := rand.New(rand.NewPCG(1, 2))
 	counts := make([]int, len(candidates))
 	for range 1000 {
@@ -31,7 +31,7 @@
 	return counts
 }
 
-func replica(change func(*policy.ReplicaState)) policy.ReplicaState {
+func replicaState(change func(*policy.ReplicaState)) policy.ReplicaState {
 	state := policy.ReplicaState{Limit: 5, Latency: 5 * ms, Weight: 1, ReportedLoad: -1}
 	if change != nil {
 		change(&state)
@@ -44,32 +44,32 @@
 var _ = Describe("Replica policies", func() {
 	It("return -1 without candidates and 0 with one", func() {
 		for _, name := range builtInReplicas {
-			chooser := built(policy.Spec{Replica: policy.ReplicaSpec{Policy: name}}).Replica
+			chooser := mustBuild(policy.Spec{Replica: policy.ReplicaSpec{Policy: name}}).Replica
 			random := rand.New(rand.NewPCG(1, 2))
 			Expect(chooser.Choose(nil, random)).To(Equal(-1), name)
-			Expect(chooser.Choose([]policy.ReplicaState{replica(nil)}, random)).To(Equal(0), name)
+			Expect(chooser.Choose([]policy.ReplicaState{replicaState(nil)}, random)).To(Equal(0), name)
 		}
 	})
 
 	It("spread equal replicas evenly", func() {
-		equal := []policy.ReplicaState{replica(nil), replica(nil), replica(nil), replica(nil)}
+		equal := []policy.ReplicaState{replicaState(nil), replicaState(nil), replicaState(nil), replicaState(nil)}
 		for _, name := range builtInReplicas {
-			Expect(chosen(name, equal)).To(HaveEach(BeNumerically("~", 250, 60)), name)
+			Expect(countChoices(name, equal)).To(HaveEach(BeNumerically("~", 250, 60)), name)
 		}
 	})
 
 	It("spread equally cold replicas evenly, as after the start of a whole service", func() {
 		cold := func(s *policy.ReplicaState) { s.Weight = 0.05 }
-		equal := []policy.ReplicaState{replica(cold), replica(cold), replica(cold), replica(cold)}
+		equal := []policy.ReplicaState{replicaState(cold), replicaState(cold), replicaState(cold), replicaState(cold)}
 		for _, name := range builtInReplicas {
-			Expect(chosen(name, equal)).To(HaveEach(BeNumerically("~", 250, 60)), name)
+			Expect(countChoices(name, equal)).To(HaveEach(BeNumerically("~", 250, 60)), name)
 		}
 	})
 
 	DescribeTable("prefer the better of two replicas",
 		func(worse func(*policy.ReplicaState), names ...string) {
 			for _, name := range names {
-				counts := chosen(name, []policy.ReplicaState{replica(worse), replica(nil)})
+				counts := countChoices(name, []policy.ReplicaState{replicaState(worse), replicaState(nil)})
 				Expect(counts[0]).To(BeZero(), name)
 			}
 		},
@@ -83,12 +83,12 @@
 
 	DescribeTable("give a cold replica work, but no more than its weight, even if it looks faster",
 		func(weight float64, warm int) {
-			candidates := []policy.ReplicaState{replica(func(s *policy.ReplicaState) { s.Weight, s.Latency = weight, 0 })}
+			candidates := []policy.ReplicaState{replicaState(func(s *policy.ReplicaState) { s.Weight, s.Latency = weight, 0 })}
 			for range warm {
-				candidates = append(candidates, replica(nil))
+				candidates = append(candidates, replicaState(nil))
 			}
 			for _, name := range []string{policy.ReplicaLeastInFlight, policy.ReplicaTwoChoices} {
-				cold := chosen(name, candidates)[0]
+				cold := countChoices(name, candidates)[0]
 				Expect(cold).To(BeNumerically(">", 0), name)
 				Expect(cold).To(BeNumerically("<=", 1.3*weight*1000), name)
 			}
@@ -100,17 +100,17 @@
 	)
 
 	It("do not let a misleading report outweigh what answers show", func() {
-		misled := replica(func(s *policy.ReplicaState) { s.ReportedLoad = 0; s.Latency = 10 * ms })
-		honest := replica(func(s *policy.ReplicaState) { s.ReportedLoad = 1 })
-		Expect(chosen("two_choices", []policy.ReplicaState{misled, honest})[0]).To(BeZero())
+		misled := replicaState(func(s *policy.ReplicaState) { s.ReportedLoad = 0; s.Latency = 10 * ms })
+		honest := replicaState(func(s *policy.ReplicaState) { s.ReportedLoad = 1 })
+		Expect(countChoices("two_choices", []policy.ReplicaState{misled, honest})[0]).To(BeZero())
 	})
 
 	It("do not send everything to the best of many", func() {
 		many := make([]policy.ReplicaState, 10)
 		for index := range many {
-			many[index] = replica(func(s *policy.ReplicaState) { s.Latency = time.Duration(10+index) * ms })
+			many[index] = replicaState(func(s *policy.ReplicaState) { s.Latency = time.Duration(10+index) * ms })
 		}
-		Expect(chosen("two_choices", many)[0]).To(BeNumerically("~", 200, 50))
+		Expect(countChoices("two_choices", many)[0]).To(BeNumerically("~", 200, 50))
 	})
 })
 
@@ -128,7 +128,7 @@
 	DescribeTable("decide",
 		func(spec policy.HedgeSpec, remaining, wantDelay time.Duration, wantHedge bool) {
 			observed.Remaining = remaining
-			delay, hedge := built(policy.Spec{Hedge: spec}).Hedge.Delay(observed)
+			delay, hedge := mustBuild(policy.Spec{Hedge: spec}).Hedge.Delay(observed)
 			Expect(hedge).To(Equal(wantHedge))
 			if wantHedge {
 				Expect(delay).To(Equal(wantDelay))
@@ -145,7 +145,7 @@
 
 	DescribeTable("typical: in time for the server that is asked next",
 		func(useful, alternative, wantDelay time.Duration) {
-			delay, hedge := built(policy.Spec{Hedge: policy.HedgeSpec{Policy: "typical", Factor: 2.5}}).Hedge.Delay(policy.HedgeObservation{
+			delay, hedge := mustBuild(policy.Spec{Hedge: policy.HedgeSpec{Policy: "typical", Factor: 2.5}}).Hedge.Delay(policy.HedgeObservation{
 				Typical: 10 * ms, Network: 20 * ms, Remaining: time.Second, UsefulRemaining: useful, Alternative: alternative,
 			})
 			Expect(hedge).To(BeTrue())
@@ -160,7 +160,7 @@
 
 	It("send none while too few latencies are known", func() {
 		unknown := policy.HedgeObservation{Quantile: func(float64) time.Duration { return 0 }, Remaining: time.Second}
-		_, hedge := built(policy.Spec{}).Hedge.Delay(unknown)
+		_, hedge := mustBuild(policy.Spec{}).Hedge.Delay(unknown)
 		Expect(hedge).To(BeFalse())
 	})
 })
@@ -169,7 +169,7 @@
 	DescribeTable("decide",
 		func(spec policy.StopSpec, progress policy.Progress, want policy.StopDecision) {
 			progress.TotalWidth = 100
-			got := built(policy.Spec{Stop: spec}).Stop.Decide(progress)
+			got := mustBuild(policy.Spec{Stop: spec}).Stop.Decide(progress)
 			if !want.Stop {
 				got.Reason = ""
 			}
@@ -195,8 +195,8 @@
 
 	It("name the share at which the grace starts", func() {
 		spec := policy.StopSpec{Policy: "coverage", Coverage: 0.9}
-		Expect(built(policy.Spec{Stop: spec}).Stop.TargetShare()).To(Equal(0.9))
-		Expect(built(policy.Spec{}).Stop.TargetShare()).To(Equal(1.0))
+		Expect(mustBuild(policy.Spec{Stop: spec}).Stop.TargetShare()).To(Equal(0.9))
+		Expect(mustBuild(policy.Spec{}).Stop.TargetShare()).To(Equal(1.0))
 	})
 })
 
@@ -211,7 +211,7 @@
 			state := busy
 			change(&state)
 			spec := policy.AdmissionSpec{Policy: name, MaxQueued: 5}
-			decision := built(policy.Spec{Admission: spec}).Admission.Decide(state)
+			decision := mustBuild(policy.Spec{Admission: spec}).Admission.Decide(state)
 			Expect(decision.Verdict).To(Equal(want))
 			Expect(decision.RetryAfter > 0).To(Equal(want == policy.Refuse), "when to retry")
 		},
@@ -247,7 +247,7 @@
 	It("tell the time until those ahead have been served", func() {
 		state := busy
 		state.DrainRate = 50
-		decision := built(policy.Spec{}).Admission.Decide(state)
+		decision := mustBuild(policy.Spec{}).Admission.Decide(state)
 		Expect(decision).To(Equal(policy.AdmissionDecision{Verdict: policy.Refuse, RetryAfter: 100 * ms}))
 	})
 })
@@ -263,7 +263,7 @@
 			state := failed
 			change(&state)
 			spec := policy.RetrySpec{Policy: name, MaxAttempts: 4}
-			Expect(built(policy.Spec{Retry: spec}).Retry.Decide(state)).To(Equal(want))
+			Expect(mustBuild(policy.Spec{Retry: spec}).Retry.Decide(state)).To(Equal(want))
 		},
 		Entry("none", "none", func(s *policy.RetryState) {}, policy.RetryDecision{}),
 		Entry("immediate", "immediate", func(s *policy.RetryState) { s.Attempts = 3 }, policy.RetryDecision{Retry: true}),
--- a/pkg/policy/registry.go
+++ b/pkg/policy/registry.go
@@ -66,12 +66,12 @@
 	factory := r.factories[name]
 	r.mutex.RUnlock()
 	if factory == nil {
-		var none P
+		var zero P
 		message := fmt.Sprintf("unknown policy %q: want one of %s", name, strings.Join(r.names(), ", "))
-		return none, FieldErrors{{Path: "policy", Message: message}}.Prefixed(string(r.kind))
+		return zero, FieldErrors{{Path: "policy", Message: message}}.Prefixed(string(r.kind))
 	}
-	built, wrong := factory(spec)
-	return built, wrong.Prefixed(string(r.kind))
+	built, errs := factory(spec)
+	return built, errs.Prefixed(string(r.kind))
 }
 
 // Names returns the registered policy names of a kind in order; nil for an
--- a/pkg/policy/replica.go
+++ b/pkg/policy/replica.go
@@ -29,9 +29,9 @@
 	// reportedLoadWeight is small because reports lag and mislead: a server
 	// that reports a full load counts as a fifth worse than an idle one.
 	reportedLoadWeight = 0.2
-	// presumedLatency stands for the latency of a replica that has not
+	// assumedLatency stands for the latency of a replica that has not
 	// answered yet. It is low, so that new replicas are tried.
-	presumedLatency = time.Millisecond
+	assumedLatency = time.Millisecond
 )
 
 // randomReplica is the baseline: any replica with the same chance.
@@ -45,21 +45,21 @@
 	return random.IntN(len(candidates))
 }
 
-// letThrough decides whether a replica takes part in a choice, by its weight
+// admitByWeight decides whether a replica takes part in a choice, by its weight
 // relative to that of the warmest one. A cold replica is thus weighed against
 // the others as if it were warm, but only in its share of the choices. Making it look worse instead would keep it from
 // any work, and so from warming up, for as long as the others are not busy.
-func letThrough(state *ReplicaState, warmest float64, random *rand.Rand) bool {
-	return state.Weight >= warmest || random.Float64()*warmest < state.Weight
+func admitByWeight(state *ReplicaState, highest float64, random *rand.Rand) bool {
+	return state.Weight >= highest || random.Float64()*highest < state.Weight
 }
 
-// warmestOf returns the greatest weight.
-func warmestOf(candidates []ReplicaState) float64 {
-	warmest := 0.0
+// highestWeight returns the greatest weight.
+func highestWeight(candidates []ReplicaState) float64 {
+	highest := 0.0
 	for index := range candidates {
-		warmest = max(warmest, candidates[index].Weight)
+		highest = max(highest, candidates[index].Weight)
 	}
-	return warmest
+	return highest
 }
 
 // leastInFlight takes the replica with the fewest sub-requests in flight for
@@ -69,9 +69,9 @@
 // Choose implements ReplicaChooser. Ties are broken at random.
 func (leastInFlight) Choose(candidates []ReplicaState, random *rand.Rand) int {
 	best, bestScore, ties := -1, 0.0, 0
-	warmest := warmestOf(candidates)
+	highest := highestWeight(candidates)
 	for index := range candidates {
-		if !letThrough(&candidates[index], warmest, random) {
+		if !admitByWeight(&candidates[index], highest, random) {
 			continue
 		}
 		score := occupancy(&candidates[index]) * distanceFactor(&candidates[index])
@@ -106,11 +106,11 @@
 	if second >= first {
 		second++
 	}
-	warmest := max(candidates[first].Weight, candidates[second].Weight)
+	highest := max(candidates[first].Weight, candidates[second].Weight)
 	switch {
-	case !letThrough(&candidates[first], warmest, random):
+	case !admitByWeight(&candidates[first], highest, random):
 		return second
-	case !letThrough(&candidates[second], warmest, random):
+	case !admitByWeight(&candidates[second], highest, random):
 		return first
 	}
 	if expectedCost(&candidates[second]) < expectedCost(&candidates[first]) {
@@ -124,7 +124,7 @@
 func expectedCost(state *ReplicaState) float64 {
 	latency := state.Latency
 	if latency <= 0 {
-		latency = presumedLatency
+		latency = assumedLatency
 	}
 	cost := float64(latency) * occupancy(state)
 	cost *= 1 + failurePenalty*state.FailureShare
--- a/pkg/policy/retry.go
+++ b/pkg/policy/retry.go
@@ -21,14 +21,14 @@
 
 // The wait of the deadline-aware policy before the second and later retries.
 const (
-	// backoffShare is the first wait as a share of the typical latency.
-	backoffShare = 0.5
+	// firstBackoffShare is the first wait as a share of the typical latency.
+	firstBackoffShare = 0.5
 	// backoffGrowth multiplies the wait from one retry to the next.
 	backoffGrowth = 3
-	// backoffUnknown stands for the first wait while no latency is known.
-	backoffUnknown = time.Millisecond
-	// backoffAtMost bounds the wait.
-	backoffAtMost = 50 * time.Millisecond
+	// defaultFirstBackoff stands for the first wait while no latency is known.
+	defaultFirstBackoff = time.Millisecond
+	// maxBackoff bounds the wait.
+	maxBackoff = 50 * time.Millisecond
 )
 
 // noRetry is the baseline.
@@ -88,22 +88,22 @@
 	if state.Attempts <= 1 {
 		return 0
 	}
-	delay := time.Duration(backoffShare * float64(state.TypicalLatency))
+	delay := time.Duration(firstBackoffShare * float64(state.TypicalLatency))
 	if delay <= 0 {
-		delay = backoffUnknown
+		delay = defaultFirstBackoff
 	}
 	for range state.Attempts - 2 {
 		delay *= backoffGrowth
-		if delay >= backoffAtMost {
-			return backoffAtMost
+		if delay >= maxBackoff {
+			return maxBackoff
 		}
 	}
-	return min(delay, backoffAtMost)
+	return min(delay, maxBackoff)
 }
 
 func validateAttempts(spec RetrySpec) FieldErrors {
-	var wrong FieldErrors
-	wrong.checkAtLeast("max_attempts", spec.MaxAttempts, 1)
-	wrong.checkAtMost("max_attempts", spec.MaxAttempts, maxAttempts)
-	return wrong
+	var errs FieldErrors
+	errs.checkMin("max_attempts", spec.MaxAttempts, 1)
+	errs.checkMax("max_attempts", spec.MaxAttempts, maxAttempts)
+	return errs
 }
--- a/pkg/policy/stop.go
+++ b/pkg/policy/stop.go
@@ -39,22 +39,22 @@
 }
 
 func newStopAtCoverage(spec StopSpec) (StopRule, FieldErrors) {
-	var wrong FieldErrors
-	wrong.checkShare("coverage", spec.Coverage)
+	var errs FieldErrors
+	errs.checkShare("coverage", spec.Coverage)
 	if spec.Grace < 0 {
-		wrong.add("grace", "%s: want no negative time", spec.Grace.Std())
+		errs.add("grace", "%s: want no negative time", spec.Grace.Std())
 	}
-	return stopAtCoverage{coverage: spec.Coverage, grace: spec.Grace.Std()}, wrong
+	return stopAtCoverage{coverage: spec.Coverage, grace: spec.Grace.Std()}, errs
 }
 
 // Decide implements StopRule.
 func (r stopAtCoverage) Decide(progress Progress) StopDecision {
-	if !reached(progress, r.coverage) {
+	if !coverageReached(progress, r.coverage) {
 		return StopDecision{}
 	}
-	left := r.grace - progress.SinceCoverage
-	if left > 0 {
-		return StopDecision{Recheck: left}
+	graceLeft := r.grace - progress.SinceCoverage
+	if graceLeft > 0 {
+		return StopDecision{Recheck: graceLeft}
 	}
 	return StopDecision{Stop: true, Reason: StopCoverage}
 }
@@ -70,24 +70,24 @@
 }
 
 func newStopAtFirst(spec StopSpec) (StopRule, FieldErrors) {
-	var wrong FieldErrors
-	wrong.checkAtLeast("records", spec.Records, 1)
-	wrong.checkAtMost("records", spec.Records, maxRecords)
+	var errs FieldErrors
+	errs.checkMin("records", spec.Records, 1)
+	errs.checkMax("records", spec.Records, maxRecords)
 	if !(spec.Coverage >= 0 && spec.Coverage <= 1) {
-		wrong.add("coverage", "%v: want a number from 0 to 1", spec.Coverage)
+		errs.add("coverage", "%v: want a number from 0 to 1", spec.Coverage)
 	}
-	return stopAtFirst{records: spec.Records, coverage: spec.Coverage}, wrong
+	return stopAtFirst{records: spec.Records, coverage: spec.Coverage}, errs
 }
 
 // Decide implements StopRule.
 func (r stopAtFirst) Decide(progress Progress) StopDecision {
-	stop := progress.Records >= r.records && reached(progress, r.coverage)
+	stop := progress.Records >= r.records && coverageReached(progress, r.coverage)
 	return StopDecision{Stop: stop, Reason: StopFirstResults}
 }
 
 // TargetShare implements StopRule.
 func (r stopAtFirst) TargetShare() float64 { return r.coverage }
 
-func reached(progress Progress, share float64) bool {
+func coverageReached(progress Progress, share float64) bool {
 	return progress.Share()+shareTolerance >= share
 }
