--- a/pkg/exchange/attempt.go
+++ b/pkg/exchange/attempt.go
@@ -14,45 +14,46 @@
 	"github.com/bramblemast/bramblemast/pkg/outcome"
 )
 
-// largeBody is the size from which a body is sent while the answer is awaited,
-// since a server may answer before it has read a long body.
-const largeBody = 4 << 10
+// largeBodySize is the size in bytes from which a body is sent while the response is being read,
+// since a server may respond before it has read a long body.
+const largeBodySize = 4 << 10
 
-// turnedAwayWithin is how soon, beyond two round trips, a server that has too
-// many connections resets a new one.
-const turnedAwayWithin = 10 * time.Millisecond
+// turnedAwayWindow is the time, in addition to two round trips, within which a server that has
+// too many connections resets a new one.
+const turnedAwayWindow = 10 * time.Millisecond
 
-// silentSpan is for how long a connection that was used before must have said nothing
-// to be taken for silent: beyond the pauses and slow answers of a sound server, which
-// would otherwise cost it new connections.
-const silentSpan = 400 * time.Millisecond
+// minSilence is how long a reused connection must have delivered nothing before it is considered
+// silent. It is longer than the pauses and slow responses of a healthy server, which would
+// otherwise have to accept new connections.
+const minSilence = 400 * time.Millisecond
 
-// Attempt is one sending of a request to one server. Run is called once;
-// Expire may be called at any time from other goroutines.
+// Attempt sends a request once to one server. Run is called once; Expire may be called at any
+// time from other goroutines.
 type Attempt struct {
 	Dialect  *Dialect
 	Pool     *Pool
 	Request  *Request
 	Instance string
-	// Deadline is when the server's work loses its use.
+	// Deadline is the time after which the response is of no use.
 	Deadline time.Time
-	// MaySend reports, right before the request is sent, whether it still may be: opening a
-	// connection can take seconds. Nil if nothing can change meanwhile.
+	// MaySend is called right before the request is sent and reports whether sending is still
+	// allowed, since opening a connection can take seconds. Nil if this cannot change meanwhile.
 	MaySend func() bool
-	// Withdrawn reports that MaySend did not allow it. Valid after Run.
+	// Withdrawn reports that the request was not sent because MaySend returned false. Valid after
+	// Run.
 	Withdrawn bool
-	// Arrived reports whether any byte of the request may have reached the
-	// server; valid after Run.
+	// MayHaveArrived reports whether any byte of the request may have reached the server. Valid
+	// after Run.
 	MayHaveArrived bool
-	// ConnectTime is the time that a new connection took; zero if none was
-	// opened. Valid after Run.
+	// ConnectTime is the time that it took to open a new connection; zero if none was opened.
+	// Valid after Run.
 	ConnectTime time.Duration
-	// TurnedAway reports that the server reset a new connection before it can
-	// have done any work: it likely has too many connections. It is no evidence
-	// that the request did not run. Valid after Run.
+	// TurnedAway reports that the server reset a new connection before it can have done any work,
+	// most likely because it has too many connections. This does not prove that the request did
+	// not run. Valid after Run.
 	TurnedAway bool
-	// Broken reports that the other side ended the connection after the request may have
-	// arrived and before its whole answer, as a server does that crashes. Valid after Run.
+	// Broken reports that the server closed the connection after the request may have arrived and
+	// before the response was complete, as happens when a server crashes. Valid after Run.
 	Broken bool
 
 	mutex sync.Mutex
@@ -62,14 +63,14 @@
 	current    net.Conn
 }
 
-// Expire makes the attempt fail at the given moment if it has not ended by
-// then. A moment that has passed ends it at once.
+// Expire makes the attempt fail at the given time if it has not ended by then. A time in the past
+// ends it at once.
 func (a *Attempt) Expire(end time.Time) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.end = end
 	if a.current != nil {
-		// It fails only on a connection that has ended, which the next read or write finds.
+		// This fails only on a closed connection, which the next read or write detects.
 		_ = a.current.SetDeadline(end)
 	}
 	if a.cancelDial != nil && !end.After(time.Now()) {
@@ -77,70 +78,69 @@
 	}
 }
 
-// errWithdrawn is why a request was not sent although a connection was open.
+// errWithdrawn is the cause of the failure if MaySend returned false.
 var errWithdrawn = errors.New("the server may not be asked any more")
 
-// Run sends the request and returns the server's whole answer, or an
-// *outcome.Error with what is known about the execution.
+// Run sends the request and returns the server's complete response, or an *outcome.Error that
+// states whether the request may have run.
 func (a *Attempt) Run() (*Response, error) {
-	used, err := a.connect()
+	conn, err := a.connect()
 	if err != nil {
-		a.noteTurnedAway(errors.Is(err, syscall.ECONNRESET))
+		a.recordTurnedAway(errors.Is(err, syscall.ECONNRESET))
 		return nil, a.failure("connect", outcome.NotRun, outcome.ReasonUnreachable, err)
 	}
-	if !a.own(used) {
-		// The connection is given up: its end tells nothing.
-		_ = used.Close()
+	if !a.attach(conn) {
+		// The connection is being discarded, so an error from Close is of no interest.
+		_ = conn.Close()
 		return nil, a.failure("send", outcome.NotRun, outcome.ReasonCancelled, context.Canceled)
 	}
 	if a.MaySend != nil && !a.MaySend() {
 		a.Withdrawn = true
-		a.disown()
-		// The connection is given up: its end tells nothing.
-		_ = used.Close()
+		a.detach()
+		// The connection is being discarded, so an error from Close is of no interest.
+		_ = conn.Close()
 		return nil, a.failure("send", outcome.NotRun, outcome.ReasonCancelled, errWithdrawn)
 	}
 	sentAt := time.Now()
-	answer, keep, err := a.converse(used)
-	a.disown()
-	if err != nil || keep <= 0 {
-		// The connection is given up: its end tells nothing.
-		_ = used.Close()
+	answer, keepFor, err := a.sendAndReceive(conn)
+	a.detach()
+	if err != nil || keepFor <= 0 {
+		// The connection is being discarded, so an error from Close is of no interest.
+		_ = conn.Close()
 	} else {
-		// It fails only on a connection that has ended, which the next read or write finds.
-		_ = used.SetDeadline(time.Time{})
-		a.Pool.put(used, keep, time.Now())
+		// This fails only on a closed connection, which the next read or write detects.
+		_ = conn.SetDeadline(time.Time{})
+		a.Pool.put(conn, keepFor, time.Now())
 	}
 	if err != nil {
-		if isTimeout(err) && used.reused && time.Since(sentAt) >= silentSpan {
-			a.Pool.distrust(sentAt)
+		if isTimeout(err) && conn.reused && time.Since(sentAt) >= minSilence {
+			a.Pool.closeIdleSince(sentAt)
 		}
-		a.noteTurnedAway(a.ConnectTime > 0 && errors.Is(err, syscall.ECONNRESET) && time.Since(sentAt) < turnedAwayWithin+2*a.ConnectTime)
-		a.Broken = !a.TurnedAway && isEnded(err)
+		a.recordTurnedAway(a.ConnectTime > 0 && errors.Is(err, syscall.ECONNRESET) && time.Since(sentAt) < turnedAwayWindow+2*a.ConnectTime)
+		a.Broken = !a.TurnedAway && isClosedByPeer(err)
 		return nil, a.failure("exchange", outcome.Unknown, outcome.ReasonConnectionLost, err)
 	}
 	return answer, nil
 }
 
-// isTimeout reports whether a read or write ended because of its deadline.
+// isTimeout reports whether a read or write failed because its deadline had passed.
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// isEnded reports whether the other side ended the connection.
-func isEnded(err error) bool {
+// isClosedByPeer reports whether the server closed or reset the connection.
+func isClosedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-func (a *Attempt) noteTurnedAway(turnedAway bool) {
+func (a *Attempt) recordTurnedAway(turnedAway bool) {
 	a.TurnedAway = turnedAway
 	if turnedAway {
-		a.Pool.noteTurnedAway(time.Now())
+		a.Pool.recordTurnedAway(time.Now())
 	}
 }
 
-// connect returns an idle connection or a new one. A new one is confirmed
-// before use while the server turns connections away, so that a refusal is
-// found before anything has been sent.
+// connect returns an idle connection or a new one. While the server turns connections away, a new
+// one is confirmed before use, so that a refusal is detected before anything has been sent.
 func (a *Attempt) connect() (*connection, error) {
 	if idle := a.Pool.take(time.Now()); idle != nil {
 		return idle, nil
@@ -163,20 +163,20 @@
 		return nil, err
 	}
 	a.ConnectTime = max(time.Since(started), time.Nanosecond)
-	if !a.Pool.isScarce(time.Now()) {
+	if !a.Pool.mustConfirm(time.Now()) {
 		return opened, nil
 	}
 	if err := opened.confirm(a.ConnectTime); err != nil {
-		// The connection is given up: its end tells nothing.
+		// The connection is being discarded, so an error from Close is of no interest.
 		_ = opened.Close()
 		return nil, err
 	}
 	return opened, nil
 }
 
-// own lets Expire reach the connection; it returns false if the attempt has
-// ended already.
-func (a *Attempt) own(used *connection) bool {
+// attach lets Expire set the deadline of the connection. It returns false if the attempt has
+// already expired.
+func (a *Attempt) attach(conn *connection) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	end := a.end
@@ -186,61 +186,62 @@
 	if !end.After(time.Now()) {
 		return false
 	}
-	a.current = used
-	// It fails only on a connection that has ended, which the next read or write finds.
-	_ = used.SetDeadline(end)
+	a.current = conn
+	// This fails only on a closed connection, which the next read or write detects.
+	_ = conn.SetDeadline(end)
 	return true
 }
 
-func (a *Attempt) disown() {
+func (a *Attempt) detach() {
 	a.mutex.Lock()
 	a.current = nil
 	a.mutex.Unlock()
 }
 
-func (a *Attempt) converse(used *connection) (*Response, time.Duration, error) {
+func (a *Attempt) sendAndReceive(conn *connection) (*Response, time.Duration, error) {
 	buffer := make([]byte, 0, 512)
 	message := a.Request.appendHead(buffer, a.Dialect, a.Instance, time.Until(a.Deadline))
 	a.MayHaveArrived = true
-	if len(a.Request.Body) < largeBody {
+	if len(a.Request.Body) < largeBodySize {
 		message = append(message, a.Request.Body...)
-		if _, err := used.Write(message); err != nil {
+		if _, err := conn.Write(message); err != nil {
 			return nil, 0, errors.Wrap(err, "write")
 		}
-		return readResponse(used, a.Request, a.Dialect)
+		return readResponse(conn, a.Request, a.Dialect)
 	}
-	if _, err := used.Write(message); err != nil {
+	if _, err := conn.Write(message); err != nil {
 		return nil, 0, errors.Wrap(err, "write head")
 	}
-	return a.converseWhileSending(used)
+	return a.receiveWhileSending(conn)
 }
 
-// converseWhileSending reads the answer while the body is being sent. A
-// connection on which the body was not sent whole is not used again, since
-// other bytes would stand where the rest of the body is due.
-func (a *Attempt) converseWhileSending(used *connection) (*Response, time.Duration, error) {
+// receiveWhileSending reads the response while the body is being sent. A connection on which the
+// body was not sent completely is not reused, since the server would read the next request as the
+// rest of the body.
+func (a *Attempt) receiveWhileSending(conn *connection) (*Response, time.Duration, error) {
 	sent := make(chan error, 1)
 	go func() {
-		_, err := used.Write(a.Request.Body)
+		_, err := conn.Write(a.Request.Body)
 		sent <- err
 	}()
-	answer, keep, err := readResponse(used, a.Request, a.Dialect)
+	answer, keepFor, err := readResponse(conn, a.Request, a.Dialect)
 	select {
 	case writeError := <-sent:
 		if writeError != nil {
-			keep = 0
+			keepFor = 0
 		}
 	default:
-		keep = 0
+		keepFor = 0
 	}
-	return answer, keep, err
+	return answer, keepFor, err
 }
 
 func (a *Attempt) failure(step string, known outcome.Outcome, reason outcome.Reason, cause error) error {
 	return &outcome.Error{Step: step, Peer: a.Pool.address, Outcome: known, Reason: reason, Cause: cause}
 }
 
-// Expired reports whether the attempt ended because its time was over.
+// Expired reports whether the time set by Expire or the deadline has passed. It is safe for
+// concurrent use.
 func (a *Attempt) Expired() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/pkg/exchange/exchange_test.go
+++ b/pkg/exchange/exchange_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestARequestGoesAlongUnchanged: method, path, query and headers arrive as the
-// client sent them, with the time that is left and the instance that is meant.
+// TestARequestGoesAlongUnchanged checks that path, query and headers reach the server as the
+// client sent them, with the remaining time and the expected instance.
 func TestARequestGoesAlongUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -57,8 +57,8 @@
 	})
 }
 
-// TestAConnectionServesManyRequests: one connection is used again while it
-// rests no longer than the server announced.
+// TestAConnectionServesManyRequests checks that a connection is reused while it has been idle no
+// longer than the server's announced keep-alive time.
 func TestAConnectionServesManyRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -74,13 +74,13 @@
 			_, _, err := send(pool, request("r"), time.Second)
 			g.Expect(err).NotTo(HaveOccurred())
 		}
-		g.Expect(network.Dials()).To(Equal(2), "the last request came after the announced rest")
+		g.Expect(network.Dials()).To(Equal(2), "the last request came after the announced keep-alive time")
 		pool.Close()
 	})
 }
 
-// TestASurplusAnswerBelongsToNoRequest: an answer to an earlier request is
-// skipped, and one without a request id is not taken.
+// TestASurplusAnswerBelongsToNoRequest checks that a response to an earlier request is skipped, and
+// that one without a request id is rejected.
 func TestASurplusAnswerBelongsToNoRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -106,8 +106,8 @@
 	})
 }
 
-// TestBytesBehindAnAnswerEndTheConnection: what a server sends after a complete
-// answer reaches no later request.
+// TestBytesBehindAnAnswerEndTheConnection checks that a connection on which the server sends bytes
+// after a complete response is not reused, since a later request would read them.
 func TestBytesBehindAnAnswerEndTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -126,8 +126,8 @@
 	})
 }
 
-// TestWhatIsKnownOfTheExecution: only a request of which nothing was sent is
-// known not to have run.
+// TestWhatIsKnownOfTheExecution checks that only a request of which nothing was sent is reported
+// as not run.
 func TestWhatIsKnownOfTheExecution(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -149,8 +149,8 @@
 	})
 }
 
-// TestAnAttemptEndsWhenItExpires: one that hangs ends at once when nobody waits
-// for it any longer, also while it connects.
+// TestAnAttemptEndsWhenItExpires checks that Expire ends a hanging attempt at once, also while it
+// is connecting.
 func TestAnAttemptEndsWhenItExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -172,7 +172,7 @@
 	})
 }
 
-// pipeDialer connects to one conversation over a pipe.
+// pipeDialer connects to a server function over a pipe.
 type pipeDialer func(server net.Conn)
 
 func (d pipeDialer) DialContext(context.Context, string, string) (net.Conn, error) {
@@ -181,8 +181,8 @@
 	return near, nil
 }
 
-// TestAnEarlyAnswerEndsTheConnection: where the rest of a long body is due, no
-// other request is sent.
+// TestAnEarlyAnswerEndsTheConnection checks that a connection is not reused if the server responds
+// before it has read a long body: the next request would be read as the rest of the body.
 func TestAnEarlyAnswerEndsTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -205,17 +205,16 @@
 	})
 }
 
-// TestAClosedConnectionIsNotUsed: over real sockets, a resting connection that
-// the server closed, or on which it sent bytes, is found out before a request
-// is sent on it.
+// TestAClosedConnectionIsNotUsed checks, over real sockets, that an idle connection that the server
+// closed, or on which it sent bytes, is detected before a request is sent on it.
 func TestAClosedConnectionIsNotUsed(t *testing.T) {
-	for name, unasked := range map[string]string{"closed": "", "bytes": "HTTP/1.1 200 X\r\n\r\n"} {
+	for name, unsolicited := range map[string]string{"closed": "", "bytes": "HTTP/1.1 200 X\r\n\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			g.Expect(err).NotTo(HaveOccurred())
 			defer func() { _ = listener.Close() }()
-			changed := make(chan struct{}, 8)
+			answered := make(chan struct{}, 8)
 			go func() {
 				for {
 					accepted, err := listener.Accept()
@@ -226,18 +225,18 @@
 					if err != nil {
 						return
 					}
-					_, _ = io.WriteString(accepted, "HTTP/1.1 200 X\r\nId: "+received.Header.Get("Id")+"\r\nContent-Length: 0\r\n\r\n"+unasked)
-					if unasked == "" {
+					_, _ = io.WriteString(accepted, "HTTP/1.1 200 X\r\nId: "+received.Header.Get("Id")+"\r\nContent-Length: 0\r\n\r\n"+unsolicited)
+					if unsolicited == "" {
 						_ = accepted.Close()
 					}
-					changed <- struct{}{}
+					answered <- struct{}{}
 				}
 			}()
 			pool := exchange.NewPool(listener.Addr().String(), &net.Dialer{})
 			for range 3 {
 				_, _, err := send(pool, request("r"), 10*time.Second)
 				g.Expect(err).NotTo(HaveOccurred())
-				<-changed
+				<-answered
 				// The kernel delivers on loopback before the peer's call returns.
 			}
 			pool.Close()
--- a/pkg/exchange/exchangetest/network.go
+++ b/pkg/exchange/exchangetest/network.go
@@ -1,6 +1,6 @@
-// Package exchangetest is an in-memory network of HTTP/1.1 servers for tests. It
-// works inside testing/synctest bubbles, so that tests of time-outs and hedges
-// take no time and always give the same verdict.
+// Package exchangetest is an in-memory network of HTTP/1.1 servers for tests. It works inside
+// testing/synctest bubbles, so that tests of time-outs and hedges take no time and are
+// deterministic.
 package exchangetest
 
 import (
@@ -17,24 +17,24 @@
 	"github.com/bramblemast/bramblemast/pkg/exchange"
 )
 
-// Dialect is the dialect that the servers speak.
+// Dialect holds the header names that the servers use.
 var Dialect = exchange.Dialect{
 	RequestID: "Id", DeadlineMillis: "Left", ExpectInstance: "Meant-For", Evidence: "Mark", NotRun: "Refused",
 }
 
 // Answer is what a server does with one request.
 type Answer struct {
-	// Delay is how long the server works; Hang lets it never answer.
+	// Delay is the server's processing time; with Hang it never answers.
 	Delay time.Duration
 	Hang  bool
-	// Before is written ahead of the answer, After behind it.
+	// Before is written before the answer, After after it.
 	Before string
 	After  string
 	Status int
 	Header map[string]string
 	Body   string
-	// Cut closes the connection after so many bytes of the body; negative for
-	// not at all. Zero cuts before the head.
+	// Cut is the number of bytes of the body after which the connection is closed. Zero closes it
+	// before the head; a negative value keeps it open.
 	Cut int
 }
 
@@ -52,7 +52,7 @@
 
 // Server is one server of a Network.
 type Server struct {
-	// Respond decides about each request; it is called concurrently.
+	// Respond returns the answer to each request; it is called concurrently.
 	Respond func(request Request) Answer
 
 	mutex sync.Mutex
@@ -81,7 +81,7 @@
 // NewNetwork returns a network without servers.
 func NewNetwork() *Network { return &Network{servers: make(map[string]*Server)} }
 
-// Add puts a server at an address.
+// Add adds a server at an address, replacing any earlier one.
 func (n *Network) Add(address string, respond func(request Request) Answer) *Server {
 	added := &Server{Respond: respond}
 	n.mutex.Lock()
@@ -90,21 +90,21 @@
 	return added
 }
 
-// Remove takes the server at an address away, so that new connections are refused.
+// Remove removes the server at an address, so that new connections are refused.
 func (n *Network) Remove(address string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	delete(n.servers, address)
 }
 
-// Dials returns the number of connections that were opened.
+// Dials returns the number of calls of DialContext, including refused ones.
 func (n *Network) Dials() int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.dials
 }
 
-// DialContext implements exchange.Dialer. An address without a server refuses.
+// DialContext implements exchange.Dialer. It returns ECONNREFUSED for an address without a server.
 func (n *Network) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mutex.Lock()
 	found := n.servers[address]
@@ -121,10 +121,10 @@
 	return near, nil
 }
 
-// wait returns after a span, or when ctx ends. It makes no timer that is due at
-// once: in a bubble of testing/synctest every goroutine that waits for such a
-// timer runs it itself, and under the race detector all of them use the bubble's
-// only race context (go1.26), which crashes the process.
+// wait returns after the given time, or when ctx ends. It never creates a timer that expires at
+// once: in a testing/synctest bubble, every goroutine that waits for such a timer runs it itself,
+// and under the race detector all of them use the bubble's only race context (go1.26), which
+// crashes the process.
 func wait(ctx context.Context, span time.Duration) error {
 	if span <= 0 {
 		return ctx.Err()
@@ -140,7 +140,7 @@
 }
 
 func (s *Server) serve(connection net.Conn) {
-	// The connection is given up: its end tells nothing.
+	// The connection is being discarded, so an error from Close is of no interest.
 	defer func() { _ = connection.Close() }()
 	reader := bufio.NewReader(connection)
 	for {
@@ -162,7 +162,7 @@
 // write sends an answer and reports whether the connection stays open.
 func write(connection net.Conn, request Request, answer Answer) bool {
 	if answer.Hang {
-		// It ends when the other side does.
+		// Copy returns when the client closes the connection.
 		_, _ = io.Copy(io.Discard, connection)
 		return false
 	}
--- a/pkg/exchange/fingerprint.go
+++ b/pkg/exchange/fingerprint.go
@@ -6,21 +6,21 @@
 	"encoding/hex"
 )
 
-// Fingerprint tells whether two requests ask the same: each try of a client has an id of
-// its own, but the same method, host, target, credentials and body.
+// Fingerprint identifies requests with the same content: each try of a client has its own id, but
+// the same method, host, target, credentials and body.
 type Fingerprint [16]byte
 
-// credentialHeaders name who asks (RFC 9110, section 11.6.2, and RFC 6265), beside those of the
-// dialect. Other headers differ between tries of one client, such as those that trace a
-// request.
+// credentialHeaders identify the caller (RFC 9110, section 11.6.2, and RFC 6265), in addition to
+// those of the dialect. Other headers, such as those for tracing, differ between tries of one
+// client.
 var credentialHeaders = []string{"Authorization", "Cookie"}
 
-// Fingerprint returns the request's fingerprint. It costs some microseconds, so it is asked
-// for only where something is known of requests like this one.
+// Fingerprint returns the request's fingerprint. It takes some microseconds, so it is computed only
+// where something is known about requests like this one.
 func (r *Request) Fingerprint(dialect *Dialect) Fingerprint {
 	sum := sha256.New()
 	write := func(text []byte) {
-		// The length keeps neighbouring fields apart.
+		// The length prefix keeps adjacent fields distinct.
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(text)))
 		sum.Write(length[:])
@@ -39,17 +39,17 @@
 	return Fingerprint(sum.Sum(nil)[:len(Fingerprint{})])
 }
 
-// At returns the fingerprint of the request at one of its services.
+// At returns the fingerprint of the request for one of its services.
 func (f Fingerprint) At(service string) Fingerprint {
 	text := append(f[:len(f):len(f)], service...)
 	sum := sha256.Sum256(text)
 	return Fingerprint(sum[:len(f)])
 }
 
-// String returns the fingerprint as it stands in logs and in the store.
+// String returns the fingerprint in hexadecimal, as written to logs and to the store.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint reads what String returned.
+// ParseFingerprint parses the result of String. It returns false if the text is not valid.
 func ParseFingerprint(text string) (Fingerprint, bool) {
 	var parsed Fingerprint
 	decoded, err := hex.DecodeString(text)
--- a/pkg/exchange/fingerprint_test.go
+++ b/pkg/exchange/fingerprint_test.go
@@ -9,8 +9,9 @@
 	"github.com/bramblemast/bramblemast/pkg/exchange"
 )
 
-// TestAFingerprintFollowsARequestThroughItsTries, and tells it from others.
-func TestAFingerprintFollowsARequestThroughItsTries(t *testing.T) {
+// TestFingerprintIsTheSameForEachTry checks that all tries of a request have the same fingerprint,
+// and that a request with another content has a different one.
+func TestFingerprintIsTheSameForEachTry(t *testing.T) {
 	g := NewWithT(t)
 	dialect := &exchange.Dialect{Credential: "Name"}
 	first := exchange.Request{
--- a/pkg/exchange/fuzz_test.go
+++ b/pkg/exchange/fuzz_test.go
@@ -12,8 +12,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// FuzzReadResponse checks that no bytes of a server make the reader panic, and
-// that an answer is only taken for the request whose id it carries.
+// FuzzReadResponse checks that no input from a server makes the reader panic, and that a response
+// is accepted only for the request whose id it carries.
 func FuzzReadResponse(f *testing.F) {
 	dialect := &Dialect{RequestID: "Id", Evidence: "Mark", NotRun: "Refused"}
 	f.Add([]byte("HTTP/1.1 200 OK\r\nId: r\r\nMark: m\r\nContent-Length: 2\r\n\r\nok"))
@@ -25,23 +25,23 @@
 	f.Fuzz(func(t *testing.T, sent []byte) {
 		near, far := net.Pipe()
 		_ = far.Close()
-		used := &connection{Conn: near, reader: bufio.NewReaderSize(bytes.NewReader(sent), readBufferSize)}
-		answer, rest, err := readResponse(used, &Request{Method: "GET", ID: "r"}, dialect)
+		conn := &connection{Conn: near, reader: bufio.NewReaderSize(bytes.NewReader(sent), readBufferSize)}
+		answer, keepFor, err := readResponse(conn, &Request{Method: "GET", ID: "r"}, dialect)
 		if err != nil {
 			return
 		}
 		id := answer.Header.Get("Id")
 		if id != "r" && (id != "" || answer.Header.Get("Refused") == "") {
-			t.Fatalf("took an answer to %q", id)
+			t.Fatalf("accepted a response to request %q", id)
 		}
-		if rest > MaxIdleTime || rest > 0 && used.reader.Buffered() > 0 {
-			t.Fatalf("a connection rests for %s with %d bytes unread", rest, used.reader.Buffered())
+		if keepFor > MaxIdleTime || keepFor > 0 && conn.reader.Buffered() > 0 {
+			t.Fatalf("a connection is kept idle for %s with %d bytes unread", keepFor, conn.reader.Buffered())
 		}
 	})
 }
 
-// TestAnAnnouncedLengthTakesNoMemory: a faulty server may announce a long body
-// that it never sends; many such answers at once must not fill the memory.
+// TestAnAnnouncedLengthTakesNoMemory checks that no memory is allocated for a long body that a
+// faulty server announces but never sends; many such responses at once would exhaust the memory.
 func TestAnAnnouncedLengthTakesNoMemory(t *testing.T) {
 	g := NewWithT(t)
 	dialect := &Dialect{RequestID: "Id", Evidence: "Mark", NotRun: "Refused"}
@@ -52,15 +52,16 @@
 	runtime.ReadMemStats(&before)
 	const answers = 20
 	for range answers {
-		used := &connection{Conn: near, reader: bufio.NewReaderSize(bytes.NewReader(sent), readBufferSize)}
-		_, _, err := readResponse(used, &Request{Method: "GET", ID: "r"}, dialect)
+		conn := &connection{Conn: near, reader: bufio.NewReaderSize(bytes.NewReader(sent), readBufferSize)}
+		_, _, err := readResponse(conn, &Request{Method: "GET", ID: "r"}, dialect)
 		g.Expect(err).To(MatchError(io.ErrUnexpectedEOF))
 	}
 	runtime.ReadMemStats(&after)
 	g.Expect((after.TotalAlloc - before.TotalAlloc) / answers).To(BeNumerically("<", 1<<20))
 }
 
-// TestALongBodyIsReadWhole beyond the length that is trusted at once.
+// TestALongBodyIsReadWhole checks a body longer than trustedBodySize, for which memory is not
+// allocated in advance.
 func TestALongBodyIsReadWhole(t *testing.T) {
 	g := NewWithT(t)
 	dialect := &Dialect{RequestID: "Id", Evidence: "Mark", NotRun: "Refused"}
@@ -68,9 +69,9 @@
 	sent := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nId: r\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	near, far := net.Pipe()
 	g.Expect(far.Close()).To(Succeed())
-	used := &connection{Conn: near, reader: bufio.NewReaderSize(bytes.NewReader(sent), readBufferSize)}
-	answer, rest, err := readResponse(used, &Request{Method: "GET", ID: "r"}, dialect)
+	conn := &connection{Conn: near, reader: bufio.NewReaderSize(bytes.NewReader(sent), readBufferSize)}
+	answer, keepFor, err := readResponse(conn, &Request{Method: "GET", ID: "r"}, dialect)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(answer.Body).To(Equal(body))
-	g.Expect(rest).To(Equal(MaxIdleTime))
+	g.Expect(keepFor).To(Equal(MaxIdleTime))
 }
--- a/pkg/exchange/pool.go
+++ b/pkg/exchange/pool.go
@@ -11,21 +11,21 @@
 	"github.com/pkg/errors"
 )
 
-// Sizes and times of connections.
+// Sizes (in bytes) and times of connections.
 const (
 	readBufferSize = 1024
-	// keepAliveSlack is how much earlier than announced by the server an idle
+	// keepAliveMargin is how long before the end of the server's announced keep-alive time an idle
 	// connection is no longer used.
-	keepAliveSlack = 700 * time.Millisecond
-	// MaxIdleTime is how long a connection is kept idle at most. Those of a node that loses
-	// power stay open at the server, so a node keeps only what it uses often.
+	keepAliveMargin = 700 * time.Millisecond
+	// MaxIdleTime is the longest time that a connection is kept idle. Connections of a node that
+	// loses power stay open at the server, so a node keeps only those that it uses often.
 	MaxIdleTime = 12 * time.Second
-	// scarceSpan is for how long new connections are confirmed after the server
-	// has turned one away.
-	scarceSpan = 3 * time.Second
-	// confirmSlack is how much longer than a connection took to open its refusal
-	// may take.
-	confirmSlack = time.Millisecond
+	// confirmPeriod is how long new connections are confirmed after the server has turned one
+	// away.
+	confirmPeriod = 3 * time.Second
+	// confirmMargin is added to the time that a connection took to open when waiting for its
+	// refusal.
+	confirmMargin = time.Millisecond
 )
 
 // Dialer opens connections to servers.
@@ -37,30 +37,27 @@
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
-	// idleSince is when the connection became idle, idleUntil when it must no longer be
-	// used.
+	// idleSince is when the connection became idle; from idleUntil on it must not be used.
 	idleSince time.Time
 	idleUntil time.Time
 	reused    bool
 }
 
-// Pool keeps the idle connections to one server. It is safe for concurrent
-// use.
+// Pool keeps the idle connections to one server. It is safe for concurrent use.
 type Pool struct {
 	address string
 	dialer  Dialer
 
 	mutex sync.Mutex
-	// bound holds for connections that are put back from now on; guarded by
-	// mutex.
+	// bound applies to connections that are put back from now on; guarded by mutex.
 	bound IdleBound
 	// idle is guarded by mutex; the most recently used is last.
 	idle []*connection
 	// closed is guarded by mutex.
 	closed bool
-	// scarceUntil is until when new connections are confirmed, since the server
-	// has turned one away; guarded by mutex.
-	scarceUntil time.Time
+	// confirmUntil is the time until which new connections are confirmed because the server has
+	// turned one away; guarded by mutex.
+	confirmUntil time.Time
 }
 
 // NewPool returns an empty pool for the server at address.
@@ -70,33 +67,32 @@
 
 // IdleBound bounds the idle connections to one server.
 type IdleBound struct {
-	// First is for how long a connection stays idle after its first request,
-	// Again after each further one: what was used again is likely to be used once
-	// more.
+	// AfterFirstUse is how long a connection is kept idle after its first request,
+	// AfterReuse after each further one: a connection that was reused is likely to be reused
+	// again.
 	AfterFirstUse, AfterReuse time.Duration
-	// Most is how many connections are idle at a time; zero for any number.
+	// MaxConnections is the maximum number of idle connections; zero for no limit.
 	MaxConnections int
 }
 
 // DefaultIdleBound keeps any number of connections for as long as servers allow.
 var DefaultIdleBound = IdleBound{AfterFirstUse: MaxIdleTime, AfterReuse: MaxIdleTime}
 
-// SetIdle bounds the connections that are put back from now on.
+// SetIdle sets the bound for connections that are put back from now on.
 func (p *Pool) SetIdle(bound IdleBound) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.bound = bound
 }
 
-// Idle returns the number of connections that can be used at once.
+// Idle returns the number of idle connections.
 func (p *Pool) Idle() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return len(p.idle)
 }
 
-// Close closes the idle connections; those in use are closed when their
-// request has ended.
+// Close closes the idle connections; those in use are closed when their request has ended.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	idle := p.idle
@@ -105,23 +101,23 @@
 	closeAll(idle)
 }
 
-// CloseExpired closes the connections that were idle for too long.
+// CloseExpired closes the connections whose idle time has ended.
 func (p *Pool) CloseExpired(now time.Time) {
-	p.keep(func(candidate *connection) bool { return now.Before(candidate.idleUntil) })
+	p.retain(func(candidate *connection) bool { return now.Before(candidate.idleUntil) })
 }
 
-// distrust closes the connections that have been idle since a moment or longer. Those to
-// a server that went silent together are not found out one request after the other.
-func (p *Pool) distrust(since time.Time) {
-	p.keep(func(candidate *connection) bool { return candidate.idleSince.After(since) })
+// closeIdleSince closes the connections that became idle at the given time or earlier. Connections
+// to one server may fall silent together; without this, each would cost one request to detect.
+func (p *Pool) closeIdleSince(since time.Time) {
+	p.retain(func(candidate *connection) bool { return candidate.idleSince.After(since) })
 }
 
-// DropIdle closes all idle connections: after a suspension of the machine, the other side may
-// have closed them long ago.
-func (p *Pool) DropIdle() { p.keep(func(*connection) bool { return false }) }
+// DropIdle closes all idle connections. After the machine was suspended, the server may have
+// closed them long ago.
+func (p *Pool) DropIdle() { p.retain(func(*connection) bool { return false }) }
 
-// keep closes the idle connections that are not to be kept.
-func (p *Pool) keep(isKept func(*connection) bool) {
+// retain closes the idle connections for which isKept returns false.
+func (p *Pool) retain(isKept func(*connection) bool) {
 	p.mutex.Lock()
 	var closed []*connection
 	kept := p.idle[:0]
@@ -138,18 +134,18 @@
 	closeAll(closed)
 }
 
-// take returns an idle connection that is still sound, or nil.
+// take returns an idle connection that is still usable, or nil.
 func (p *Pool) take(now time.Time) *connection {
 	for {
 		candidate := p.pop()
 		if candidate == nil {
 			return nil
 		}
-		if now.Before(candidate.idleUntil) && isQuiet(candidate.Conn) {
+		if now.Before(candidate.idleUntil) && isReusable(candidate.Conn) {
 			candidate.reused = true
 			return candidate
 		}
-		// The connection is given up: its end tells nothing.
+		// The connection is being discarded, so an error from Close is of no interest.
 		_ = candidate.Close()
 	}
 }
@@ -167,21 +163,22 @@
 	return candidate
 }
 
-// put keeps a connection for the next request.
-func (p *Pool) put(used *connection, announced time.Duration, now time.Time) {
+// put keeps a connection for the next request, for the announced time at most, or closes it if the
+// pool is closed or full.
+func (p *Pool) put(conn *connection, announced time.Duration, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	bound := p.bound.AfterFirstUse
-	if used.reused {
+	if conn.reused {
 		bound = p.bound.AfterReuse
 	}
-	used.idleSince, used.idleUntil = now, now.Add(min(announced, bound))
+	conn.idleSince, conn.idleUntil = now, now.Add(min(announced, bound))
 	if p.closed || p.bound.MaxConnections > 0 && len(p.idle) >= p.bound.MaxConnections {
-		// The connection is given up: its end tells nothing.
-		_ = used.Close()
+		// The connection is being discarded, so an error from Close is of no interest.
+		_ = conn.Close()
 		return
 	}
-	p.idle = append(p.idle, used)
+	p.idle = append(p.idle, conn)
 }
 
 func (p *Pool) dial(ctx context.Context) (*connection, error) {
@@ -192,24 +189,24 @@
 	return &connection{Conn: opened, reader: bufio.NewReaderSize(opened, readBufferSize)}, nil
 }
 
-// noteTurnedAway notes that the server has turned a connection away.
-func (p *Pool) noteTurnedAway(now time.Time) {
+// recordTurnedAway records that the server has turned a connection away.
+func (p *Pool) recordTurnedAway(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.scarceUntil = now.Add(scarceSpan)
+	p.confirmUntil = now.Add(confirmPeriod)
 }
 
-func (p *Pool) isScarce(now time.Time) bool {
+func (p *Pool) mustConfirm(now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return now.Before(p.scarceUntil)
+	return now.Before(p.confirmUntil)
 }
 
-// confirm waits until a new connection would have been turned away. A server
-// that has too many closes the connection when the last step of its opening
-// arrives, which shows here one round trip later: opening took about as long.
+// confirm waits until a refusal of a new connection would have arrived. A server that has too many
+// connections closes the new one when the last packet of the handshake arrives. This is seen here
+// one round trip later, which is about the time that opening took.
 func (c *connection) confirm(opened time.Duration) error {
-	if err := c.SetReadDeadline(time.Now().Add(opened + confirmSlack)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(opened + confirmMargin)); err != nil {
 		return err
 	}
 	_, err := c.reader.Peek(1)
@@ -224,7 +221,7 @@
 
 func closeAll(connections []*connection) {
 	for _, each := range connections {
-		// The connection is given up: its end tells nothing.
+		// The connection is being discarded, so an error from Close is of no interest.
 		_ = each.Close()
 	}
 }
--- a/pkg/exchange/request.go
+++ b/pkg/exchange/request.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// Request is what is sent to a server; the caller does not change it while
-// attempts are under way.
+// Request is what is sent to a server. The caller must not change it while attempts are running.
 type Request struct {
 	Method string
-	// Target is the path with its query as the client sent them.
+	// Target is the path and query exactly as the client sent them.
 	Target string
 	Host   string
 	ID     string
-	// Header holds only headers that go along to the server.
+	// Header holds only headers that are forwarded to the server.
 	Header http.Header
 	// Body is nil for a request without one.
 	Body []byte
-	// HasBody says that a length is sent even if the body is empty.
+	// HasBody makes Content-Length be sent even if the body is empty.
 	HasBody bool
 }
 
-// connectionHeaders concern one connection only (RFC 9110, section 7.6.1).
+// connectionHeaders apply to one connection only (RFC 9110, section 7.6.1).
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// StripConnectionHeaders removes the headers that concern one connection.
+// StripConnectionHeaders removes the headers that apply to one connection only, including those
+// that the Connection header lists.
 func StripConnectionHeaders(header http.Header) {
 	for _, line := range header["Connection"] {
 		for _, name := range bytes.Split([]byte(line), []byte(",")) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// appendHead writes the request line and the headers.
+// appendHead appends the request line and the headers.
 func (r *Request) appendHead(head []byte, dialect *Dialect, instance string, remaining time.Duration) []byte {
 	head = append(head, r.Method...)
 	head = append(head, ' ')
--- a/pkg/exchange/response.go
+++ b/pkg/exchange/response.go
@@ -10,86 +10,87 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds on what is read of an answer.
+// Bounds on what is read of a response.
 const (
-	// maxSurplusAnswers bounds the answers to earlier requests that are skipped.
+	// maxSurplusAnswers bounds the responses read for one request, of which those to earlier
+	// requests are skipped.
 	maxSurplusAnswers = 3
-	// maxInterimAnswers bounds the 1xx answers that are skipped.
+	// maxInterimAnswers bounds the 1xx responses that are skipped.
 	maxInterimAnswers = 4
-	// maxBodySize bounds the body of an answer that is held in memory.
+	// maxBodySize is the maximum size in bytes of a response body, which is held in memory.
 	maxBodySize = 8 << 20
-	// trustedBodySize is the announced length up to which memory is taken before
-	// the bytes have come; a faulty server may announce what it never sends.
+	// trustedBodySize is the announced length in bytes up to which memory is allocated before the
+	// body has arrived; a faulty server may announce a body that it never sends.
 	trustedBodySize = 64 << 10
 )
 
-// Response is the whole answer of a server.
+// Response is the complete response of a server.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Evidence is the server's mark that it ran the request; empty if none.
+	// Evidence is the server's proof that it ran the request; empty if none.
 	Evidence string
 }
 
-// readResponse reads the answer to the request with the given id and reports
-// whether the connection can be used again and for how long it may be kept.
-func readResponse(used *connection, sent *Request, dialect *Dialect) (*Response, time.Duration, error) {
+// readResponse reads the response that carries the request's id. It also returns how long the
+// connection may be kept idle; zero if it must not be reused.
+func readResponse(conn *connection, sent *Request, dialect *Dialect) (*Response, time.Duration, error) {
 	for range maxSurplusAnswers {
-		answer, keep, err := readOne(used, sent)
+		answer, keepFor, err := readFinalAnswer(conn, sent)
 		if err != nil {
 			return nil, 0, err
 		}
 		id := answer.Header.Get(dialect.RequestID)
 		if id == sent.ID || (id == "" && answer.Header.Get(dialect.NotRun) != "") {
 			answer.Evidence = answer.Header.Get(dialect.Evidence)
-			if used.reader.Buffered() > 0 {
-				// What the server sends behind the answer belongs to no request.
-				keep = 0
+			if conn.reader.Buffered() > 0 {
+				// Bytes that follow the response belong to no request.
+				keepFor = 0
 			}
-			return answer, keep, nil
+			return answer, keepFor, nil
 		}
-		if id == "" || keep == 0 {
+		if id == "" || keepFor == 0 {
 			return nil, 0, errors.Errorf("the answer with status %d carries request id %q", answer.Status, id)
 		}
 	}
 	return nil, 0, errors.New("too many answers to other requests")
 }
 
-// readOne reads one final answer from the connection.
-func readOne(used *connection, sent *Request) (*Response, time.Duration, error) {
-	asked := &http.Request{Method: sent.Method}
+// readFinalAnswer reads one response from the connection and skips 1xx responses before it.
+func readFinalAnswer(conn *connection, sent *Request) (*Response, time.Duration, error) {
+	request := &http.Request{Method: sent.Method}
 	for range maxInterimAnswers {
-		head, err := http.ReadResponse(used.reader, asked)
+		head, err := http.ReadResponse(conn.reader, request)
 		if err != nil {
 			return nil, 0, errors.Wrap(err, "read head")
 		}
 		if head.StatusCode >= 100 && head.StatusCode < 200 && head.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		return readBody(used, head)
+		return readBody(conn, head)
 	}
 	return nil, 0, errors.New("too many interim answers")
 }
 
-func readBody(used *connection, head *http.Response) (*Response, time.Duration, error) {
-	// It has been read, or is given up: its end tells nothing.
+func readBody(conn *connection, head *http.Response) (*Response, time.Duration, error) {
+	// The body has been read or is being discarded, so an error from Close is of no interest.
 	defer func() { _ = head.Body.Close() }()
-	body, err := readWhole(head)
+	body, err := readWholeBody(head)
 	if err != nil {
 		return nil, 0, errors.Wrap(err, "read body")
 	}
 	untilClose := head.ContentLength < 0 && len(head.TransferEncoding) == 0
-	keep := announcedIdle(head)
+	keepFor := announcedIdleTime(head)
 	if head.Close || untilClose {
-		keep = 0
+		keepFor = 0
 	}
 	header := head.Header
 	StripConnectionHeaders(header)
-	return &Response{Status: head.StatusCode, Header: header, Body: body}, keep, nil
+	return &Response{Status: head.StatusCode, Header: header, Body: body}, keepFor, nil
 }
 
-func readWhole(head *http.Response) ([]byte, error) {
+func readWholeBody(head *http.Response) ([]byte, error) {
 	if head.ContentLength > maxBodySize {
 		return nil, errors.Errorf("body of %d bytes is too large", head.ContentLength)
 	}
@@ -105,14 +106,15 @@
 	return body, err
 }
 
-// announcedIdle returns for how long the server keeps the connection.
-func announcedIdle(head *http.Response) time.Duration {
+// announcedIdleTime returns how long the connection may be kept idle: the time that the server
+// announces in Keep-Alive less keepAliveMargin, and MaxIdleTime at most.
+func announcedIdleTime(head *http.Response) time.Duration {
 	for _, line := range head.Header["Keep-Alive"] {
 		for field := range strings.SplitSeq(line, ",") {
 			name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 			seconds, err := strconv.Atoi(strings.TrimSpace(value))
 			if err == nil && strings.EqualFold(name, "timeout") {
-				return min(max(0, time.Duration(seconds)*time.Second-keepAliveSlack), MaxIdleTime)
+				return min(max(0, time.Duration(seconds)*time.Second-keepAliveMargin), MaxIdleTime)
 			}
 		}
 	}
--- a/pkg/exchange/silent_test.go
+++ b/pkg/exchange/silent_connection_test.go
@@ -13,8 +13,9 @@
 	"github.com/bramblemast/bramblemast/pkg/exchange/exchangetest"
 )
 
-// TestConnectionsThatFellSilentTogetherAreFoundTogether: open connections to a server
-// may say nothing any more while new ones work.
+// TestConnectionsThatFellSilentTogetherAreFoundTogether checks that after a time-out on one reused
+// connection, the other idle ones are closed too: all open connections to a server may stop
+// delivering data while new ones work.
 func TestConnectionsThatFellSilentTogetherAreFoundTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -43,13 +44,14 @@
 		g.Expect(attempt.ConnectTime).To(BeZero())
 		_, attempt, err = send(pool, request("next"), time.Second)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(attempt.ConnectTime).NotTo(BeZero(), "on a new connection")
+		g.Expect(attempt.ConnectTime).NotTo(BeZero(), "the request must use a new connection")
 		pool.Close()
 	})
 }
 
-// TestAPauseCostsNoConnections.
-func TestAPauseCostsNoConnections(t *testing.T) {
+// TestShortPauseKeepsIdleConnections checks that a time-out shorter than minSilence closes only the
+// connection that it occurred on.
+func TestShortPauseKeepsIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		network := exchangetest.NewNetwork()
--- a/pkg/exchange/turned_away_test.go
+++ b/pkg/exchange/turned_away_test.go
@@ -16,12 +16,11 @@
 	"github.com/bramblemast/bramblemast/pkg/outcome"
 )
 
-// roundTrip is how long a connection to a fullServer takes to open, and how long
-// after that its refusal shows.
+// roundTrip is how long a connection to a fullServer takes to open, and how long after that its
+// refusal arrives.
 const roundTrip = 20 * time.Millisecond
 
-// fullServer resets new connections while it is full, as a server does that has
-// as many as it accepts.
+// fullServer resets new connections while it is full, like a server at its connection limit.
 type fullServer struct {
 	*exchangetest.Network
 	full atomic.Bool
@@ -64,9 +63,9 @@
 func (c *resetConnection) SetDeadline(time.Time) error     { return nil }
 func (c *resetConnection) SetReadDeadline(time.Time) error { return nil }
 
-// TestNothingIsSentToAServerThatTurnsConnectionsAway: once a server has turned
-// one away, new connections are confirmed before the request goes out, so that a
-// refusal costs no extra load. (valgsok-grown fresh-fa94)
+// TestNothingIsSentToAServerThatTurnsConnectionsAway checks that once a server has turned a
+// connection away, new ones are confirmed before the request is sent, so that a refusal costs no
+// extra load. (valgsok-grown fresh-fa94)
 func TestNothingIsSentToAServerThatTurnsConnectionsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -74,7 +73,7 @@
 		pool := exchange.NewPool(address, server)
 		server.full.Store(true)
 		_, first, err := send(pool, request("r1"), time.Second)
-		g.Expect(outcome.Of(err)).To(Equal(outcome.Unknown), "nobody knew")
+		g.Expect(outcome.Of(err)).To(Equal(outcome.Unknown), "the first refusal is not anticipated, so the request was sent")
 		g.Expect(first.TurnedAway).To(BeTrue())
 		g.Expect(server.written.Load()).To(Equal(int64(1)))
 
@@ -93,13 +92,14 @@
 		began = time.Now()
 		_, _, err = send(pool, request("r4"), time.Second)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(time.Since(began)).To(BeNumerically("<", roundTrip), "a resting connection needs no confirmation")
+		g.Expect(time.Since(began)).To(BeNumerically("<", roundTrip), "an idle connection needs no confirmation")
 		pool.Close()
 	})
 }
 
-// TestConnectionsAreConfirmedForAWhileOnly after a server has turned one away.
-func TestConnectionsAreConfirmedForAWhileOnly(t *testing.T) {
+// TestConfirmationOfConnectionsEnds checks that new connections are no longer confirmed some time
+// after a server has turned one away.
+func TestConfirmationOfConnectionsEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		server := newFullServer()
