--- a/pkg/exchange/attempt.go
+++ b/pkg/exchange/attempt.go
@@ -82,7 +82,8 @@
 var errWithdrawn = errors.New("the server may not be asked any more")
 
 // Run sends the request and returns the server's complete response, or an *outcome.Error that
-// states whether the request may have run.
+// states whether the request may have run. It returns the connection to the pool if it can be
+// reused.
 func (a *Attempt) Run() (*Response, error) {
 	conn, err := a.connect()
 	if err != nil {
@@ -132,6 +133,7 @@
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
+// recordTurnedAway sets TurnedAway and, if the server turned the connection away, informs the pool.
 func (a *Attempt) recordTurnedAway(turnedAway bool) {
 	a.TurnedAway = turnedAway
 	if turnedAway {
@@ -192,12 +194,15 @@
 	return true
 }
 
+// detach ends the effect of Expire on the connection.
 func (a *Attempt) detach() {
 	a.mutex.Lock()
 	a.current = nil
 	a.mutex.Unlock()
 }
 
+// sendAndReceive sends the request and reads its response. It also returns how long the connection
+// may be kept idle; zero if it must not be reused.
 func (a *Attempt) sendAndReceive(conn *connection) (*Response, time.Duration, error) {
 	buffer := make([]byte, 0, 512)
 	message := a.Request.appendHead(buffer, a.Dialect, a.Instance, time.Until(a.Deadline))
--- a/pkg/exchange/pool.go
+++ b/pkg/exchange/pool.go
@@ -20,8 +20,7 @@
 	// MaxIdleTime is the longest time that a connection is kept idle. Connections of a node that
 	// loses power stay open at the server, so a node keeps only those that it uses often.
 	MaxIdleTime = 12 * time.Second
-	// confirmPeriod is how long new connections are confirmed after the server has turned one
-	// away.
+	// confirmPeriod is how long new connections are confirmed after the server has turned one away.
 	confirmPeriod = 3 * time.Second
 	// confirmMargin is added to the time that a connection took to open when waiting for its
 	// refusal.
@@ -67,9 +66,8 @@
 
 // IdleBound bounds the idle connections to one server.
 type IdleBound struct {
-	// AfterFirstUse is how long a connection is kept idle after its first request,
-	// AfterReuse after each further one: a connection that was reused is likely to be reused
-	// again.
+	// AfterFirstUse is how long a connection is kept idle after its first request, AfterReuse after
+	// each further one: a connection that was reused is likely to be reused again.
 	AfterFirstUse, AfterReuse time.Duration
 	// MaxConnections is the maximum number of idle connections; zero for no limit.
 	MaxConnections int
--- a/pkg/exchange/response.go
+++ b/pkg/exchange/response.go
@@ -12,8 +12,8 @@
 
 // Bounds on what is read of a response.
 const (
-	// maxSurplusAnswers bounds the responses read for one request, of which those to earlier
-	// requests are skipped.
+	// maxSurplusAnswers bounds the responses to earlier requests that are skipped; reaching it is an
+	// error.
 	maxSurplusAnswers = 3
 	// maxInterimAnswers bounds the 1xx responses that are skipped.
 	maxInterimAnswers = 4
@@ -29,7 +29,7 @@
 	Status int
 	Header http.Header
 	Body   []byte
-	// Evidence is the server's proof that it ran the request; empty if none.
+	// Evidence is the server's mark that it ran the request; empty if there is none.
 	Evidence string
 }
 
