--- a/pkg/policy/admission.go
+++ b/pkg/policy/admission.go
@@ -16,26 +16,26 @@
 })
 
 const (
-	// archiveLimitShare is the share of the limit above which archive requests wait
-	// although there is room, so that a ticker seldom finds the gate full.
+	// archiveLimitShare is the share of the limit that archive requests may use. The rest stays
+	// free so that ticker requests seldom find the gate full.
 	archiveLimitShare = 0.75
-	// maxBurstBacklog is how long a queue may stand before it is shortened.
+	// maxBurstBacklog is the backlog age up to which a queue counts as a burst. An older queue is
+	// shortened.
 	maxBurstBacklog = 100 * time.Millisecond
-	// defaultRetryAfter is told to callers while no drain was measured.
+	// defaultRetryAfter is the minimum retry delay given to callers while the drain rate is unknown.
 	defaultRetryAfter = 100 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound what callers are told.
+	// minRetryAfter and maxRetryAfter bound the retry delay given to callers.
 	minRetryAfter = time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// unlimited is the baseline: everything runs at once.
+// unlimited is the baseline: it admits every request immediately.
 type unlimited struct{}
 
 // Decide implements AdmissionPolicy.
 func (unlimited) Decide(AdmissionState) AdmissionDecision { return AdmissionDecision{Verdict: Admit} }
 
-// boundedQueue lets requests wait in a queue of bounded length, whatever their
-// deadline.
+// boundedQueue queues requests up to a maximum queue length, regardless of their deadlines.
 type boundedQueue struct{ maxQueued int }
 
 func newBoundedQueue(spec AdmissionSpec) (AdmissionPolicy, FieldErrors) {
@@ -50,10 +50,10 @@
 	return queueUpTo(p.maxQueued, state)
 }
 
-// deadlineAwareAdmission refuses a request as soon as its predicted wait and a
-// typical service would pass its deadline. A request that need not wait is
-// admitted whatever the typical service is: otherwise nothing would run any
-// more once the service had been slow, and so nobody would see it recover.
+// deadlineAwareAdmission refuses a request if its predicted wait plus a slow service time would
+// pass its deadline. While the queue is empty and the limit has room, a request is admitted whatever
+// the measured service time is: otherwise nothing would run after the service had been slow, and its
+// recovery would never be observed.
 type deadlineAwareAdmission struct{ maxQueued int }
 
 func newDeadlineAwareAdmission(spec AdmissionSpec) (AdmissionPolicy, FieldErrors) {
@@ -71,8 +71,8 @@
 	return queueUpTo(p.maxQueued, state)
 }
 
-// mayRunNow reports whether there is time for a request that need not wait.
-// While nobody waits it is tried in any case.
+// mayRunNow reports whether a request that does not have to wait has enough time to run. While the
+// queue is empty, any time before the deadline is enough.
 func mayRunNow(state AdmissionState) bool {
 	if state.Queued == 0 {
 		return state.Remaining > 0
@@ -80,13 +80,13 @@
 	return slowService(state) <= state.Remaining
 }
 
-// maxAllowedWait is the wait that a request may have. What is left has to be
-// enough for a slow request: a queue of requests that are just in time for a
-// typical one would deliver half of them too late.
+// maxAllowedWait returns the longest queue wait a request may be given. The time left after the
+// wait must be enough for a slow request: if it were only enough for a typical one, half of the
+// queued requests would finish too late.
 //
-// In a burst the queue may be as long as that. While a queue stands, its length
-// only adds to the latency of all and nothing to what is served, so it is kept
-// to one service time. Archive requests have the time to wait.
+// A burst may use all of that wait. A persistent queue adds latency to every request without
+// raising throughput, so its wait is limited to one slow service time. Archive requests are exempt
+// because they can afford to wait.
 func maxAllowedWait(state AdmissionState) time.Duration {
 	wait := state.Remaining - slowService(state)
 	if state.BacklogAge <= maxBurstBacklog || state.Class == ClassArchive {
@@ -99,14 +99,15 @@
 	return max(state.SlowService, state.TypicalService)
 }
 
-// PredictedWait is how long a request that waits now will wait on average, from
-// the measured drain rate; zero if none was measured. On average half of the
+// PredictedWait returns the mean wait of a request queued now, derived from the measured drain
+// rate; zero if the rate is unknown. It adds half an interval because, on average, half of the
 // time between two finished requests has passed.
 func PredictedWait(state AdmissionState) time.Duration {
 	return drainTime(state, float64(state.QueuedAhead)+0.5)
 }
 
-// drainTime is the time until so many requests have finished; zero if unknown.
+// drainTime returns the time until the given number of requests has finished, at most
+// maxRetryAfter; zero if the drain rate is unknown.
 func drainTime(state AdmissionState, requests float64) time.Duration {
 	if state.DrainRate <= 0 {
 		return 0
@@ -115,8 +116,7 @@
 	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// classLimit returns the number of requests that may run before one of this
-// class has to wait.
+// classLimit returns the number of running requests at which a request of this class has to wait.
 func classLimit(state AdmissionState) int {
 	if state.Class != ClassArchive {
 		return state.Limit
@@ -124,7 +124,8 @@
 	return max(1, int(archiveLimitShare*float64(state.Limit)))
 }
 
-// queueUpTo queues a request unless its tenant and class have enough waiting.
+// queueUpTo queues a request, or refuses it if its tenant and class already have maxQueued requests
+// waiting.
 func queueUpTo(maxQueued int, state AdmissionState) AdmissionDecision {
 	if state.QueuedSameClass >= maxQueued {
 		return AdmissionDecision{Verdict: Refuse, RetryAfter: RetryAfter(state)}
@@ -132,8 +133,8 @@
 	return AdmissionDecision{Verdict: Queue}
 }
 
-// RetryAfter is the time until everything ahead will have drained: a caller
-// that retries then is served at once unless others came in between.
+// RetryAfter returns the time until the requests ahead are expected to have drained. A caller that
+// retries then is served immediately unless other requests arrived in the meantime.
 func RetryAfter(state AdmissionState) time.Duration {
 	wait := drainTime(state, float64(state.QueuedAhead)+1)
 	if wait == 0 {
--- a/pkg/policy/build.go
+++ b/pkg/policy/build.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Build makes the policies that spec names. Empty fields are set to their
-// defaults. The error is a FieldErrors that lists every bad field.
+// Build builds the policies named in spec. Empty fields are set to their defaults. The error is a
+// FieldErrors that lists every invalid field.
 func Build(spec Spec) (Set, error) {
 	set, errs := build(spec)
 	if len(errs) > 0 {
@@ -15,8 +15,8 @@
 	return set, nil
 }
 
-// Validate returns every bad field of spec, or nil. Empty fields are good:
-// they stand for their defaults.
+// Validate returns an error for every invalid field of spec, or nil. Empty fields are valid and take
+// their defaults.
 func Validate(spec Spec) FieldErrors {
 	_, errs := build(spec)
 	return errs
@@ -49,18 +49,18 @@
 	return errs
 }
 
-// The greatest parameters that make sense; more is taken for a slip.
+// The maximum parameter values. Larger values are rejected as configuration mistakes.
 const (
 	maxBurst      = 10_000
 	maxQueued     = 100_000
 	maxAttempts   = 10
 	maxRecords    = 1_000_000
 	maxHedgeDelay = time.Minute
-	// maxHedgeFactor bounds a wait in relation to the typical time.
+	// maxHedgeFactor bounds the hedge delay as a multiple of the typical server time.
 	maxHedgeFactor = 100.0
 )
 
-// checkShare wants a value above 0 and at most 1.
+// checkShare adds an error unless value is above 0 and at most 1. NaN is rejected.
 func (e *FieldErrors) checkShare(path string, value float64) {
 	if !(value > 0 && value <= 1) {
 		e.add(path, "%v: want a number above 0 and at most 1", value)
--- a/pkg/policy/build_test.go
+++ b/pkg/policy/build_test.go
@@ -10,7 +10,7 @@
 	"github.com/bramblemast/bramblemast/pkg/policy"
 )
 
-// alwaysFirst is a policy that an embedder brings.
+// alwaysFirst is a custom policy as an embedding program registers it.
 type alwaysFirst struct{}
 
 func (alwaysFirst) Choose(candidates []policy.ReplicaState, _ *rand.Rand) int {
@@ -28,7 +28,7 @@
 		}
 	})
 
-	It("lists every bad field at once, with its path", func() {
+	It("lists all invalid fields in one error, each with its path", func() {
 		_, err := policy.Build(policy.Spec{
 			Replica:   policy.ReplicaSpec{Policy: "best"},
 			Hedge:     policy.HedgeSpec{Policy: "quantile", Quantile: 1.5, Delay: policy.Duration(-time.Second)},
@@ -51,13 +51,13 @@
 		Expect(errs[0].Message).To(ContainSubstring("least_in_flight, random, two_choices"))
 	})
 
-	It("wants a delay for a fixed hedge", func() {
+	It("requires a delay for a fixed hedge", func() {
 		errs := policy.Validate(policy.Spec{Hedge: policy.HedgeSpec{Policy: "fixed"}})
 		Expect(errs).To(HaveLen(1))
 		Expect(errs[0].Path).To(Equal("hedge.delay"))
 	})
 
-	It("rejects numbers that are none", func() {
+	It("rejects NaN", func() {
 		nan := 0.0
 		nan /= nan
 		errs := policy.Validate(policy.Spec{
@@ -68,7 +68,7 @@
 		Expect(errs).To(HaveLen(3))
 	})
 
-	It("takes the policies of embedders by name", func() {
+	It("builds registered custom policies by name", func() {
 		policy.RegisterReplica("always_first", func(policy.ReplicaSpec) (policy.ReplicaChooser, policy.FieldErrors) {
 			return alwaysFirst{}, nil
 		})
@@ -86,7 +86,7 @@
 })
 
 var _ = Describe("Merge", func() {
-	It("replaces a kind as a whole, and only if it is named", func() {
+	It("replaces a kind as a whole, and only if the override sets it", func() {
 		base := policy.Spec{
 			Hedge:     policy.HedgeSpec{Policy: "quantile", Quantile: 0.9, Delay: policy.Duration(time.Millisecond)},
 			Retry:     policy.RetrySpec{Policy: "immediate", MaxAttempts: 2},
--- a/pkg/policy/defaults.go
+++ b/pkg/policy/defaults.go
@@ -16,9 +16,9 @@
 	defaultExtraBurst    = 10
 )
 
-// Defaults returns the specification that stands in for every field that an
-// operator leaves out: each kind's policy, and the parameters of that policy
-// and of the others of its kind. Hedge.Delay has no default for "fixed".
+// Defaults returns the values used for fields that an operator leaves empty: the policy of each
+// kind, and the parameters of that policy and of the other policies of its kind. Hedge.Delay has no
+// default for the "fixed" policy.
 func Defaults() Spec {
 	return Spec{
 		Replica: ReplicaSpec{Policy: ReplicaTwoChoices},
@@ -40,8 +40,8 @@
 	}
 }
 
-// Merge returns base with every kind replaced that override names: a kind is
-// taken as a whole from override if its Policy (for ExtraLoad: Share) is set.
+// Merge returns base with the kinds that override sets. A kind is taken as a whole from override if
+// its Policy (for ExtraLoad: its Share) is set.
 func Merge(base, override Spec) Spec {
 	merged := base
 	if override.Replica.Policy != "" {
@@ -65,7 +65,8 @@
 	return merged
 }
 
-// withDefaults fills every field that is empty.
+// withDefaults returns spec with every empty field set to its default. Hedge.Delay of "fixed" and
+// Stop.Coverage of "first" stay empty.
 func withDefaults(spec Spec) Spec {
 	defaults := Defaults()
 	setDefault(&spec.Replica.Policy, defaults.Replica.Policy)
@@ -90,7 +91,7 @@
 	return spec
 }
 
-// fill sets an empty field to its default.
+// setDefault sets a field that has its zero value to defaultValue.
 func setDefault[T comparable](field *T, defaultValue T) {
 	var zero T
 	if *field == zero {
--- a/pkg/policy/hedge.go
+++ b/pkg/policy/hedge.go
@@ -17,7 +17,7 @@
 	HedgeTypical:  newTypicalHedge,
 })
 
-// medianQuantile is the quantile that stands for a typical sub-request.
+// medianQuantile is the latency quantile of a typical sub-request.
 const medianQuantile = 0.5
 
 // noHedge is the baseline.
@@ -26,7 +26,7 @@
 // Delay implements HedgePolicy.
 func (noHedge) Delay(HedgeObservation) (time.Duration, bool) { return 0, false }
 
-// fixedHedge waits for the same time always.
+// fixedHedge always waits for the same time.
 type fixedHedge struct{ delay time.Duration }
 
 func newFixedHedge(spec HedgeSpec) (HedgePolicy, FieldErrors) {
@@ -43,7 +43,7 @@
 	return h.delay, h.delay < observed.Remaining
 }
 
-// quantileHedge waits until a sub-request is slower than most.
+// quantileHedge waits for a quantile of the recent latency, but at least for floor.
 type quantileHedge struct {
 	quantile float64
 	floor    time.Duration
@@ -61,8 +61,8 @@
 	return quantileHedge{quantile: spec.Quantile, floor: spec.Delay.Std()}, errs
 }
 
-// Delay implements HedgePolicy. There is no hedge while too few latencies were
-// seen, nor if a typical sub-request would not end in the time that remains.
+// Delay implements HedgePolicy. No hedge is sent while too few latencies are known, or if a typical
+// sub-request sent after the delay would not finish before the deadline.
 func (h quantileHedge) Delay(observed HedgeObservation) (time.Duration, bool) {
 	quantileLatency := observed.Quantile(h.quantile)
 	if quantileLatency <= 0 {
@@ -75,8 +75,7 @@
 	return delay, true
 }
 
-// typicalHedge waits for a multiple of the typical time of a server, beyond the
-// time of the network.
+// typicalHedge waits for the network time plus a multiple of the server's typical time.
 type typicalHedge struct{ factor float64 }
 
 func newTypicalHedge(spec HedgeSpec) (HedgePolicy, FieldErrors) {
@@ -87,9 +86,10 @@
 	return typicalHedge{factor: spec.Factor}, errs
 }
 
-// Delay implements HedgePolicy. The wait is shorter where otherwise a second
-// server would answer too late: it takes about twice the typical time, or what
-// is expected of it, unless that is too long for it to be of use at all.
+// Delay implements HedgePolicy. The wait is shortened, down to the typical time, if the second
+// server would otherwise answer too late. The second server is allowed twice the typical time, or the
+// typical time plus its own expected time if that is longer, unless its answer would then come too
+// late to be useful at all.
 func (h typicalHedge) Delay(observed HedgeObservation) (time.Duration, bool) {
 	typical := observed.Typical
 	if typical <= 0 {
--- a/pkg/policy/policies_test.go
+++ b/pkg/policy/policies_test.go
@@ -13,14 +13,14 @@
 
 const ms = time.Millisecond
 
-// built returns the policies of a specification that is known to be good.
+// mustBuild builds the policies of a specification and fails the test if it is invalid.
 func mustBuild(spec policy.Spec) policy.Set {
 	set, err := policy.Build(spec)
 	Expect(err).NotTo(HaveOccurred())
 	return set
 }
 
-// chosen counts how often each candidate is chosen in 1,000 draws.
+// countChoices counts how often each candidate is chosen in 1,000 draws.
 func countChoices(name string, candidates []policy.ReplicaState) []int {
 	chooser := mustBuild(policy.Spec{Replica: policy.ReplicaSpec{Policy: name}}).Replica
 	random := rand.New(rand.NewPCG(1, 2))
@@ -31,6 +31,7 @@
 	return counts
 }
 
+// replicaState returns a warm, idle replica in the local zone after applying change, if it is not nil.
 func replicaState(change func(*policy.ReplicaState)) policy.ReplicaState {
 	state := policy.ReplicaState{Limit: 5, Latency: 5 * ms, Weight: 1, ReportedLoad: -1}
 	if change != nil {
@@ -58,7 +59,7 @@
 		}
 	})
 
-	It("spread equally cold replicas evenly, as after the start of a whole service", func() {
+	It("spread equally cold replicas evenly, as after a start of all servers of a service", func() {
 		cold := func(s *policy.ReplicaState) { s.Weight = 0.05 }
 		equal := []policy.ReplicaState{replicaState(cold), replicaState(cold), replicaState(cold), replicaState(cold)}
 		for _, name := range builtInReplicas {
@@ -99,7 +100,7 @@
 		Entry("half warm, three others", 0.5, 3),
 	)
 
-	It("do not let a misleading report outweigh what answers show", func() {
+	It("do not let a misleading load report outweigh the observed latency", func() {
 		misled := replicaState(func(s *policy.ReplicaState) { s.ReportedLoad = 0; s.Latency = 10 * ms })
 		honest := replicaState(func(s *policy.ReplicaState) { s.ReportedLoad = 1 })
 		Expect(countChoices("two_choices", []policy.ReplicaState{misled, honest})[0]).To(BeZero())
@@ -143,7 +144,7 @@
 		Entry("quantile, the median no longer fits", policy.HedgeSpec{Policy: "quantile", Quantile: 0.9}, 22*ms, 0*ms, false),
 	)
 
-	DescribeTable("typical: in time for the server that is asked next",
+	DescribeTable("typical: leave the second server enough time to answer",
 		func(useful, alternative, wantDelay time.Duration) {
 			delay, hedge := mustBuild(policy.Spec{Hedge: policy.HedgeSpec{Policy: "typical", Factor: 2.5}}).Hedge.Delay(policy.HedgeObservation{
 				Typical: 10 * ms, Network: 20 * ms, Remaining: time.Second, UsefulRemaining: useful, Alternative: alternative,
@@ -152,10 +153,10 @@
 			Expect(delay).To(Equal(wantDelay))
 		},
 		Entry("there is time", 200*ms, 20*ms, 45*ms),
-		Entry("nothing is known of it", 60*ms, 0*ms, 40*ms),
+		Entry("its time is unknown", 60*ms, 0*ms, 40*ms),
 		Entry("it is far and needs a connection", 110*ms, 60*ms, 40*ms),
 		Entry("it could not answer in time anyway", 60*ms, 2000*ms, 40*ms),
-		Entry("the answer is late already", time.Nanosecond, 20*ms, 10*ms),
+		Entry("the answer is already late", time.Nanosecond, 20*ms, 10*ms),
 	)
 
 	It("send none while too few latencies are known", func() {
@@ -177,13 +178,13 @@
 		},
 		Entry("all, one missing", policy.StopSpec{Policy: "all"},
 			policy.Progress{CoveredWidth: 99, Records: 1000}, policy.StopDecision{}),
-		Entry("all, whole", policy.StopSpec{Policy: "all"},
+		Entry("all, complete", policy.StopSpec{Policy: "all"},
 			policy.Progress{CoveredWidth: 100}, policy.StopDecision{Stop: true, Reason: policy.StopAllParts}),
 		Entry("coverage, below", policy.StopSpec{Policy: "coverage", Coverage: 0.95, Grace: policy.Duration(5 * ms)},
 			policy.Progress{CoveredWidth: 94, SinceCoverage: time.Hour}, policy.StopDecision{}),
-		Entry("coverage, in its grace", policy.StopSpec{Policy: "coverage", Coverage: 0.95, Grace: policy.Duration(5 * ms)},
+		Entry("coverage, during the grace period", policy.StopSpec{Policy: "coverage", Coverage: 0.95, Grace: policy.Duration(5 * ms)},
 			policy.Progress{CoveredWidth: 95, SinceCoverage: 2 * ms}, policy.StopDecision{Recheck: 3 * ms}),
-		Entry("coverage, after its grace", policy.StopSpec{Policy: "coverage", Coverage: 0.95, Grace: policy.Duration(5 * ms)},
+		Entry("coverage, after the grace period", policy.StopSpec{Policy: "coverage", Coverage: 0.95, Grace: policy.Duration(5 * ms)},
 			policy.Progress{CoveredWidth: 95, SinceCoverage: 5 * ms}, policy.StopDecision{Stop: true, Reason: policy.StopCoverage}),
 		Entry("first, too few records", policy.StopSpec{Policy: "first", Records: 3},
 			policy.Progress{Records: 2}, policy.StopDecision{}),
@@ -193,7 +194,7 @@
 			policy.Progress{Records: 9, CoveredWidth: 49}, policy.StopDecision{}),
 	)
 
-	It("name the share at which the grace starts", func() {
+	It("return the share at which the grace period starts", func() {
 		spec := policy.StopSpec{Policy: "coverage", Coverage: 0.9}
 		Expect(mustBuild(policy.Spec{Stop: spec}).Stop.TargetShare()).To(Equal(0.9))
 		Expect(mustBuild(policy.Spec{}).Stop.TargetShare()).To(Equal(1.0))
@@ -213,12 +214,12 @@
 			spec := policy.AdmissionSpec{Policy: name, MaxQueued: 5}
 			decision := mustBuild(policy.Spec{Admission: spec}).Admission.Decide(state)
 			Expect(decision.Verdict).To(Equal(want))
-			Expect(decision.RetryAfter > 0).To(Equal(want == policy.Refuse), "when to retry")
+			Expect(decision.RetryAfter > 0).To(Equal(want == policy.Refuse), "retry delay set only for a refusal")
 		},
 		Entry("unlimited", "unlimited", func(s *policy.AdmissionState) { s.Remaining = 0 }, policy.Admit),
-		Entry("bounded, place in the queue", "bounded_queue", func(s *policy.AdmissionState) { s.Remaining = 0 }, policy.Queue),
+		Entry("bounded, room in the queue", "bounded_queue", func(s *policy.AdmissionState) { s.Remaining = 0 }, policy.Queue),
 		Entry("bounded, queue full", "bounded_queue", func(s *policy.AdmissionState) { s.QueuedSameClass = 5 }, policy.Refuse),
-		Entry("bounded, room", "bounded_queue", func(s *policy.AdmissionState) { s.InFlight = 9; s.QueuedAhead = 0 }, policy.Admit),
+		Entry("bounded, below the limit", "bounded_queue", func(s *policy.AdmissionState) { s.InFlight = 9; s.QueuedAhead = 0 }, policy.Admit),
 		Entry("deadline, the wait fits", "deadline_aware", func(s *policy.AdmissionState) {}, policy.Queue),
 		Entry("deadline, the wait is too long", "deadline_aware", func(s *policy.AdmissionState) { s.DrainRate = 60 }, policy.Refuse),
 		Entry("deadline, no time for a slow request", "deadline_aware", func(s *policy.AdmissionState) { s.Remaining = 22 * ms }, policy.Refuse),
@@ -239,12 +240,12 @@
 		Entry("deadline, room for a ticker", "deadline_aware", func(s *policy.AdmissionState) {
 			s.Class, s.InFlight, s.QueuedAhead = policy.ClassTicker, 9, 0
 		}, policy.Admit),
-		Entry("deadline, archive leaves that room", "deadline_aware", func(s *policy.AdmissionState) {
+		Entry("deadline, archive leaves room for a ticker", "deadline_aware", func(s *policy.AdmissionState) {
 			s.Class, s.InFlight, s.QueuedAhead = policy.ClassArchive, 9, 0
 		}, policy.Queue),
 	)
 
-	It("tell the time until those ahead have been served", func() {
+	It("return the time until the requests ahead have been served", func() {
 		state := busy
 		state.DrainRate = 50
 		decision := mustBuild(policy.Spec{}).Admission.Decide(state)
--- a/pkg/policy/policy.go
+++ b/pkg/policy/policy.go
@@ -1,6 +1,6 @@
 // Package policy defines the decisions of the query tier that operators can
-// swap by name in a template: which replica to ask, when to send a hedge, when
-// to stop waiting, whether to admit a request, and whether to retry.
+// select by name in a template: which replica to send to, when to send a hedge, when to stop
+// waiting, whether to admit a request, and whether to retry.
 //
 // A policy is a pure function of an observed state: it starts no goroutine,
 // reads no clock and keeps no state between calls, so the same code runs in a
@@ -17,26 +17,26 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// ReplicaState is what a node knows of one replica when it chooses.
+// ReplicaState is what a node knows about one replica when it chooses.
 type ReplicaState struct {
 	Server target.ServerID
 	// ZoneDistance is 0 in the node's own zone, 1 in its region, 2 elsewhere.
 	ZoneDistance int
-	// InFlight is the number of sub-requests that this node has at the server.
+	// InFlight is the number of sub-requests that this node has in flight to the server.
 	InFlight int
-	// Limit is the number of sub-requests that this node may have at the
-	// server now; at least 1.
+	// Limit is the number of sub-requests that this node may currently have in flight to the
+	// server; at least 1.
 	Limit int
-	// Latency is the moving average of the server's answers to this node;
-	// zero if there was none yet.
+	// Latency is the moving average of the latency of the server's answers to this node; zero
+	// before the first answer.
 	Latency time.Duration
 	// FailureShare is the recent share of failed or shed sub-requests, 0 to 1.
 	FailureShare float64
 	// Weight is the share of normal traffic that the server should get, above
 	// 0 and at most 1; below 1 while it warms up after a start.
 	Weight float64
-	// ReportedLoad is the share of slots in use that the server last reported;
-	// it lags and may mislead. Negative if unknown.
+	// ReportedLoad is the share of slots in use that the server last reported; negative if unknown.
+	// It lags and may mislead.
 	ReportedLoad float64
 }
 
@@ -46,29 +46,29 @@
 	Choose(candidates []ReplicaState, random *rand.Rand) int
 }
 
-// HedgeObservation is what is known when a sub-request was just sent.
+// HedgeObservation is what is known when a sub-request has just been sent.
 type HedgeObservation struct {
 	// Quantile returns a quantile (0 to 1) of the recent latency of the
-	// service's sub-requests; zero while too few were seen.
+	// service's sub-requests; zero while too few have been observed.
 	Quantile func(quantile float64) time.Duration
 	// Remaining is the time until the query's deadline.
 	Remaining time.Duration
-	// Useful is the time until an answer loses most of its value; zero if it
-	// keeps it until the deadline.
+	// Useful is the time until an answer loses most of its value; zero if it keeps its
+	// value until the deadline.
 	UsefulRemaining time.Duration
-	// Typical is the mean time of a server, and Network the time beyond it
-	// within which its answers usually come; zero if unknown.
+	// Typical is the mean service time of the server, and Network is the additional time within
+	// which its answers usually arrive; zero if unknown.
 	Typical time.Duration
 	Network time.Duration
-	// Alternative is the expected time of the server that would be asked next,
-	// with its network and a new connection if it needs one; zero if unknown.
+	// Alternative is the expected time of the server that a hedge would go to, including network
+	// time and a new connection if one is needed; zero if unknown.
 	Alternative time.Duration
 }
 
-// HedgePolicy decides how long to wait for a sub-request before a second
-// replica is asked for the same part.
+// HedgePolicy decides how long to wait for a sub-request before sending a hedge for the same part to
+// a second replica.
 type HedgePolicy interface {
-	// Delay returns the wait, and false if no hedge is to be sent.
+	// Delay returns the time to wait, and false if no hedge should be sent.
 	Delay(observed HedgeObservation) (time.Duration, bool)
 }
 
@@ -81,7 +81,7 @@
 	StopCoverage     StopReason = "coverage_reached"
 	StopFirstResults StopReason = "first_results"
 	StopDeadline     StopReason = "deadline"
-	// StopExhausted means that the missing parts have no replica left to ask.
+	// StopExhausted means that no replica is left to send the missing parts to.
 	StopExhausted StopReason = "no_replica_left"
 )
 
@@ -110,24 +110,24 @@
 	return float64(p.CoveredWidth) / float64(p.TotalWidth)
 }
 
-// StopDecision is the answer of a StopRule.
+// StopDecision is the result of a StopRule.
 type StopDecision struct {
 	Stop   bool
 	Reason StopReason
-	// Recheck is when to ask again if nothing else happens; zero for only on
-	// the next event.
+	// Recheck is the time after which to call Decide again if no event happens first; zero means
+	// only on the next event.
 	Recheck time.Duration
 }
 
-// StopRule decides when a query stops waiting. The executor itself stops at
-// the deadline and when every part is covered, whatever the rule says.
+// StopRule decides when a query stops waiting. The executor itself stops at the deadline and when
+// every part is covered, whatever the rule decides.
 type StopRule interface {
 	Decide(progress Progress) StopDecision
-	// TargetShare is the coverage at which Progress.SinceCoverage starts.
+	// TargetShare returns the coverage from which Progress.SinceCoverage is measured.
 	TargetShare() float64
 }
 
-// Class is the kind of use of a request; it orders admission.
+// Class is the traffic class of a request. It determines the admission priority.
 type Class string
 
 // The classes, from the one that is shed last to the one that is shed first.
@@ -143,15 +143,15 @@
 	// InFlight counts admitted requests, Queued the waiting ones.
 	InFlight int
 	Queued   int
-	// QueuedAhead counts the waiting requests that would be served first.
+	// QueuedAhead counts the waiting requests that would be served before this one.
 	QueuedAhead int
-	// QueuedSameClass counts the waiting requests of the same tenant and class that
-	// came first.
+	// QueuedSameClass counts the waiting requests of the same tenant and class that arrived before
+	// this one.
 	QueuedSameClass int
-	// Standing is how long requests of the class have been waiting without a
+	// BacklogAge is how long requests of the class have been waiting without a
 	// lasting pause. A burst passes soon; overload does not.
 	BacklogAge time.Duration
-	// Limit is the number of requests that the gate runs at once now.
+	// Limit is the number of requests that the gate currently runs concurrently.
 	Limit int
 	// DrainRate is the measured rate of finished requests per second; zero if
 	// unknown.
@@ -161,12 +161,12 @@
 	// TypicalService is the average time that an admitted request of the same
 	// tenant and class takes; zero if unknown.
 	TypicalService time.Duration
-	// SlowService is the time that about nine in ten of them stay below; zero if
+	// SlowService is the time below which about nine in ten of those requests finish; zero if
 	// unknown.
 	SlowService time.Duration
 }
 
-// Verdict is the answer of an AdmissionPolicy.
+// Verdict is the result of an AdmissionPolicy.
 type Verdict int
 
 // The verdicts.
@@ -176,7 +176,7 @@
 	Refuse
 )
 
-// AdmissionDecision is a verdict with, for a refusal, when to retry.
+// AdmissionDecision is a verdict and, for a refusal, the time after which to retry.
 type AdmissionDecision struct {
 	Verdict    Verdict
 	RetryAfter time.Duration
@@ -200,16 +200,15 @@
 	TypicalLatency time.Duration
 }
 
-// RetryDecision says whether to try another replica, and after which wait. A
-// retry that is decided is still subject to the extra-load budget.
+// RetryDecision states whether to retry at another replica, and after which delay. The retry is
+// still subject to the extra-load budget.
 type RetryDecision struct {
 	Retry bool
 	Delay time.Duration
 }
 
-// RetryPolicy decides about retries of repeatable sub-requests. The executor
-// alone guards the rule that a not-repeatable request is sent again only after
-// evidence of not-run.
+// RetryPolicy decides about retries of repeatable sub-requests. The executor alone enforces the rule
+// that a not-repeatable request is sent again only after evidence that it did not run.
 type RetryPolicy interface {
 	Decide(state RetryState) RetryDecision
 }
--- a/pkg/policy/registry.go
+++ b/pkg/policy/registry.go
@@ -7,10 +7,10 @@
 	"sync"
 )
 
-// Kind is one of the decisions that a policy makes.
+// Kind identifies the decision that a policy makes.
 type Kind string
 
-// The kinds, each named as its field in Spec.
+// The kinds. Each value is the name of its field in a serialized Spec.
 const (
 	KindReplica   Kind = "replica"
 	KindHedge     Kind = "hedge"
@@ -24,9 +24,9 @@
 	return []Kind{KindReplica, KindHedge, KindStop, KindAdmission, KindRetry}
 }
 
-// Factory builds a policy P from the specification S of its kind, whose empty
-// fields were set to their defaults. The errors have paths within that
-// specification, for example "quantile".
+// Factory builds a policy P from the specification S of its kind, whose empty fields have been set to
+// their defaults. The paths of the errors are relative to that specification, for example
+// "quantile".
 type Factory[S, P any] func(spec S) (P, FieldErrors)
 
 // registry holds the factories of one kind by name.
@@ -74,8 +74,7 @@
 	return built, errs.Prefixed(string(r.kind))
 }
 
-// Names returns the registered policy names of a kind in order; nil for an
-// unknown kind.
+// Names returns the registered policy names of a kind in alphabetical order; nil for an unknown kind.
 func Names(kind Kind) []string {
 	switch kind {
 	case KindReplica:
@@ -94,8 +93,8 @@
 }
 
 // RegisterReplica adds a replica policy under a name that templates can use.
-// Like the other Register functions it is to be called from an init function;
-// it panics if the name is empty or taken.
+// Call it, like the other Register functions, from an init function. It panics if the name is empty
+// or already registered.
 func RegisterReplica(name string, factory Factory[ReplicaSpec, ReplicaChooser]) {
 	replicas.register(name, factory)
 }
--- a/pkg/policy/replica.go
+++ b/pkg/policy/replica.go
@@ -18,23 +18,21 @@
 	ReplicaTwoChoices:    func(ReplicaSpec) (ReplicaChooser, FieldErrors) { return twoChoices{}, nil },
 })
 
-// The weights of what is known of a replica.
+// The factors by which the state of a replica affects its cost.
 const (
-	// distancePenalty is how many times as good a replica must be for each
-	// step of zone distance.
+	// distancePenalty multiplies the cost of a replica for each step of zone distance.
 	distancePenalty = 2.0
-	// failurePenalty is how many times as bad a replica counts whose recent
-	// sub-requests all failed.
+	// failurePenalty is the relative cost added for a replica whose recent sub-requests all failed.
 	failurePenalty = 20.0
-	// reportedLoadWeight is small because reports lag and mislead: a server
-	// that reports a full load counts as a fifth worse than an idle one.
+	// reportedLoadWeight is small because load reports lag and can mislead: a server that reports
+	// full load costs a fifth more than an idle one.
 	reportedLoadWeight = 0.2
-	// assumedLatency stands for the latency of a replica that has not
-	// answered yet. It is low, so that new replicas are tried.
+	// assumedLatency is used for a replica that has not answered yet. It is low so that new
+	// replicas are tried.
 	assumedLatency = time.Millisecond
 )
 
-// randomReplica is the baseline: any replica with the same chance.
+// randomReplica is the baseline: it chooses every replica with equal probability.
 type randomReplica struct{}
 
 // Choose implements ReplicaChooser.
@@ -45,15 +43,15 @@
 	return random.IntN(len(candidates))
 }
 
-// admitByWeight decides whether a replica takes part in a choice, by its weight
-// relative to that of the warmest one. A cold replica is thus weighed against
-// the others as if it were warm, but only in its share of the choices. Making it look worse instead would keep it from
-// any work, and so from warming up, for as long as the others are not busy.
+// admitByWeight reports whether a replica takes part in a choice, with the probability of its weight
+// relative to the highest weight. A cold replica is compared with the others as if it were warm, but
+// only in its share of the choices. Raising its cost instead would keep it from getting any work, and
+// so from warming up, for as long as the others are not busy.
 func admitByWeight(state *ReplicaState, highest float64, random *rand.Rand) bool {
 	return state.Weight >= highest || random.Float64()*highest < state.Weight
 }
 
-// highestWeight returns the greatest weight.
+// highestWeight returns the highest weight of the candidates.
 func highestWeight(candidates []ReplicaState) float64 {
 	highest := 0.0
 	for index := range candidates {
@@ -62,8 +60,8 @@
 	return highest
 }
 
-// leastInFlight takes the replica with the fewest sub-requests in flight for
-// its limit, among those that their weights let through.
+// leastInFlight chooses the replica with the fewest sub-requests in flight relative to its limit,
+// adjusted for zone distance, among those admitted by weight.
 type leastInFlight struct{}
 
 // Choose implements ReplicaChooser. Ties are broken at random.
@@ -88,8 +86,8 @@
 	return best
 }
 
-// twoChoices takes the better of two replicas drawn at random, so that many
-// nodes with the same stale picture do not all rush to the same server.
+// twoChoices chooses the cheaper of two replicas drawn at random, so that many nodes with the same
+// stale state do not all send to the same server.
 type twoChoices struct{}
 
 // Choose implements ReplicaChooser.
@@ -119,8 +117,8 @@
 	return first
 }
 
-// expectedCost is the latency that a sub-request is expected to see at the
-// replica, made worse by failures, distance and reported load.
+// expectedCost returns the expected latency of a sub-request at the replica, scaled up for occupancy,
+// failures, zone distance and reported load.
 func expectedCost(state *ReplicaState) float64 {
 	latency := state.Latency
 	if latency <= 0 {
@@ -135,8 +133,7 @@
 	return cost
 }
 
-// occupancy is the share of the node's limit that would be in use with one
-// more sub-request.
+// occupancy returns the share of the node's limit that would be in use with one more sub-request.
 func occupancy(state *ReplicaState) float64 {
 	return float64(state.InFlight+1) / float64(max(state.Limit, 1))
 }
--- a/pkg/policy/retry.go
+++ b/pkg/policy/retry.go
@@ -19,26 +19,25 @@
 	RetryDeadlineAware: newDeadlineAwareRetry,
 })
 
-// The wait of the deadline-aware policy before the second and later retries.
+// The backoff of the deadline-aware policy before the second and later retries.
 const (
-	// firstBackoffShare is the first wait as a share of the typical latency.
+	// firstBackoffShare is the first backoff as a share of the typical latency.
 	firstBackoffShare = 0.5
-	// backoffGrowth multiplies the wait from one retry to the next.
+	// backoffGrowth multiplies the backoff from one retry to the next.
 	backoffGrowth = 3
-	// defaultFirstBackoff stands for the first wait while no latency is known.
+	// defaultFirstBackoff is the first backoff while the typical latency is unknown.
 	defaultFirstBackoff = time.Millisecond
-	// maxBackoff bounds the wait.
-	maxBackoff = 50 * time.Millisecond
+	maxBackoff          = 50 * time.Millisecond
 )
 
-// noRetry is the baseline.
+// noRetry is the baseline: it never retries.
 type noRetry struct{}
 
 // Decide implements RetryPolicy.
 func (noRetry) Decide(RetryState) RetryDecision { return RetryDecision{} }
 
-// immediateRetry tries again at once, whatever went wrong, until the attempts
-// are used up.
+// immediateRetry retries without delay after any failure, until the attempts are used up or the
+// deadline has passed.
 type immediateRetry struct{ maxAttempts int }
 
 func newImmediateRetry(spec RetrySpec) (RetryPolicy, FieldErrors) {
@@ -50,9 +49,9 @@
 	return RetryDecision{Retry: state.Attempts < r.maxAttempts && state.Remaining > 0}
 }
 
-// deadlineAwareRetry tries again only where that can help: the failure is not
-// the request's own fault, and a typical sub-request fits the time that
-// remains. The first retry goes at once, later ones wait longer each time.
+// deadlineAwareRetry retries only if that can help: another replica could give a different result,
+// and a typical sub-request fits in the remaining time. The first retry is immediate; the backoff
+// grows with each later one.
 type deadlineAwareRetry struct{ maxAttempts int }
 
 func newDeadlineAwareRetry(spec RetrySpec) (RetryPolicy, FieldErrors) {
@@ -71,7 +70,8 @@
 	return RetryDecision{Retry: true, Delay: delay}
 }
 
-// isFinal reports whether another replica would give the same failure.
+// isFinal reports whether a retry is pointless because it would fail for the same reason at any
+// replica.
 func isFinal(reason outcome.Reason) bool {
 	switch reason {
 	case outcome.ReasonInvalid, outcome.ReasonDeadline, outcome.ReasonCancelled, outcome.ReasonDuplicate:
@@ -81,9 +81,9 @@
 	}
 }
 
-// retryDelay returns no wait for the first retry, which goes to a different
-// replica. A part that failed twice is likely to be overloaded at every
-// replica, so the wait then grows with each attempt.
+// retryDelay returns the backoff before the next retry. It is zero for the first retry, which goes to
+// a different replica. A part that failed twice is likely to be overloaded at every replica, so the
+// backoff then grows with each attempt.
 func retryDelay(state RetryState) time.Duration {
 	if state.Attempts <= 1 {
 		return 0
--- a/pkg/policy/spec.go
+++ b/pkg/policy/spec.go
@@ -32,13 +32,12 @@
 type HedgeSpec struct {
 	// Policy is "none" (baseline), "fixed", "quantile" or "typical".
 	Policy string `json:"policy,omitempty" yaml:"policy,omitempty"`
-	// Delay is the wait of "fixed", and the least wait of "quantile".
+	// Delay is the delay of "fixed" and the minimum delay of "quantile".
 	Delay Duration `json:"delay,omitempty" yaml:"delay,omitempty"`
 	// Quantile is the latency quantile, above 0 and below 1, that "quantile"
 	// waits for.
 	Quantile float64 `json:"quantile,omitempty" yaml:"quantile,omitempty"`
-	// Factor times the typical time of a server is the wait of "typical"; 1 to
-	// 100.
+	// Factor is the multiple of a server's typical time that "typical" waits for; 1 to 100.
 	Factor float64 `json:"factor,omitempty" yaml:"factor,omitempty"`
 }
 
@@ -49,7 +48,7 @@
 	// Coverage is the share, above 0 and at most 1, at which "coverage" stops
 	// and below which "first" does not stop.
 	Coverage float64 `json:"coverage,omitempty" yaml:"coverage,omitempty"`
-	// Grace is how long "coverage" waits for the rest after Coverage is reached.
+	// Grace is how long "coverage" waits for the remaining parts after Coverage is reached.
 	Grace Duration `json:"grace,omitempty" yaml:"grace,omitempty"`
 	// Records is the number of records at which "first" stops.
 	Records int `json:"records,omitempty" yaml:"records,omitempty"`
@@ -59,7 +58,7 @@
 type AdmissionSpec struct {
 	// Policy is "unlimited" (baseline), "bounded_queue" or "deadline_aware".
 	Policy string `json:"policy,omitempty" yaml:"policy,omitempty"`
-	// MaxQueued bounds the waiting requests of the tenant and class.
+	// MaxQueued bounds the number of waiting requests per tenant and class.
 	MaxQueued int `json:"max_queued,omitempty" yaml:"max_queued,omitempty"`
 }
 
@@ -67,20 +66,20 @@
 type RetrySpec struct {
 	// Policy is "none" (baseline), "immediate" or "deadline_aware".
 	Policy string `json:"policy,omitempty" yaml:"policy,omitempty"`
-	// MaxAttempts bounds the sub-requests for one part, the first included.
+	// MaxAttempts bounds the sub-requests for one part, including the first.
 	MaxAttempts int `json:"max_attempts,omitempty" yaml:"max_attempts,omitempty"`
 }
 
-// ExtraLoadSpec bounds hedges and retries together.
+// ExtraLoadSpec bounds the combined load of hedges and retries.
 type ExtraLoadSpec struct {
 	// Share is the allowed ratio of extra to primary sub-requests, 0 to 1.
 	Share float64 `json:"share,omitempty" yaml:"share,omitempty"`
-	// Burst is the number of extra sub-requests that may be saved up.
+	// Burst is the number of extra sub-requests that may accumulate unused.
 	Burst int `json:"burst,omitempty" yaml:"burst,omitempty"`
 }
 
-// Spec names one policy of each kind with its parameters. An empty Policy
-// stands for the default of its kind; see Defaults.
+// Spec names one policy of each kind with its parameters. An empty Policy selects the default of its
+// kind; see Defaults.
 type Spec struct {
 	Replica   ReplicaSpec   `json:"replica,omitzero" yaml:"replica,omitempty"`
 	Hedge     HedgeSpec     `json:"hedge,omitzero" yaml:"hedge,omitempty"`
--- a/pkg/policy/stop.go
+++ b/pkg/policy/stop.go
@@ -15,12 +15,12 @@
 	StopRuleFirst:    newStopAtFirst,
 })
 
-// shareTolerance absorbs the rounding of shares such as 0.95; it is far below
-// the share of one key-space position.
+// shareTolerance absorbs rounding errors of shares such as 0.95. It is far smaller than the share of
+// one key-space position.
 const shareTolerance = 1e-9
 
-// stopAtAll is the baseline: it waits for every part or the deadline, both of
-// which the executor itself looks after.
+// stopAtAll is the baseline: it waits for every part or the deadline. The executor enforces both
+// itself.
 type stopAtAll struct{}
 
 // Decide implements StopRule.
@@ -31,8 +31,8 @@
 // TargetShare implements StopRule.
 func (stopAtAll) TargetShare() float64 { return 1 }
 
-// stopAtCoverage stops once a share of the key space is covered and the rest
-// had some more time.
+// stopAtCoverage stops once a share of the key space is covered and the grace period for the
+// remaining parts has passed.
 type stopAtCoverage struct {
 	coverage float64
 	grace    time.Duration
@@ -62,8 +62,8 @@
 // TargetShare implements StopRule.
 func (r stopAtCoverage) TargetShare() float64 { return r.coverage }
 
-// stopAtFirst stops once enough records were found and, if one is asked for, a
-// share of the key space is covered.
+// stopAtFirst stops once enough records were found and, if coverage is set, that share of the key
+// space is covered.
 type stopAtFirst struct {
 	records  int
 	coverage float64
