--- a/pkg/fanout/fanout_test.go
+++ b/pkg/fanout/fanout_test.go
@@ -377,7 +377,7 @@
 }
 
 // TestAPartThatServersRefuseAsksThemAgain guards against giving a part up when full servers refuse
-// it: requests were abandoned after 100 to 300 ms of their 3 s. The part waits and queries the same
+// it: 40 requests of a run were given up after 100 to 300 ms of their 3 s. The part waits and queries the same
 // servers again, as far as the budget allows, until the request's time is over.
 func TestAPartThatServersRefuseAsksThemAgain(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
--- a/pkg/fanout/quarantine_shard.go
+++ b/pkg/fanout/quarantine_shard.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// settleWithheldPart does this for one part.
+// settleWithheldPart does for one withheld part, without an attempt in progress, what
+// settleWithheld describes.
 func (r *run) settleWithheldPart(index int, now time.Time) {
 	part := &r.parts[index]
 	state := r.stateAtService(part)
--- a/pkg/fanout/result.go
+++ b/pkg/fanout/result.go
@@ -155,7 +155,7 @@
 }
 
 // refusedResult returns the result of a request that is refused before it is sent: its services are
-// overloaded, have no server that may be used, or the request is quarantined.
+// overloaded or have no server that may be used, or the request is quarantined.
 func (r *run) refusedResult(reason StopReason) Result {
 	cause := outcome.ReasonOverloaded
 	switch reason {
--- a/pkg/fanout/run.go
+++ b/pkg/fanout/run.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// handleTimer handles overdue reports and queries further servers for the parts whose time has
-// come.
+// handleTimer handles overdue reports and queries further servers for the parts whose hedgeAt has
+// been reached.
 func (r *run) handleTimer(now time.Time) {
 	r.handleSilence(now)
 	for index := range r.parts {
