--- a/pkg/quarantine/answers.go
+++ b/pkg/quarantine/answers.go
@@ -11,8 +11,8 @@
 // Bounds of the memory of answered requests.
 const (
 	// answerSpan is how long an answered request counts as one that does not crash servers. A
-	// request that comes several times a minute is thus recognized when it loses its servers
-	// because of another request. Answers are kept for up to twice as long.
+	// request that comes several times a minute is thus recognized when its servers crash because
+	// of another request. Answers are kept for up to twice as long.
 	answerSpan = 30 * time.Second
 	// answerSlots is the maximum number of requests remembered per span, in 32 KB each.
 	answerSlots = 4096
--- a/pkg/quarantine/updates.go
+++ b/pkg/quarantine/updates.go
@@ -33,7 +33,7 @@
 func (g *Guard) OnUpdate(notify func(Update) bool) { g.notify = notify }
 
 // Delays before a node writes crashes to the store that another node announced, if the store does
-// not hold them by then. The announcing node may have ended, or it may leave the writing to another
+// not hold them by then. The announcing node may have stopped, or it may leave the writing to another
 // node that announced them to it.
 const (
 	// peerWriteDelay is several times what a note takes to the store and back.
