--- a/internal/front/client_request.go
+++ b/internal/front/client_request.go
@@ -37,7 +37,7 @@
 	sentRetryAfter time.Duration
 	// limitDecision is the decision that refused the request as over its tenant's limit, or nil.
 	limitDecision *LimitDecision
-	// cause is the error from reading the request, for logs; nil if there was none.
+	// readError is the error from reading the request, for logs; nil if there was none.
 	readError error
 }
 
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -43,7 +43,7 @@
 	// The fields below are guarded by mutex.
 	states      map[net.Conn]connectionState
 	idleTimeout time.Duration
-	// most is the number of connections that are kept; zero means no limit.
+	// maxConnections is the number of connections that are kept; zero means no limit.
 	maxConnections int
 	draining       bool
 	closed         bool
--- a/internal/front/split.go
+++ b/internal/front/split.go
@@ -20,7 +20,7 @@
 	credits map[string][]float64
 }
 
-// phases is the number of positions in the sequence from which a node may start.
+// startPositions is the number of positions in the sequence from which a node may start.
 const startPositions = 64
 
 func newSplitter(random *rand.Rand) *splitter {
