--- a/pkg/fanout/fanout_test.go
+++ b/pkg/fanout/fanout_test.go
@@ -377,8 +377,8 @@
 }
 
 // TestAPartThatServersRefuseAsksThemAgain guards against giving a part up when full servers refuse
-// it: 40 requests of a run were given up after 100 to 300 ms of their 3 s. The part waits and queries the same
-// servers again, as far as the budget allows, until the request's time is over.
+// it: 40 requests were given up after 100 to 300 ms of their 3 s. The part waits and queries the
+// same servers again, as far as the budget allows, until the request's time is over.
 func TestAPartThatServersRefuseAsksThemAgain(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		const refusals = 5
--- a/pkg/fanout/needed_test.go
+++ b/pkg/fanout/needed_test.go
@@ -15,9 +15,10 @@
 )
 
 // TestARequestLeavesAScarceShardToThoseThatNeedIt guards against requests that take the last server
-// of a shard from those that need it, which were then served worst. A request whose required parts
-// are already in progress elsewhere waits behind one that cannot be answered without the shard,
-// even if its sampling value is greater.
+// of a shard from those that need it. A request whose required parts are already in progress
+// elsewhere waits behind one that cannot be answered without the shard, even if its sampling value
+// is greater. The fault behind it: a kind of request that could do without a shard with one server
+// left was served worst.
 func TestARequestLeavesAScarceShardToThoseThatNeedIt(t *testing.T) {
 	inBubble(t, func(g *WithT, w *world) {
 		slow := exchangetest.Whole("a")
