--- a/pkg/quarantine/gossip_test.go
+++ b/pkg/quarantine/gossip_test.go
@@ -211,7 +211,7 @@
 	})
 }
 
-// If the node that announced crashes ends before it wrote them, another node writes them.
+// If the node that announced crashes stops before it has written them, another node writes them.
 func TestWhatANodeToldThatEndsIsWrittenByAnother(t *testing.T) {
 	withGossip(t, 4, func(g *WithT, c *cluster, network *messageNetwork) {
 		sender := testTransport{net: network, address: "ended"}
