--- a/pkg/exchange/turned_away_test.go
+++ b/pkg/exchange/turned_away_test.go
@@ -65,7 +65,7 @@
 
 // TestNothingIsSentToAServerThatTurnsConnectionsAway checks that once a server has turned a
 // connection away, new ones are confirmed before the request is sent, so that a refusal costs no
-// extra load. (valgsok-grown fresh-fa94)
+// extra load.
 func TestNothingIsSentToAServerThatTurnsConnectionsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
