--- a/pkg/owner/exclusion_test.go
+++ b/pkg/owner/exclusion_test.go
@@ -91,8 +91,8 @@
 	g.Expect(o.serve(50*time.Millisecond, 2*time.Minute, always)).To(BeNumerically(">=", 1800), "the owner is still probed and returns")
 }
 
-// TestLowRequestRateStillBacksOff: the same for ten minutes with two requests in five seconds, the
-// rate that one of many nodes sees.
+// TestLowRequestRateStillBacksOff: two requests in five seconds for ten minutes, the rate that one
+// of many nodes sees, with an owner that answers probes at once but questions too late.
 func TestLowRequestRateStillBacksOff(t *testing.T) {
 	g := NewWithT(t)
 	o := newOwnerSimulation()
