--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -34,7 +34,7 @@
 	// isConfirmed says that the server itself crashed, isWritten that the store holds the crash.
 	isConfirmed bool
 	isWritten   bool
-	// isAnnounced says that other nodes were told of the crash directly, by this node or another
+	// isAnnounced says that other nodes were notified of the crash directly, by this node or another
 	// one. isFromPeer says that another node announced it first; that node writes it to the store
 	// unless the store already holds enough crashes.
 	isAnnounced bool
@@ -47,7 +47,7 @@
 // isStored reports whether the store holds the crash.
 func (c *serverCrash) isStored() bool { return c.isWritten }
 
-// isKnownToOthers reports whether other nodes were told of the crash directly.
+// isKnownToOthers reports whether other nodes were notified of the crash directly.
 func (c *serverCrash) isKnownToOthers() bool { return c.isAnnounced }
 
 // isStoredOrExpected reports whether the store holds a crash, or another node is being given time
