--- a/pkg/quota/coordinators.go
+++ b/pkg/quota/coordinators.go
@@ -27,8 +27,9 @@
 	// that the node's equal part of a limit is small until then.
 	assumedNodes = 100
 	// departedSpan is how long a node that has left the node list counts as cut off and not as
-	// ended. A node that is cut off leaves the list some seconds later and may still admit requests
-	// by its entitlement. If it has ended, its part of the limits is unused for departedSpan.
+	// stopped. A node that is cut off leaves the list some seconds later and may still admit
+	// requests by its entitlement. If its process has stopped, its part of the limits is unused for
+	// departedSpan.
 	departedSpan = 20 * time.Second
 	// listFillSpan is how long after its start a process that was not in the node list before
 	// regards node lists as incomplete, as after a power loss in which the entries of all nodes
@@ -94,9 +95,10 @@
 	l.zoneCoordinators = rendezvous.NewSet(rendezvous.Top(coordinatorsKey, inZone, zoneCoordinatorCount))
 }
 
-// recordDeparted compares the node list with the one before. A node that has left the list may be cut
-// off and still admit requests by its entitlement, so it counts as silent for departedSpan. A node
-// that is listed again counts as silent until it reports or answers. The caller holds the mutex.
+// recordDeparted compares the node list with the previous one. A node that has left the list may be
+// cut off and still admit requests by its entitlement, so it counts as silent for departedSpan. A
+// node that is listed again counts as silent until it reports or answers. The caller holds the
+// mutex.
 func (l *Limiter) recordDeparted(before, after map[string]peer.Address, now time.Time) {
 	for name := range before {
 		if after[name] == "" && name != l.options.Local {
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -16,13 +16,14 @@
 	// It is short because a tenant at many times its limit must be seen before its burst is spent.
 	reportDelay = 25 * time.Millisecond
 	// callTimeout is the timeout of a report to a coordinator and of a verdict to a node: several
-	// times the round trip to a distant region.
+	// times the round trip to a distant region. A coordinator or node that has not answered by then
+	// counts as silent.
 	callTimeout = 200 * time.Millisecond
 	// tickInterval is the time between two checks whether verdicts, probes or a sweep are due.
 	tickInterval = 100 * time.Millisecond
 	// verdictInterval is how often a share below 1 is sent again.
 	verdictInterval = 300 * time.Millisecond
-	// silentNodeInterval is how often verdicts are sent to nodes that did not take the last ones.
+	// silentNodeInterval is how often verdicts are sent to nodes that did not accept the last ones.
 	silentNodeInterval = time.Second
 	// sweepInterval is how often idle meters and accounts are removed; idleTimeout is the time
 	// without use after which they are idle.
@@ -76,7 +77,7 @@
 	// context ends with Run. Calls that result from the answers of other nodes use it.
 	context context.Context
 	cancel  context.CancelFunc
-	// startedAt is when the Limiter was created, which stands for the start of the process.
+	// startedAt is when the Limiter was created, which is taken as the start of the process.
 	startedAt time.Time
 	// group counts the calls in progress.
 	group sync.WaitGroup
@@ -96,7 +97,7 @@
 	links             map[string]*link
 	meters            map[string]*tenantMeter
 	accounts          map[string]*tenantAccount
-	// silent holds the nodes that did not take the last verdicts.
+	// silent holds the nodes that did not accept the last verdicts.
 	silent map[string]bool
 	// departed holds nodes that have left the node list and until when they count as silent.
 	departed map[string]time.Time
--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -151,7 +151,7 @@
 // SetLimit puts a limit into force.
 func (m *Meter) SetLimit(limit route.RateLimit) { m.limit = limit }
 
-// SetNodes takes the number of nodes of the deployment.
+// SetNodes sets the number of nodes of the deployment.
 func (m *Meter) SetNodes(nodes int) { m.nodes = nodes }
 
 // SetRoundingOffset sets the offset, from 0 to below 1, that is added before the number of allowed
@@ -214,7 +214,7 @@
 }
 
 // isolatedCapacity returns how many requests the node may save up at a rate while isolated. Within
-// the limit it is the allowance of a window, since nobody has spent the burst.
+// the limit it is the allowance of a window, since the burst has not been spent.
 func (m *Meter) isolatedCapacity(rate float64, now time.Time) float64 {
 	if !m.isWithinLimit(now) {
 		return max(1, rate*isolatedSavingSpan.Seconds())
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -15,9 +15,9 @@
 // kindReport is the message by which a node reports to a coordinator.
 const kindReport peer.Kind = "quota.report"
 
-// maxHighUsageVerdicts is the maximum number of tenants in the answer to an empty report. Every
-// node sends one every half second or so, and the accounts are locked while it is answered. Which
-// tenants are included varies.
+// maxHighUsageVerdicts is the maximum number of tenants in the answer to an empty report. It is
+// small because every node sends such a report about every half second, and the accounts are locked
+// while it is answered. Which tenants are included varies.
 const maxHighUsageVerdicts = 16
 
 // report sends each coordinator the usage that is new to it.
--- a/pkg/quota/verdicts.go
+++ b/pkg/quota/verdicts.go
@@ -103,7 +103,7 @@
 	return nodes
 }
 
-// sendVerdicts sends verdicts to the given nodes and records which of them took them. It clears
+// sendVerdicts sends verdicts to the given nodes and records which nodes accepted them. It clears
 // isRunning when all calls have ended. The caller holds the mutex.
 func (l *Limiter) sendVerdicts(ctx context.Context, nodes map[peer.Address]string, verdicts map[string]Verdict, isRunning *bool) {
 	l.applyVerdicts(ctx, l.options.Local, verdicts, time.Now())
@@ -136,8 +136,8 @@
 	})
 }
 
-// sendAll sends verdicts to all addresses in parallel and returns those that took them within
-// callTimeout.
+// sendAll sends verdicts to all addresses in parallel and returns those that accepted them
+// within callTimeout.
 func (l *Limiter) sendAll(ctx context.Context, addresses []peer.Address, message *quotapb.Verdicts) []peer.Address {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
