--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -24,44 +24,44 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// Times and bounds of a node.
+// Timeouts and limits of a node.
 const (
 	connectTimeout = time.Second
-	// maxPeerFrame bounds a message between nodes, which may hold all entries.
+	// maxPeerFrame is the maximum size in bytes of a message between nodes, which may contain all
+	// entries.
 	maxPeerFrame = 16 << 20
-	// maxPeerConnections bounds the connections to other nodes; one that was
-	// unused for longest gives way to a new one. A gathered request needs one for each
-	// group of its shards: 15 for 220 shards, and those of two sets while the shards
-	// are being cut anew.
+	// maxPeerConnections is the maximum number of connections to other nodes; the least recently
+	// used one is closed to open another. A gathered request needs one per group of its shards: 15
+	// for 220 shards, and those of two sets while the shards are being repartitioned.
 	maxPeerConnections = 48
-	// quotaPeerConnections is how many more there may be where limits of tenants are held, since their
-	// coordinators tell all nodes when a tenant is at its limit: 256 in all, what pkg/peer keeps by
-	// default.
+	// quotaPeerConnections is added to maxPeerConnections if tenant limits are enforced, because
+	// their coordinators notify all nodes when a tenant reaches its limit. The total, 256, is the
+	// default of pkg/peer.
 	quotaPeerConnections = 208
-	// maxPeerInbound bounds the connections of other nodes: all nodes of a region ask
-	// an owner, 680 at the size to design for.
+	// maxPeerInbound is the maximum number of connections from other nodes: all nodes of a region
+	// send requests to an owner, 680 at the size that the system is designed for.
 	maxPeerInbound = 1024
-	// maxPeerHandlers bounds the questions that are answered at once; one beyond it is
-	// refused, and the asking node turns to the servers.
+	// maxPeerHandlers is the maximum number of peer requests that are handled at once. Further
+	// requests are refused, and their sender falls back to the servers.
 	maxPeerHandlers = 512
 	maxInFlight     = 2000
 	sweepInterval   = time.Second
-	// settleReserve is kept of the time in which the platform holds nodes to no
-	// bounds, since a request takes its time to arrive.
-	settleReserve = 700 * time.Millisecond
-	// leaveShare is the share of the time in which a leaving server may be asked
-	// that a node uses: news of it may arrive late.
-	leaveShare = 4
+	// contactReserve is subtracted from the time during which the platform holds nodes to no
+	// bounds, because requests take time to arrive.
+	contactReserve = 700 * time.Millisecond
+	// leaveGraceDivisor divides the time during which a leaving server may still receive requests.
+	// A node uses only that fraction, because it may learn late that the server is leaving.
+	leaveGraceDivisor = 4
 )
 
-// Platform is what the node asks of the platform's store.
+// Platform is the access to the platform's store that a node needs.
 type Platform interface {
 	directory.Source
 	Registry
 	Restorer
 	quarantine.Ledger
-	// SetObserver lets a function take each call by its name and its error; it does
-	// not block. It is called before the first call.
+	// SetObserver sets a function that is called with the name and the error of each call and must
+	// not block. SetObserver is called before the first call to the store.
 	SetObserver(observe func(call string, err error))
 }
 
@@ -74,49 +74,50 @@
 	ReadyPath string
 	// Reload reads the settings again; nil if they cannot change.
 	Reload func() (*Settings, error)
-	// Suspended tells for how long the machine has been suspended so far; nil to ask its
-	// clocks.
+	// Suspended returns the total time for which the machine has been suspended; nil to derive it
+	// from the clocks of the machine.
 	Suspended func() time.Duration
-	// Hangup tells that the settings have changed; it may be nil.
-	Hangup Hangups
+	// ReloadSignals delivers a signal when the settings have changed; it may be nil.
+	ReloadSignals SignalChannel
 }
 
 // Node is one node of a routed deployment.
 type Node struct {
 	options Options
 	logger  hclog.Logger
-	// settings are those in force; see reload.go.
+	// settings are the settings in force; see reload.go.
 	settings atomic.Pointer[Settings]
-	// reloadProblem is the last fault of the settings; only watchSettings uses it.
-	reloadProblem string
-	// keysLapsed says that requests with keys were refused when last looked at; only
-	// sweepServers uses it.
-	keysLapsed bool
-	state      *state
-	quarantine *quarantine.Guard
-	listener   *front.Listener
-	ready      *http.Server
-	// readyListener takes the platform's questions about readiness.
+	// lastReloadError is the text of the last error of a reload, empty after a successful one. Only
+	// watchSettings uses it.
+	lastReloadError string
+	// keysLapsed says whether requests with keys were refused at the last check; only sweepServers
+	// uses it.
+	keysLapsed  bool
+	state       *state
+	quarantine  *quarantine.Guard
+	listener    *front.Listener
+	readyServer *http.Server
+	// readyListener accepts the readiness probes of the platform.
 	readyListener net.Listener
 	follower      *directory.Follower
-	figures       *figures
-	// metrics and metricsListener are nil if no port is set.
-	metrics         *http.Server
+	metrics       *metricSet
+	// metricsServer and metricsListener are nil if no port is set.
+	metricsServer   *http.Server
 	metricsListener net.Listener
-	member          *registration
+	nodeEntry       *registration
 	writeBack       *writeBack
-	// transport, peers and owners are nil if the node has no address for its peers.
+	// transport, peers and owners are nil if the node has no peer address.
 	transport *peer.TCP
 	peers     *directory.Peers
 	owners    *owner.Client
-	// limits is nil if limits of tenants are not held.
+	// limits is nil if tenant limits are not enforced.
 	limits *limits
-	// known is what this node knows of the room at services; announcer tells others of it and
-	// is nil if the node has no address for its peers.
-	known     *fanout.Room
+	// admission holds what this node knows of the capacity of overloaded services. announcer sends
+	// it to other nodes and is nil if the node has no peer address.
+	admission *fanout.AdmissionControl
 	announcer *owner.Announcer
-	// teller tells other nodes of suspect requests; nil if the node has no address for its peers.
-	teller *quarantine.Teller
+	// gossiper notifies other nodes of suspect requests; nil if the node has no peer address.
+	gossiper *quarantine.Gossiper
 }
 
 // New opens the node's listeners.
@@ -126,36 +127,36 @@
 	if options.Suspended == nil {
 		options.Suspended = suspension.Total
 	}
-	node := &Node{options: options, logger: options.Logger, figures: newFigures()}
+	node := &Node{options: options, logger: options.Logger, metrics: newMetricSet()}
 	node.settings.Store(settings)
-	options.Platform.SetObserver(node.figures.countCall)
+	options.Platform.SetObserver(node.metrics.countCall)
 	rules, err := newPolicies()
 	if err != nil {
 		return nil, err
 	}
 	node.state = newState(node, newFleet(settings), rules)
 	node.follower = directory.NewFollower(options.Platform, node.state)
-	node.follower.SetSuspended(options.Suspended)
-	node.follower.SetNewsAge(settings.newsAge())
+	node.follower.SetSuspensionClock(options.Suspended)
+	node.follower.SetStalenessBound(settings.stalenessBound())
 	node.follower.SetWriteBackSpan(settings.writeBackSpan())
-	node.follower.SetConfirms(settings.Bounds.RefuseUnconfirmedKeys)
+	node.follower.SetConfirmWhenIdle(settings.Bounds.RefuseUnconfirmedKeys)
 	node.follower.SetFirstStart(settings.Node.FirstStart)
-	recorder := newEvents(node.logger, node.figures, node.storeAge)
+	recorder := newRequestRecorder(node.logger, node.metrics, node.storeAge)
 	node.quarantine = quarantine.New(quarantine.Options{
-		Ledger: options.Platform, LedgerLost: node.follower.HasLost, Dialer: newServerDialer(),
+		Ledger: options.Platform, LedgerUnavailable: node.follower.IsStoreLost, Dialer: newServerDialer(),
 		Events: suspectEvents{node: node, recorder: recorder},
 	})
 	node.state.quarantine = node.quarantine
 	local := directory.Node{Name: settings.Node.Name, Zone: settings.Node.Zone}
-	node.known = fanout.NewRoom(node.state.fleet)
+	node.admission = fanout.NewAdmissionControl(node.state.fleet)
 	if err := node.openPeers(settings, &local); err != nil {
 		return nil, err
 	}
 	if err := node.openClients(rules, recorder); err != nil {
 		return nil, err
 	}
-	node.member = newRegistration(options.Platform, local, options.Logger, node.follower, func() int { return len(node.state.knownNodes()) })
-	node.state.member = node.member
+	node.nodeEntry = newRegistration(options.Platform, local, options.Logger, node.follower, func() int { return len(node.state.knownNodes()) })
+	node.state.nodeEntry = node.nodeEntry
 	node.writeBack = newWriteBack(options.Platform, node)
 	if err := node.openReady(); err != nil {
 		return nil, err
@@ -165,26 +166,26 @@
 
 func newFleet(settings *Settings) *fleet.Fleet {
 	return fleet.New(fleet.Settings{
-		Node:        settings.Node.Name,
-		Local:       fleet.Place{Zone: settings.Node.Zone, Region: settings.Node.Region},
-		Regions:     settings.Zones,
-		LeaveWithin: settings.leaveWithin(), WarmUpBounds: settings.warmUpBounds(),
+		Node:       settings.Node.Name,
+		Local:      fleet.Place{Zone: settings.Node.Zone, Region: settings.Node.Region},
+		Regions:    settings.Zones,
+		LeaveGrace: settings.leaveGrace(), WarmUpBounds: settings.warmUpBounds(),
 		Dialer: newServerDialer(),
 		Random: newRandom(),
 	})
 }
 
-// newServerDialer returns what opens connections to servers.
+// newServerDialer returns a dialer for connections to servers.
 func newServerDialer() *net.Dialer { return &net.Dialer{Timeout: connectTimeout, KeepAlive: -1} }
 
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// openClients opens the address for clients.
-func (n *Node) openClients(rules *policies, recorder *events) error {
+// openClients opens the listener for clients.
+func (n *Node) openClients(rules *policies, recorder *requestRecorder) error {
 	options := front.Options{
 		Dialect: n.options.Dialect, State: n.state, Fleet: n.state.fleet, Budget: n.state.budgets, Policies: rules,
 		Events: recorder, Random: newRandom(), MaxInFlight: maxInFlight,
-		Quarantine: n.quarantine, KeyNews: n.keyNews, Room: n.known,
+		Quarantine: n.quarantine, KeyFreshness: n.keyFreshness, Admission: n.admission,
 	}
 	if n.owners != nil {
 		options.Owners = n.owners
@@ -200,33 +201,34 @@
 	if err != nil {
 		return err
 	}
-	listener.SetMost(n.options.Settings.clientConnections())
+	listener.SetMaxConnections(n.options.Settings.clientConnections())
 	n.listener = listener
-	n.state.idle = listener.SetIdle
+	n.state.setIdleTimeout = listener.SetIdleTimeout
 	return nil
 }
 
-// ClientAddress returns where clients connect.
+// ClientAddress returns the address that clients connect to.
 func (n *Node) ClientAddress() string { return n.listener.Address() }
 
-// ReadyAddress returns where the platform asks for readiness.
+// ReadyAddress returns the address of the readiness endpoint.
 func (n *Node) ReadyAddress() string { return n.readyListener.Addr().String() }
 
-// Metrics serves the node's figures and limits, for programs that embed it.
+// Metrics returns the handler of the metrics and of the limits page, for programs that embed the
+// node.
 func (n *Node) Metrics() http.Handler { return n.metricsHandler() }
 
-// openPeers opens the address for other nodes, if there is one, and notes it in
-// the node's entry.
+// openPeers opens the listener for other nodes, if one is configured, and sets its address in the
+// node's entry.
 func (n *Node) openPeers(settings *Settings, local *directory.Node) error {
 	if settings.Listen.Peers == "" {
 		return nil
 	}
-	opened, err := net.Listen("tcp", settings.Listen.Peers)
+	peerListener, err := net.Listen("tcp", settings.Listen.Peers)
 	if err != nil {
 		return errors.Wrap(err, "listen for peers")
 	}
 	n.transport = peer.NewTCP(peer.TCPOptions{
-		Node: target.NodeID(settings.Node.Name), Listener: opened, DialTimeout: connectTimeout,
+		Node: target.NodeID(settings.Node.Name), Listener: peerListener, DialTimeout: connectTimeout,
 		Advertise:     peer.Address(settings.Listen.PeersAdvertised),
 		MaxFrameBytes: maxPeerFrame, MaxInbound: maxPeerInbound, MaxConnections: peerConnections(settings),
 		MaxHandlers: maxPeerHandlers,
@@ -235,32 +237,32 @@
 	n.peers = directory.NewPeers(directory.PeersOptions{
 		Follower: n.follower, Transport: n.transport, Local: *local, Nodes: n.state.knownNodes,
 		Seeds: settings.Peers, Regions: settings.Zones,
-		RoleChanged: func(role directory.Role) { n.logger.Info("reading of the store divided", "role", role.String()) },
-		ReaderLeftOut: func(name string, cause error) {
-			n.logger.Warn("reader of the store left out", "reader", name, "error", cause.Error())
+		RoleChanged: func(role directory.Role) { n.logger.Info("store reader role changed", "role", role.String()) },
+		ReaderEjected: func(name string, cause error) {
+			n.logger.Warn("store reader ejected", "reader", name, "error", cause.Error())
 		},
 	})
 	n.state.roster = owner.NewRoster(*local, settings.Zones, n.state.fleet)
-	n.owners = owner.NewClient(n.state.roster, n.transport, n.known.Board, ownerEvents{node: n})
+	n.owners = owner.NewClient(n.state.roster, n.transport, n.admission.Admitter, ownerEvents{node: n})
 	n.openAnnouncer()
-	n.openTeller()
-	if settings.Bounds.LimitWindowSeconds > 0 {
+	n.openGossiper()
+	if settings.Bounds.QuotaWindowSeconds > 0 {
 		n.limits = newLimits(n, settings, n.transport)
 		n.state.limits = n.limits
 	}
 	return nil
 }
 
-// peerConnections returns the bound on the connections to other nodes.
+// peerConnections returns the maximum number of connections to other nodes.
 func peerConnections(settings *Settings) int {
-	if settings.Bounds.LimitWindowSeconds > 0 {
+	if settings.Bounds.QuotaWindowSeconds > 0 {
 		return maxPeerConnections + quotaPeerConnections
 	}
 	return maxPeerConnections
 }
 
-// Run serves until ctx ends, and then stops as planned: no request in flight
-// is cut off within the grace time.
+// Run serves until ctx ends and then drains the node: no request in flight is aborted within the
+// grace time.
 func (n *Node) Run(ctx context.Context) error {
 	n.logger.Info("started", "zone", n.options.Settings.Node.Zone, "release", version.Version)
 	inner, cancel := context.WithCancel(context.Background())
@@ -270,13 +272,13 @@
 		group.Add(func() error { return execute(inner) }, func(error) { cancel() })
 	}
 	group.Add(n.listener.Serve, func(error) { n.listener.Close() })
-	// Close fails only on listeners that are closed already, so that its errors are dropped here.
-	group.Add(func() error { return n.ready.Serve(n.readyListener) }, func(error) { _ = n.ready.Close() })
-	if n.metrics != nil {
-		group.Add(func() error { return n.metrics.Serve(n.metricsListener) }, func(error) { _ = n.metrics.Close() })
+	// Close fails only for listeners that are already closed, so its errors are ignored.
+	group.Add(func() error { return n.readyServer.Serve(n.readyListener) }, func(error) { _ = n.readyServer.Close() })
+	if n.metricsServer != nil {
+		group.Add(func() error { return n.metricsServer.Serve(n.metricsListener) }, func(error) { _ = n.metricsServer.Close() })
 	}
 	add(n.follower.Run)
-	add(n.member.run)
+	add(n.nodeEntry.run)
 	add(n.writeBack.run)
 	add(n.quarantine.Run)
 	if n.transport != nil {
@@ -284,7 +286,7 @@
 		add(n.peers.Run)
 		add(n.owners.Run)
 		add(n.announcer.Run)
-		add(n.teller.Run)
+		add(n.gossiper.Run)
 	}
 	if n.limits != nil {
 		add(n.limits.limiter.Run)
@@ -316,13 +318,13 @@
 			n.state.fleet.Sweep(now)
 			n.quarantine.Sweep(now)
 			n.watchKeys()
-			n.known.Sweep(now)
+			n.admission.Sweep(now)
 		}
 	}
 }
 
-// resume makes up for a suspension of the machine: what was known is old, and connections that
-// seem to have rested for a moment may be dead.
+// resume handles the end of a suspension of the machine: known state is outdated, and connections
+// that seem to have been idle for a moment may be dead.
 func (n *Node) resume(span time.Duration) {
 	n.logger.Warn("machine was suspended", "span_ms", span.Milliseconds())
 	n.state.fleet.DropIdle()
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -23,7 +23,7 @@
 	"github.com/bramblemast/bramblemast/pkg/template"
 )
 
-// TestSettingsNameEveryFault in one error.
+// TestSettingsNameEveryFault: one error names every invalid field.
 func TestSettingsNameEveryFault(t *testing.T) {
 	g := NewWithT(t)
 	_, err := ParseSettings([]byte(`{"node": {"zone": ""}, "listen": {"clients": "here", "metrics_port": 70000},
@@ -41,19 +41,19 @@
 	g.Expect(err).To(MatchError(ContainSubstring("read settings")))
 }
 
-// blocked is an output whose reader has stopped reading.
-type blocked struct{ release chan struct{} }
+// blockedWriter blocks each write until release is closed, like a pipe whose reader has stopped.
+type blockedWriter struct{ release chan struct{} }
 
-func (b blocked) Write(line []byte) (int, error) {
+func (b blockedWriter) Write(line []byte) (int, error) {
 	<-b.release
 	return len(line), nil
 }
 
-// TestALogThatNobodyReadsBlocksNothing: lines beyond the backlog are dropped and
-// counted.
-func TestALogThatNobodyReadsBlocksNothing(t *testing.T) {
+// TestLogDropsLinesInsteadOfBlocking: if nobody reads the log, lines beyond the backlog are dropped
+// and counted, and no writer blocks.
+func TestLogDropsLinesInsteadOfBlocking(t *testing.T) {
 	g := NewWithT(t)
-	output := blocked{release: make(chan struct{})}
+	output := blockedWriter{release: make(chan struct{})}
 	writer := newAsyncWriter(output)
 	for range 3 * logBacklog {
 		_, err := writer.Write([]byte("line\n"))
@@ -63,13 +63,14 @@
 	close(output.release)
 }
 
-// TestFailuresAreLoggedAndSuccessesSampled, both within a bound for each second.
+// TestFailuresAreLoggedAndSuccessesSampled: failed requests are logged up to the rate limit, of
+// complete successes one in sampleEvery.
 func TestFailuresAreLoggedAndSuccessesSampled(t *testing.T) {
 	g := NewWithT(t)
 	var output bytes.Buffer
 	lines := make(chan []byte, 4*linesPerSecond)
 	logger := NewLogger("test", writerFunc(func(line []byte) { lines <- bytes.Clone(line) }))
-	tested := newEvents(logger, newFigures(), func() time.Duration { return time.Second })
+	tested := newRequestRecorder(logger, newMetricSet(), func() time.Duration { return time.Second })
 	for range sampleEvery {
 		tested.Record(front.Record{ID: "served", Status: 200})
 	}
@@ -82,16 +83,16 @@
 	g.Expect(strings.Count(output.String(), "served")).To(Equal(1))
 }
 
-// TestAnOverloadIsToldOnce for a while, however many requests fail for it.
-func TestAnOverloadIsToldOnce(t *testing.T) {
+// TestOverloadIsLoggedOncePerInterval, however many requests fail because of it.
+func TestOverloadIsLoggedOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		var lines atomic.Int64
 		output := writerFunc(func([]byte) { lines.Add(1) })
-		tested := newEvents(hclog.New(&hclog.LoggerOptions{Output: output, JSONFormat: true}), newFigures(), func() time.Duration { return time.Second })
+		tested := newRequestRecorder(hclog.New(&hclog.LoggerOptions{Output: output, JSONFormat: true}), newMetricSet(), func() time.Duration { return time.Second })
 		for range 20 {
 			tested.Overload("shard-0", 3)
-			time.Sleep(overloadSpan / 10)
+			time.Sleep(overloadLogInterval / 10)
 		}
 		g.Expect(lines.Load()).To(BeNumerically("~", 2, 1))
 	})
@@ -106,8 +107,8 @@
 
 var _ io.Writer = writerFunc(nil)
 
-// TestTheExtraLoadOfAllNodesStaysWithinItsBound while traffic is steady, however
-// many nodes share it.
+// TestTheExtraLoadOfAllNodesStaysWithinItsBound: under steady traffic the extra requests of all nodes
+// together stay within the bound, whatever the number of nodes.
 func TestTheExtraLoadOfAllNodesStaysWithinItsBound(t *testing.T) {
 	g := NewWithT(t)
 	bounds := BoundSettings{ExtraRatio: 0.2, Extra: 58, ExtraWindowSeconds: 10}
@@ -134,9 +135,9 @@
 	}
 }
 
-// TestTemplatesDecide: the route's own template, else that of its kind, else the
-// built-in policies; a request keeps its arm; a tombstone ends a template.
-func TestTemplatesDecide(t *testing.T) {
+// TestTemplateLookupOrder: a route uses its own template, else the template of its kind, else the
+// built-in policies. A request keeps its arm, and a tombstone removes a template.
+func TestTemplateLookupOrder(t *testing.T) {
 	g := NewWithT(t)
 	tested, err := newPolicies()
 	g.Expect(err).NotTo(HaveOccurred())
@@ -181,10 +182,9 @@
 	g.Expect(tested.For(gathered, "r").Template).To(Equal("routes/gathered"))
 }
 
-// TestTheDeployFileFitsTheSettings: every name of the deploy template is one of
-// the settings, on deployments that tell all bounds and on those that tell only what each
-// has.
-func TestTheDeployFileFitsTheSettings(t *testing.T) {
+// TestDeployTemplateMatchesSettings: every field of the deploy template is a field of the settings,
+// on deployments that set all bounds and on those that set only the mandatory ones.
+func TestDeployTemplateMatchesSettings(t *testing.T) {
 	g := NewWithT(t)
 	content, err := os.ReadFile("../../deploy/edge.json")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -200,10 +200,10 @@
 	g.Expect(fewest.Bounds.RefuseUnconfirmedKeys).To(BeFalse())
 }
 
-// section is a part of the template that stands only where the deployment tells a value.
+// section matches a part of the template that is rendered only if the deployment sets a value.
 var section = regexp.MustCompile(`(?s)\{\{#([\w.]+)\}\}(.*?)\{\{/[\w.]+\}\}`)
 
-// fillTemplate fills a template as the platform does, with or without the sections.
+// fillTemplate renders a template as the platform does, with or without the optional sections.
 func fillTemplate(filled string, withSections bool) string {
 	filled = section.ReplaceAllStringFunc(filled, func(found string) string {
 		if !withSections {
@@ -226,47 +226,48 @@
 	return filled
 }
 
-// TestALeavingServerIsAskedInItsTimeOnly: news of it may be as old as the pause
-// between two watches, and a request may be late by half a second. (variant2
-// mix --seed 89342810977, variant3 trouble-3 --seed 838668087619)
+// TestALeavingServerIsAskedInItsTimeOnly: a leaving server must receive no request after its drain
+// time, although the node may learn of it a staleness bound late and a request may be delayed by half
+// a second.
 func TestALeavingServerIsAskedInItsTimeOnly(t *testing.T) {
 	g := NewWithT(t)
 	for _, drain := range []int{3000, 2500, 5000, 6000, 10000} {
 		settings := &Settings{Bounds: BoundSettings{DrainMillis: drain, ApplyMillis: 10000}}
-		latest := settings.leaveWithin() + settings.newsAge() + 500*time.Millisecond
+		latest := settings.leaveGrace() + settings.stalenessBound() + 500*time.Millisecond
 		g.Expect(latest).To(BeNumerically("<", time.Duration(drain)*time.Millisecond))
 	}
 }
 
-// TestAnEvacuationIsInForceInItsTime: news of it may be as old as the settings allow, and
-// the load leaves after it.
+// TestAnEvacuationIsInForceInItsTime: the load must have left the zone within the bound, although the
+// node may learn of the evacuation a staleness bound late and only then moves the load away.
 func TestAnEvacuationIsInForceInItsTime(t *testing.T) {
 	g := NewWithT(t)
 	for _, millis := range []int{1500, 3000, 5000, 10000} {
 		settings := &Settings{Bounds: BoundSettings{DrainMillis: 10000, ApplyMillis: 10000, EvacuateMillis: millis}}
-		latest := settings.evacuateWithin() + settings.newsAge() + 500*time.Millisecond
+		latest := settings.evacuationSpan() + settings.stalenessBound() + 500*time.Millisecond
 		g.Expect(latest).To(BeNumerically("<", time.Duration(millis)*time.Millisecond))
 	}
 }
 
-// TestRequestsComeBackLaterWhileTheStoreStaysAway: a client that may retry
-// once would otherwise be refused again.
+// TestRequestsComeBackLaterWhileTheStoreStaysAway: Retry-After grows while the node starts and while
+// the store is unavailable. A client that may retry only once would otherwise be refused again.
 func TestRequestsComeBackLaterWhileTheStoreStaysAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		lost := false
 		starting := &state{startedAt: time.Now(), storeLost: func() bool { return lost }}
-		g.Expect(starting.Starting()).To(Equal(front.Starting{Patience: startingPatience, RetryAfter: leastStartingWait}))
+		g.Expect(starting.Starting()).To(Equal(front.Starting{MaxWait: startingMaxWait, RetryAfter: minStartingWait}))
 		time.Sleep(600 * time.Millisecond)
 		g.Expect(starting.Starting().RetryAfter).To(Equal(600 * time.Millisecond))
 		time.Sleep(time.Minute)
-		g.Expect(starting.Starting().RetryAfter).To(Equal(greatestStartingWait))
+		g.Expect(starting.Starting().RetryAfter).To(Equal(maxStartingWait))
 		lost = true
-		g.Expect(starting.Starting()).To(Equal(front.Starting{RetryAfter: lostStoreWait}), "at once, and later")
+		g.Expect(starting.Starting()).To(Equal(front.Starting{RetryAfter: storeLostWait}), "refused without waiting, with a longer Retry-After")
 	})
 }
 
-// TestWhatIsFoundAtTheStartIsOneLine, and what comes later has a line each.
+// TestWhatIsFoundAtTheStartIsOneLine: the entries found at the start are logged in one line, later
+// ones in a line each.
 func TestWhatIsFoundAtTheStartIsOneLine(t *testing.T) {
 	g := NewWithT(t)
 	var lines bytes.Buffer
@@ -283,7 +284,7 @@
 		add(strconv.Itoa(index))
 	}
 	g.Expect(lines.String()).To(BeEmpty())
-	tested.Restored(7)
+	tested.Loaded(7)
 	g.Expect(lines.String()).To(And(
 		ContainSubstring("state restored"), ContainSubstring(`"servers":50`), ContainSubstring(`"nodes":50`), ContainSubstring(`"revision":7`)))
 	lines.Reset()
@@ -291,75 +292,75 @@
 	g.Expect(lines.String()).To(And(ContainSubstring("server added"), ContainSubstring("node found")))
 }
 
-// TestALapsedEntryIsTrustedForTwoSecondsAfterTheStoreReturned, and for the time
-// that news of it may take; not for the whole time in which the platform holds
-// nodes to no bounds. (the pages of 2026-12-02)
+// TestALapsedEntryIsTrustedForTwoSecondsAfterTheStoreReturned: a server whose entry expired during an
+// outage of the store stays in use for two seconds after the outage plus the staleness bound, and
+// not for the whole time in which the platform holds nodes to no bounds.
 func TestALapsedEntryIsTrustedForTwoSecondsAfterTheStoreReturned(t *testing.T) {
 	g := NewWithT(t)
 	for contact, expected := range map[float64]time.Duration{
 		5000: 2 * time.Second, 8000: 2 * time.Second, 1500: 800 * time.Millisecond, 0: 0,
 	} {
 		settings := Settings{Bounds: BoundSettings{ContactMillis: int(contact)}}
-		g.Expect(settings.listSettles()).To(And(
-			BeNumerically(">=", expected), BeNumerically("<=", expected+directory.LeastNewsAge),
+		g.Expect(settings.absenceUncertainSpan()).To(And(
+			BeNumerically(">=", expected), BeNumerically("<=", expected+directory.MinStalenessBound),
 		))
 	}
 }
 
-// TestWhatARestoreLostHasTimeToComeBack, also where a deployment names no bound on being in contact.
-func TestWhatARestoreLostHasTimeToComeBack(t *testing.T) {
+// TestWriteBackSpanCoversLapsedEntries, also if a deployment sets no contact bound.
+func TestWriteBackSpanCoversLapsedEntries(t *testing.T) {
 	g := NewWithT(t)
-	for contact, want := range map[int]time.Duration{0: lapsedReturn, 500: lapsedReturn, 5000: 2800 * time.Millisecond} {
+	for contact, want := range map[int]time.Duration{0: lapsedEntryReturn, 500: lapsedEntryReturn, 5000: 2800 * time.Millisecond} {
 		settings := &Settings{Bounds: BoundSettings{ContactMillis: contact, ApplyMillis: 3000, DrainMillis: 3000}}
 		g.Expect(settings.writeBackSpan()).To(Equal(want), "a contact bound of %d ms", contact)
 	}
 }
 
-// TestNewsIsAsOldAsTheDeploymentAllows: nodes read the store as seldom as its
-// bounds on configurations and leaving servers allow, with a reserve, and not
-// more often where these are unknown.
-func TestNewsIsAsOldAsTheDeploymentAllows(t *testing.T) {
+// TestStalenessBoundFollowsDeploymentBounds: nodes read the store as seldom as the deployment's
+// bounds on configurations and leaving servers allow, less a reserve. Without such bounds the
+// minimum staleness bound applies.
+func TestStalenessBoundFollowsDeploymentBounds(t *testing.T) {
 	g := NewWithT(t)
 	for _, each := range []struct {
 		apply, drain int
 		expected     time.Duration
 	}{
-		{3000, 3000, directory.LeastNewsAge}, {5000, 5000, 2800 * time.Millisecond}, {5000, 3000, directory.LeastNewsAge},
-		{60000, 60000, greatestNewsAge}, {0, 0, directory.LeastNewsAge},
+		{3000, 3000, directory.MinStalenessBound}, {5000, 5000, 2800 * time.Millisecond}, {5000, 3000, directory.MinStalenessBound},
+		{60000, 60000, maxStalenessBound}, {0, 0, directory.MinStalenessBound},
 	} {
 		settings := Settings{Bounds: BoundSettings{ApplyMillis: each.apply, DrainMillis: each.drain}}
-		g.Expect(settings.newsAge()).To(Equal(each.expected))
+		g.Expect(settings.stalenessBound()).To(Equal(each.expected))
 	}
 	settings := Settings{Bounds: BoundSettings{ApplyMillis: 60000, DrainMillis: 60000, ContactMillis: 5000}}
-	g.Expect(settings.newsAge()).To(Equal(2800*time.Millisecond), "notes on deadly requests are known in time")
+	g.Expect(settings.stalenessBound()).To(Equal(2800*time.Millisecond), "notes on requests that crash servers must arrive within the contact bound")
 }
 
-// TestEvacuationsReachTheFleet, also one that was found at the start, and are told in the
-// log.
+// TestEvacuationsReachTheFleet: evacuations are applied and logged, also one that was found at the
+// start.
 func TestEvacuationsReachTheFleet(t *testing.T) {
 	g := NewWithT(t)
-	// The log is written by a goroutine of its own.
+	// A separate goroutine writes the log.
 	lines := make(chan string, 8)
 	servers := fleet.New(fleet.Settings{Random: newRandom()})
 	servers.Apply(fleet.Server{ID: "i", Service: "s", Address: "a", Zone: "z"}, time.Now())
 	tested := &state{
-		fleet: servers, figures: newFigures(), logger: NewLogger("test", writerFunc(func(line []byte) { lines <- string(line) })),
-		evacuateWithin: func() time.Duration { return time.Hour },
+		fleet: servers, metrics: newMetricSet(), logger: NewLogger("test", writerFunc(func(line []byte) { lines <- string(line) })),
+		evacuationSpan: func() time.Duration { return time.Hour },
 	}
 	mayServe := func() bool { return servers.CountServable([]string{"s"}, route.Regions{}, time.Now()) == 1 }
 	tested.Changed(directory.Entry{Key: "k", Revision: 1, EvacuatedZone: "z"})
-	g.Expect(mayServe()).To(BeFalse(), "found at the start, nobody knows how long ago it was told")
+	g.Expect(mayServe()).To(BeFalse(), "an evacuation found at the start takes effect at once")
 	tested.Changed(directory.Entry{Key: "k", Revision: 2, EvacuatedZone: "z", Gone: true})
 	g.Expect(mayServe()).To(BeTrue())
-	tested.Restored(2)
+	tested.Loaded(2)
 	tested.Changed(directory.Entry{Key: "k", Revision: 3, EvacuatedZone: "z"})
-	g.Expect(mayServe()).To(BeTrue(), "the load leaves evenly")
-	tested.evacuateWithin = func() time.Duration { return 0 }
+	g.Expect(mayServe()).To(BeTrue(), "load leaves the zone gradually")
+	tested.evacuationSpan = func() time.Duration { return 0 }
 	tested.Changed(directory.Entry{Key: "k", Revision: 4, EvacuatedZone: "z", Gone: true})
 	tested.Changed(directory.Entry{Key: "k", Revision: 5, EvacuatedZone: "z"})
 	g.Expect(mayServe()).To(BeFalse())
 	for _, want := range []string{
-		"zone evacuated", "zone open again", "state restored", "zone evacuated", "zone open again", "zone evacuated",
+		"zone evacuated", "zone evacuation ended", "state restored", "zone evacuated", "zone evacuation ended", "zone evacuated",
 	} {
 		g.Expect(<-lines).To(ContainSubstring(want))
 	}
--- a/internal/edge/limits_page.go
+++ b/internal/edge/limits_page.go
@@ -11,17 +11,17 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// listInterval is the least time between two copies of all limits, since requests of tenants wait while
-// one is made. Whoever asks within it gets the last one.
-const listInterval = 200 * time.Millisecond
+// minListInterval is the minimum time between two snapshots of all limits, because requests of
+// tenants wait while one is made. Requests for the page within it get the last snapshot.
+const minListInterval = 200 * time.Millisecond
 
-// lastList is the last copy of all limits. It is made when somebody asks, so that it costs nothing
-// while nobody does.
-type lastList struct {
-	// mutex guards the fields below, and is held while any copy is made: requests wait for one at
-	// most, however many callers the page has at once.
+// listCache holds the last snapshot of all limits. Snapshots are made on request only, so that they
+// cost nothing while nobody uses the page.
+type listCache struct {
+	// mutex guards the fields below, and is held while any snapshot is made: requests of tenants wait
+	// for one snapshot at most, however many callers the page has at once.
 	mutex sync.Mutex
-	// message was made at madeAt; it is not changed any more.
+	// message was made at madeAt and is immutable.
 	message *wire.Node
 	madeAt  time.Time
 }
@@ -34,40 +34,40 @@
 	}
 	writer.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(writer).Encode(n.limits.message(request.URL.Query().Get(wire.ParameterTenant))); err != nil {
-		n.logger.Debug("limits not sent", "error", err.Error())
+		n.logger.Debug("cannot send limits page", "error", err.Error())
 	}
 }
 
-// message returns what is known of one tenant, or of all if the name is empty.
+// message returns the page for one tenant, or for all tenants if the name is empty.
 func (l *limits) message(tenant string) *wire.Node {
 	l.list.mutex.Lock()
 	defer l.list.mutex.Unlock()
 	if tenant != "" {
 		return l.encode(tenant)
 	}
-	if l.list.message == nil || time.Since(l.list.madeAt) >= listInterval {
+	if l.list.message == nil || time.Since(l.list.madeAt) >= minListInterval {
 		l.list.message, l.list.madeAt = l.encode(""), time.Now()
 	}
 	return l.list.message
 }
 
-// encode returns the message for a copy of the limits.
+// encode makes a snapshot of the limits of one tenant or of all, and returns the message for it.
 func (l *limits) encode(tenant string) *wire.Node {
-	copied := l.limiter.Snapshot(tenant)
+	snapshot := l.limiter.Snapshot(tenant)
 	message := &wire.Node{
-		Node: copied.Node, Zone: copied.Zone, At: copied.At, CountedSince: copied.StartedAt,
-		Nodes: copied.Nodes, Silent: copied.Silent, SilentCount: copied.SilentCount,
-		Coordinated: make([]wire.Coordinated, 0, len(copied.Coordinated)), CoordinatedLeftOut: copied.CoordinatedLeftOut,
-		Served: make([]wire.Served, 0, len(copied.Served)), ServedLeftOut: copied.ServedLeftOut,
+		Node: snapshot.Node, Zone: snapshot.Zone, At: snapshot.At, CountedSince: snapshot.StartedAt,
+		Nodes: snapshot.Nodes, Silent: snapshot.Silent, SilentCount: snapshot.SilentCount,
+		Coordinated: make([]wire.Coordinated, 0, len(snapshot.Coordinated)), CoordinatedLeftOut: snapshot.CoordinatedLeftOut,
+		Served: make([]wire.Served, 0, len(snapshot.Served)), ServedLeftOut: snapshot.ServedLeftOut,
 	}
 	if table := l.node.state.Table(); table != nil {
 		message.ConfigurationVersion = table.Version
 	}
-	for _, one := range copied.Coordinated {
-		message.Coordinated = append(message.Coordinated, encodeCoordinated(one))
+	for _, coordinated := range snapshot.Coordinated {
+		message.Coordinated = append(message.Coordinated, encodeCoordinated(coordinated))
 	}
-	for _, one := range copied.Served {
-		message.Served = append(message.Served, encodeServed(one, copied))
+	for _, served := range snapshot.Served {
+		message.Served = append(message.Served, encodeServed(served, snapshot))
 	}
 	return message
 }
@@ -81,8 +81,8 @@
 func encodeCoordinated(tenant quota.CoordinatedTenant) wire.Coordinated {
 	encoded := wire.Coordinated{
 		Tenant: tenant.Tenant, Limit: encodeLimit(tenant.Limit), First: tenant.IsFirst,
-		AskedPerSecond: tenant.AskedPerSecond, Share: tenant.Share, Level: tenant.Level,
-		KeptBackPerSecond: tenant.KeptBackPerSecond, Reporting: tenant.Reporting, Reporters: tenant.Reporters,
+		AskedPerSecond: tenant.RequestsPerSecond, Share: tenant.Share, Level: tenant.Tokens,
+		KeptBackPerSecond: tenant.ReservedPerSecond, Reporting: tenant.Reporting, Reporters: tenant.Reporters,
 	}
 	if !tenant.AtLimitSince.IsZero() {
 		encoded.AtLimitSince = &tenant.AtLimitSince
@@ -90,8 +90,8 @@
 	return encoded
 }
 
-// encodeServed returns the message for a tenant whose requests the node got.
-func encodeServed(tenant quota.ServedTenant, copied quota.Snapshot) wire.Served {
+// encodeServed returns the message for a tenant whose requests the node has received.
+func encodeServed(tenant quota.ServedTenant, snapshot quota.Snapshot) wire.Served {
 	encoded := wire.Served{Tenant: tenant.Tenant, Limit: encodeLimit(tenant.Limit), Idle: tenant.IsIdle, Admitted: tenant.Admitted}
 	for reason, count := range tenant.Refused {
 		if encoded.Refused == nil {
@@ -102,14 +102,14 @@
 	if tenant.IsIdle {
 		return encoded
 	}
-	encoded.DecidedBy, encoded.Coordinator = tenant.Standing.String(), tenant.Coordinator
-	encoded.Share, encoded.ShareOld = tenant.Share, tenant.IsShareOld
+	encoded.DecidedBy, encoded.Coordinator = tenant.Mode.String(), tenant.Coordinator
+	encoded.Share, encoded.ShareOld = tenant.Share, tenant.IsShareStale
 	encoded.EntitledPerSecond = tenant.EntitledPerSecond
-	if window := copied.Window.Seconds(); window > 0 {
+	if window := snapshot.Window.Seconds(); window > 0 {
 		encoded.AdmittedPerSecond = tenant.AdmittedInWindow / window
 	}
-	if !tenant.ToldAt.IsZero() {
-		age := copied.At.Sub(tenant.ToldAt).Milliseconds()
+	if !tenant.ShareReceivedAt.IsZero() {
+		age := snapshot.At.Sub(tenant.ShareReceivedAt).Milliseconds()
 		encoded.ShareAgeMS = &age
 	}
 	return encoded
--- a/internal/edge/owners.go
+++ b/internal/edge/owners.go
@@ -9,37 +9,36 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// serveOwned answers the questions of other nodes about the shards that this one
-// owns.
-func (n *Node) serveOwned(handler *front.Handler, rules *policies, recorder *events) {
+// serveOwned handles the requests of other nodes for the shards that this node owns.
+func (n *Node) serveOwned(handler *front.Handler, rules *policies, recorder *requestRecorder) {
 	owner.NewServer(owner.ServerOptions{
 		Transport: n.transport, Runner: handler.Collector(), Servers: n.state.fleet, Draining: n.state.Draining,
 		Policies: func(kind, requestID string) (policy.HedgePolicy, float64) {
-			found := rules.forKind(kind, true, requestID)
-			return found.Hedge, found.ExtraShare
+			chosen := rules.forKind(kind, true, requestID)
+			return chosen.Hedge, chosen.ExtraShare
 		},
-		Regions:   n.state.regionsNow,
+		Regions:   n.state.currentRegions,
 		Announcer: n.announcer,
 		Recorder:  recorder.RecordOwned,
 	})
 }
 
-// regionsNow returns where another node's request may be served: by the newer one of its
-// configuration and this node's.
-func (s *state) regionsNow(asked owner.Asked) route.Regions {
+// currentRegions returns the regions in which another node's request may be served, according to the
+// newer of that node's configuration and this node's.
+func (s *state) currentRegions(scope owner.RequestScope) route.Regions {
 	table := s.table.Load()
-	if table == nil || table.Version <= asked.Version {
-		return asked.Regions
+	if table == nil || table.Version <= scope.Version {
+		return scope.Regions
 	}
-	return table.RegionsOf(asked.Host, asked.Target, asked.Tenant, asked.Regions)
+	return table.RegionsOf(scope.Host, scope.Target, scope.Tenant, scope.Regions)
 }
 
-// ownerEvents tells in the log which owners are lost and regained.
+// ownerEvents logs which owners are lost and regained. It implements owner.Events.
 type ownerEvents struct{ node *Node }
 
 // OwnerLost implements owner.Events.
 func (e ownerEvents) OwnerLost(name string, cause error) {
-	e.node.figures.ownersLost.WithLabelValues().Inc()
+	e.node.metrics.ownersLost.WithLabelValues().Inc()
 	e.node.logger.Warn("owner lost", "owner", name, "error", cause.Error())
 }
 
@@ -48,12 +47,13 @@
 	e.node.logger.Info("owner regained", "owner", name, "lost_ms", lost.Milliseconds())
 }
 
-// RecordOwned takes the story of one question of another node.
-func (e *events) RecordOwned(record owner.Record) {
-	e.figures.countOwned(record)
+// RecordOwned counts and logs a request of another node to this one as an owner. It logs a sample of
+// complete answers and, within the rate limit, all others.
+func (e *requestRecorder) RecordOwned(record owner.Record) {
+	e.metrics.countOwned(record)
 	result := record.Result
-	isWhole := result.Got == len(record.Services)
-	if isWhole && e.successes.Add(1)%sampleEvery != 1 {
+	isComplete := result.AnsweredCount == len(record.Services)
+	if isComplete && e.successes.Add(1)%sampleEvery != 1 {
 		return
 	}
 	if !e.mayWrite() {
@@ -61,7 +61,7 @@
 	}
 	list := []any{
 		"request", record.RequestID, "route", record.Kind, "asked_by", record.AskedBy, "reason", string(result.Reason),
-		"took_ms", float64(record.Took.Microseconds()) / 1000, "parts", result.Got, "total", len(record.Services),
+		"took_ms", float64(record.Took.Microseconds()) / 1000, "parts", result.AnsweredCount, "total", len(record.Services),
 	}
 	list = appendCounts(list, result)
 	if len(result.Attempts) > 0 {
--- a/internal/edge/quota.go
+++ b/internal/edge/quota.go
@@ -14,56 +14,56 @@
 
 // Bounds of metrics and log lines about tenants.
 const (
-	// namedTenants is the number of tenants with metrics of their own, those with the
-	// greatest limits; the others share otherTenants.
+	// namedTenants is the number of tenants with metrics of their own, those with the highest limits;
+	// the others are counted together as otherTenants.
 	namedTenants = 10
 	otherTenants = "other"
-	// limitedSpan is the least time between two lines that the same tenant is at its limit, or that
-	// coordinators do not answer.
-	limitedSpan = 5 * time.Second
+	// limitLogInterval is the minimum time between two log lines that the same tenant is at its
+	// limit, or that coordinators do not answer.
+	limitLogInterval = 5 * time.Second
 )
 
-// limits holds tenants to their limits. It implements front.Limits and quota.Events, and is
-// safe for concurrent use.
+// limits enforces the limits of tenants. It implements front.Limits and quota.Events, and is safe for
+// concurrent use.
 type limits struct {
 	node    *Node
 	limiter *quota.Limiter
 
 	mutex sync.Mutex
-	// atLimit limits the lines about tenants at their limits, by name, lost those about coordinators
-	// that do not answer, all together; guarded by mutex.
-	atLimit *stateLines[string]
-	lost    *stateLines[struct{}]
-	// named are the tenants with metrics of their own in the configuration version, guarded
-	// by mutex.
+	// atLimit limits the log lines about tenants at their limits, by tenant. lostCoordinators limits
+	// those about all coordinators that do not answer. Both are guarded by mutex.
+	atLimit          *stateLogLimiter[string]
+	lostCoordinators *stateLogLimiter[struct{}]
+	// named holds the tenants with metrics of their own, derived from the configuration with the
+	// given version. Both are guarded by mutex.
 	named   map[string]bool
 	version uint64
 
-	// list is the last answer to operators who asked for all tenants.
-	list lastList
+	// list caches the last answer to a request for all tenants.
+	list listCache
 }
 
 // newLimits returns the limits of a node and registers their metrics.
 func newLimits(node *Node, settings *Settings, transport peer.Transport) *limits {
-	held := &limits{node: node, atLimit: newStateLines[string](limitedSpan), lost: newStateLines[struct{}](limitedSpan)}
-	held.limiter = quota.New(quota.Options{
-		Local: settings.Node.Name, Zone: settings.Node.Zone, Bounds: settings.quotaBounds(), Transport: transport, Events: held,
-		LimitOf: node.state.limitOf, Start: rand.Uint64(),
-		IsNeeded:  func() bool { table := node.state.Table(); return table != nil && table.HasTenants() },
-		WasListed: func() bool { return node.member != nil && node.member.wasListed.Load() },
+	created := &limits{node: node, atLimit: newStateLogLimiter[string](limitLogInterval), lostCoordinators: newStateLogLimiter[struct{}](limitLogInterval)}
+	created.limiter = quota.New(quota.Options{
+		Local: settings.Node.Name, Zone: settings.Node.Zone, Bounds: settings.quotaBounds(), Transport: transport, Events: created,
+		LimitOf: node.state.limitOf, Incarnation: rand.Uint64(),
+		KnowsTenants: func() bool { table := node.state.Table(); return table != nil && table.HasTenants() },
+		WasListed:    func() bool { return node.nodeEntry != nil && node.nodeEntry.wasListed.Load() },
 	})
-	node.figures.gauge("quota_tenants_at_limit", "Tenants at their limit that this node coordinates.", func() float64 {
-		return float64(held.limiter.AtLimit())
+	node.metrics.gauge("quota_tenants_at_limit", "Tenants at their limit that this node coordinates.", func() float64 {
+		return float64(created.limiter.TenantsAtLimit())
 	})
-	node.figures.gauge("quota_tenants", "Tenants with a limit that this node was asked for lately.", func() float64 {
-		return float64(held.limiter.Tenants())
+	node.metrics.gauge("quota_tenants", "Tenants with a limit that this node was asked for lately.", func() float64 {
+		return float64(created.limiter.TenantCount())
 	})
-	node.figures.counter("quota_reports_total", "Reports to coordinators of limits.", func() uint64 { return held.limiter.Sent().Reports })
-	node.figures.counter("quota_verdicts_total", "Admitted shares told to other nodes.", func() uint64 { return held.limiter.Sent().Verdicts })
-	return held
+	node.metrics.counter("quota_reports_total", "Reports to coordinators of limits.", func() uint64 { return created.limiter.MessagesSent().Reports })
+	node.metrics.counter("quota_verdicts_total", "Admitted shares told to other nodes.", func() uint64 { return created.limiter.MessagesSent().Verdicts })
+	return created
 }
 
-// limitOf returns the limit of a tenant by the configuration in force.
+// limitOf returns the limit of a tenant in the configuration in force; false if there is none.
 func (s *state) limitOf(name string) (route.RateLimit, bool) {
 	table := s.table.Load()
 	if table == nil {
@@ -81,21 +81,21 @@
 	decision := l.limiter.Admit(tenant.Name, tenant.Limit, requestID, now)
 	name := l.metricName(tenant.Name)
 	if decision.IsAdmitted {
-		l.node.figures.limited.WithLabelValues(name, "admitted").Inc()
+		l.node.metrics.limited.WithLabelValues(name, "admitted").Inc()
 		return front.LimitDecision{IsAdmitted: true}
 	}
-	l.node.figures.limited.WithLabelValues(name, "refused").Inc()
-	decidedBy := decision.Standing.String()
+	l.node.metrics.limited.WithLabelValues(name, "refused").Inc()
+	decidedBy := decision.Mode.String()
 	if coordinator := l.limiter.Coordinator(tenant.Name); coordinator != "" {
 		decidedBy += " " + coordinator
 	}
-	return front.LimitDecision{RetryAfter: decision.RetryAfter, Share: decision.Share, Age: decision.Age, DecidedBy: decidedBy}
+	return front.LimitDecision{RetryAfter: decision.RetryAfter, Share: decision.Share, Age: decision.ShareAge, DecidedBy: decidedBy}
 }
 
 // Refund implements front.Limits.
 func (l *limits) Refund(tenant *route.Tenant, _ time.Time) { l.limiter.Refund(tenant.Name) }
 
-// setNodes takes the nodes that are known.
+// setNodes passes the known nodes to the limiter.
 func (l *limits) setNodes(known []directory.Node) {
 	nodes := make([]quota.Node, 0, len(known))
 	for _, node := range known {
@@ -104,7 +104,7 @@
 	l.limiter.SetNodes(nodes)
 }
 
-// metricName returns the name under which a tenant is counted.
+// metricName returns the tenant label under which a tenant is counted.
 func (l *limits) metricName(tenant string) string {
 	table := l.node.state.Table()
 	l.mutex.Lock()
@@ -122,38 +122,38 @@
 }
 
 // AtLimit implements quota.Events.
-func (l *limits) AtLimit(tenant string, verdict quota.Verdict, figures quota.Figures) {
+func (l *limits) AtLimit(tenant string, verdict quota.Verdict, stats quota.AccountStats) {
 	l.mutex.Lock()
-	isDue := l.atLimit.begins(tenant, time.Now())
+	shouldLog := l.atLimit.shouldLogBegin(tenant, time.Now())
 	l.mutex.Unlock()
-	if !isDue {
-		l.node.figures.logLines.WithLabelValues("rate").Inc()
+	if !shouldLog {
+		l.node.metrics.logLines.WithLabelValues("rate").Inc()
 		return
 	}
-	l.node.logger.Info("tenant at its limit", "tenant", tenant, "share", verdict.Share, "asked_per_s", figures.Asked,
-		"limit_per_s", figures.Limit.PerSecond, "burst", figures.Limit.Burst, "level", figures.Level,
-		"nodes_reporting", figures.Nodes, "first_coordinator", verdict.IsFirst)
+	l.node.logger.Info("tenant at its limit", "tenant", tenant, "share", verdict.Share, "asked_per_s", stats.RequestRate,
+		"limit_per_s", stats.Limit.PerSecond, "burst", stats.Limit.Burst, "level", stats.Tokens,
+		"nodes_reporting", stats.Nodes, "first_coordinator", verdict.IsFirst)
 }
 
 // BelowLimit implements quota.Events.
-func (l *limits) BelowLimit(tenant string, figures quota.Figures, span time.Duration) {
+func (l *limits) BelowLimit(tenant string, stats quota.AccountStats, span time.Duration) {
 	l.mutex.Lock()
-	isDue := l.atLimit.ends(tenant, time.Now())
+	shouldLog := l.atLimit.shouldLogEnd(tenant, time.Now())
 	l.mutex.Unlock()
-	if isDue {
+	if shouldLog {
 		l.node.logger.Info("tenant within its limit again", "tenant", tenant, "span_ms", span.Milliseconds(),
-			"asked_per_s", figures.Asked, "limit_per_s", figures.Limit.PerSecond)
+			"asked_per_s", stats.RequestRate, "limit_per_s", stats.Limit.PerSecond)
 	}
 }
 
 // CoordinatorLost implements quota.Events.
 func (l *limits) CoordinatorLost(name string, cause error) {
-	l.node.figures.coordinatorsLost.WithLabelValues().Inc()
+	l.node.metrics.coordinatorsLost.WithLabelValues().Inc()
 	l.mutex.Lock()
-	isDue := l.lost.begins(struct{}{}, time.Now())
+	shouldLog := l.lostCoordinators.shouldLogBegin(struct{}{}, time.Now())
 	l.mutex.Unlock()
-	if isDue {
-		// A partition loses several coordinators at once: one line is enough, the metric counts all.
+	if shouldLog {
+		// A partition cuts off several coordinators at once: one line is enough, the metric counts all.
 		l.node.logger.Warn("coordinator of limits lost", "coordinator", name, "error", cause.Error())
 	}
 }
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -7,12 +7,11 @@
 	"time"
 )
 
-// reloadInterval is how often the settings are read again, since they may
-// change without a signal.
+// reloadInterval is the time between two reloads of the settings, which may change without a signal.
 const reloadInterval = 10 * time.Second
 
-// watchSettings reads the settings again at each signal and now and then, and
-// puts what can change in a running node into force.
+// watchSettings reloads the settings at each signal and every reloadInterval, and applies those that
+// can change in a running node.
 func (n *Node) watchSettings(ctx context.Context) error {
 	if n.options.Reload == nil {
 		<-ctx.Done()
@@ -24,36 +23,36 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.options.Hangup:
-			n.logger.Info("reload asked for", "by", "signal")
+		case <-n.options.ReloadSignals:
+			n.logger.Info("settings reload requested", "by", "signal")
 		case <-ticker.C:
 		}
 		n.reload()
 	}
 }
 
-// reload reads the settings once. Settings at fault change nothing.
+// reload reads the settings once. Invalid settings change nothing; the same error is logged once.
 func (n *Node) reload() {
 	offered, err := n.options.Reload()
 	if err != nil {
-		if text := err.Error(); text != n.reloadProblem {
-			n.reloadProblem = text
+		if text := err.Error(); text != n.lastReloadError {
+			n.lastReloadError = text
 			n.logger.Error("settings refused", "error", text)
 		}
 		return
 	}
-	n.reloadProblem = ""
+	n.lastReloadError = ""
 	current := n.settings.Load()
 	if reflect.DeepEqual(current, offered) {
 		return
 	}
 	n.settings.Store(offered)
 	n.state.budgets.setBounds(offered.Bounds)
-	n.state.fleet.SetLeaveWithin(offered.leaveWithin())
+	n.state.fleet.SetLeaveGrace(offered.leaveGrace())
 	n.state.fleet.SetWarmUpBounds(offered.warmUpBounds())
-	n.follower.SetNewsAge(offered.newsAge())
+	n.follower.SetStalenessBound(offered.stalenessBound())
 	n.follower.SetWriteBackSpan(offered.writeBackSpan())
-	n.follower.SetConfirms(offered.Bounds.RefuseUnconfirmedKeys)
+	n.follower.SetConfirmWhenIdle(offered.Bounds.RefuseUnconfirmedKeys)
 	if n.peers != nil {
 		n.peers.SetSeeds(offered.Peers)
 	}
@@ -61,5 +60,5 @@
 	n.logger.Info("settings in force", "bounds", offered.Bounds, "peers", offered.Peers, "needs_restart", needsRestart)
 }
 
-// Hangups is a source of reload signals.
-type Hangups <-chan os.Signal
+// SignalChannel delivers signals that ask for a reload.
+type SignalChannel <-chan os.Signal
--- a/internal/edge/events.go
+++ b/internal/edge/request_recorder.go
@@ -11,39 +11,42 @@
 	"github.com/bramblemast/bramblemast/pkg/fanout"
 )
 
-// Bounds of request logs.
+// Limits of request logs.
 const (
-	// linesPerSecond bounds the lines about requests; what is beyond is counted.
+	// linesPerSecond is the maximum number of log lines about requests in a second; further ones are
+	// dropped and counted.
 	linesPerSecond = 50
-	// sampleEvery is the share of ordinary successes that is logged.
+	// sampleEvery is the sampling interval of ordinary successes: one of that many is logged.
 	sampleEvery = 200
 )
 
-// events writes the story of requests. It implements front.Recorder.
-type events struct {
+// requestRecorder counts and logs requests. It implements front.Recorder and is safe for concurrent
+// use.
+type requestRecorder struct {
 	logger  hclog.Logger
-	figures *figures
+	metrics *metricSet
 	// storeAge returns the time since the store last answered.
 	storeAge func() time.Duration
 
 	successes atomic.Uint64
 
 	mutex sync.Mutex
-	// overloads bounds the lines about overloads of services, guarded by mutex.
-	overloads *stateLines[string]
-	// second, lines and left are guarded by mutex.
-	second time.Time
-	lines  int
-	left   int
+	// overloads limits the lines about overloads of services; guarded by mutex.
+	overloads *stateLogLimiter[string]
+	// second is the start of the current second, linesWritten the number of lines in it and leftOut
+	// that of lines left out in it; guarded by mutex.
+	second       time.Time
+	linesWritten int
+	leftOut      int
 }
 
-func newEvents(logger hclog.Logger, figures *figures, storeAge func() time.Duration) *events {
-	return &events{logger: logger, figures: figures, storeAge: storeAge, overloads: newStateLines[string](overloadSpan)}
+func newRequestRecorder(logger hclog.Logger, metrics *metricSet, storeAge func() time.Duration) *requestRecorder {
+	return &requestRecorder{logger: logger, metrics: metrics, storeAge: storeAge, overloads: newStateLogLimiter[string](overloadLogInterval)}
 }
 
 // Record implements front.Recorder.
-func (e *events) Record(record front.Record) {
-	e.figures.count(record)
+func (e *requestRecorder) Record(record front.Record) {
+	e.metrics.count(record)
 	if isOrdinary(record) && e.successes.Add(1)%sampleEvery != 1 {
 		return
 	}
@@ -52,54 +55,55 @@
 	}
 }
 
-// mayWrite reports whether a line about a request may be written, and tells of
-// those that were left out.
-func (e *events) mayWrite() bool {
-	left, ok := e.admit(time.Now())
-	if left > 0 {
-		e.figures.logLines.WithLabelValues("rate").Add(float64(left))
-		e.logger.Warn("lines left out", "count", left)
+// mayWrite reports whether a line about a request may be written. It logs and counts the lines that
+// were left out before.
+func (e *requestRecorder) mayWrite() bool {
+	leftOut, ok := e.admit(time.Now())
+	if leftOut > 0 {
+		e.metrics.logLines.WithLabelValues("rate").Add(float64(leftOut))
+		e.logger.Warn("lines left out", "count", leftOut)
 	}
 	return ok
 }
 
-// overloadSpan is for how long an overload is told once.
-const overloadSpan = 5 * time.Second
+// overloadLogInterval is the minimum time between two log lines about an overload of the same service.
+const overloadLogInterval = 5 * time.Second
 
 // Overload implements front.Recorder.
-func (e *events) Overload(service string, waiting int) {
-	e.figures.overloads.WithLabelValues(service).Inc()
+func (e *requestRecorder) Overload(service string, waiting int) {
+	e.metrics.overloads.WithLabelValues(service).Inc()
 	e.mutex.Lock()
-	isDue := e.overloads.begins(service, time.Now())
+	shouldLog := e.overloads.shouldLogBegin(service, time.Now())
 	e.mutex.Unlock()
-	if isDue {
+	if shouldLog {
 		e.logger.Warn("overload", "service", service, "waiting", waiting)
 	}
 }
 
-// isOrdinary reports whether a request was served whole by the first servers
-// that were asked.
+// isOrdinary reports whether a request was answered successfully with all its parts.
 func isOrdinary(record front.Record) bool {
 	return record.Status < 400 && record.Parts == record.Total
 }
 
-func (e *events) admit(now time.Time) (int, bool) {
+// admit reports whether another line may be written in the current second, and returns the number of
+// lines left out in the last one if a new second has begun.
+func (e *requestRecorder) admit(now time.Time) (int, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	left := 0
+	leftOut := 0
 	if now.Sub(e.second) >= time.Second {
-		left, e.left, e.lines, e.second = e.left, 0, 0, now
+		leftOut, e.leftOut, e.linesWritten, e.second = e.leftOut, 0, 0, now
 	}
-	if e.lines >= linesPerSecond {
-		e.left++
-		return left, false
+	if e.linesWritten >= linesPerSecond {
+		e.leftOut++
+		return leftOut, false
 	}
-	e.lines++
-	return left, true
+	e.linesWritten++
+	return leftOut, true
 }
 
-// fields lists what decided a request.
-func (e *events) fields(record front.Record) []any {
+// fields returns the log fields of a request: its outcome and what determined it.
+func (e *requestRecorder) fields(record front.Record) []any {
 	list := []any{
 		"request", record.ID, "host", record.Host, "path", record.Path, "route", record.Route,
 		"version", record.Version, "store_age_ms", e.storeAge().Milliseconds(), "status", record.Status, "reason", record.Reason,
@@ -130,11 +134,11 @@
 	result := record.Result
 	list = append(list, "parts", record.Parts, "required", record.Required, "total", record.Total)
 	list = append(appendCounts(list, result), "shed", result.Shed, "outcome", result.Outcome.String())
-	if result.Asked > 0 {
-		list = append(list, "owners_asked", result.Asked)
+	if result.OwnersAsked > 0 {
+		list = append(list, "owners_asked", result.OwnersAsked)
 	}
-	if len(result.Owners) > 0 {
-		list = append(list, "owners", result.Owners)
+	if len(result.OwnerRecords) > 0 {
+		list = append(list, "owners", result.OwnerRecords)
 	}
 	list = appendAdmission(list, result)
 	if record.Policy.Template != "" {
@@ -147,17 +151,16 @@
 	return appendMissing(list, result, record.Services)
 }
 
-// appendCounts lists how many sub-requests were sent, and why.
+// appendCounts adds the numbers of sub-requests that were sent, hedged, retried and denied.
 func appendCounts(list []any, result fanout.Result) []any {
 	list = append(list, "sent", result.Sent, "hedges", result.Hedges, "retries", result.Retries, "budget_denied", result.Denied)
-	if result.Broken > 0 {
-		list = append(list, "connections_broken", result.Broken)
+	if result.BrokenConnections > 0 {
+		list = append(list, "connections_broken", result.BrokenConnections)
 	}
 	return list
 }
 
-// appendMissing names the services without an answer, and the last error of the
-// first of them.
+// appendMissing adds the services without an answer, and the last error of the first of them.
 func appendMissing(list []any, result fanout.Result, services []string) []any {
 	var missing []string
 	var failure error
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -18,69 +18,69 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// state is what the node believes about its deployment. It implements
-// directory.Listener and front.State.
+// state is the node's view of its deployment. It implements directory.Listener and front.State.
 type state struct {
 	logger   hclog.Logger
 	fleet    *fleet.Fleet
 	budgets  *budgets
 	policies *policies
-	figures  *figures
-	// refusals limits the rate of lines about entries that were refused; nothing else of it is used.
-	refusals *events
-	// idle takes the configured time for which clients' connections may rest.
-	idle func(time.Duration)
+	metrics  *metricSet
+	// refusals only limits the rate of log lines about refused entries.
+	refusals *requestRecorder
+	// setIdleTimeout sets the idle timeout of clients' connections.
+	setIdleTimeout func(time.Duration)
 	// storeLost reports whether the store did not answer the last call.
 	storeLost func() bool
-	// mayBeOld reports whether the node has just started and may know an older configuration than is
-	// in force elsewhere; nil for never.
-	mayBeOld func() bool
-	// doubtedUntil returns until when an absence in the store proves nothing.
-	doubtedUntil func(now time.Time) time.Time
-	// evacuateWithin returns the span in which the load of an evacuated zone leaves it.
-	evacuateWithin func() time.Duration
+	// mayBeOutdated reports whether the node has just started and its configuration may be older than
+	// the one in force on other nodes; nil for never.
+	mayBeOutdated func() bool
+	// absenceUncertainUntil returns until when a missing entry in the store does not prove that its
+	// server is gone.
+	absenceUncertainUntil func(now time.Time) time.Time
+	// evacuationSpan returns the span over which load is moved away from an evacuated zone.
+	evacuationSpan func() time.Duration
 
-	// quarantine is told what other nodes found out about requests that end servers.
+	// quarantine receives the notes of other nodes on requests that crash servers.
 	quarantine *quarantine.Guard
 
-	// roster divides shards among the nodes; nil if the node has no peers.
+	// roster assigns shards to the nodes; nil if the node has no peers.
 	roster *owner.Roster
-	// limits is told which nodes there are; nil if limits of tenants are not held.
+	// limits receives the list of nodes; nil if tenant limits are not enforced.
 	limits *limits
-	// teller tells the nodes of suspect requests; nil if the node has no peers.
-	teller *quarantine.Teller
-	// member is told of the nodes' entries, and of restores of the store.
-	member *registration
+	// gossiper notifies the nodes of suspect requests; nil if the node has no peers.
+	gossiper *quarantine.Gossiper
+	// nodeEntry receives the entries of nodes, and is notified of restores of the store.
+	nodeEntry *registration
 
 	startedAt time.Time
 	table     atomic.Pointer[route.Table]
 	draining  atomic.Bool
-	// restored says that what was found at the start has been applied.
-	restored atomic.Bool
+	// loaded says that the contents of the store at the start have been applied.
+	loaded atomic.Bool
 
 	mutex sync.Mutex
 	// nodes is guarded by mutex.
 	nodes map[string]directory.Node
 }
 
-// newState returns the beliefs of a node that knows nothing yet.
+// newState returns the state of a node that has not read the store yet.
 func newState(node *Node, servers *fleet.Fleet, rules *policies) *state {
 	return &state{
-		policies: rules, logger: node.logger, fleet: servers, budgets: newBudgets(node.options.Settings.Bounds), figures: node.figures,
-		refusals: newEvents(node.logger, node.figures, nil),
+		policies: rules, logger: node.logger, fleet: servers, budgets: newBudgets(node.options.Settings.Bounds), metrics: node.metrics,
+		refusals: newRequestRecorder(node.logger, node.metrics, nil),
 		nodes:    make(map[string]directory.Node), startedAt: time.Now(),
-		evacuateWithin: func() time.Duration { return node.settings.Load().evacuateWithin() },
-		storeLost:      func() bool { return node.follower.HasLost() },
-		mayBeOld:       func() bool { return node.follower.AwaitsPeers() },
-		doubtedUntil: func(now time.Time) time.Time {
-			return node.follower.DoubtedUntil(node.settings.Load().listSettles(), now)
+		evacuationSpan: func() time.Duration { return node.settings.Load().evacuationSpan() },
+		storeLost:      func() bool { return node.follower.IsStoreLost() },
+		mayBeOutdated:  func() bool { return node.follower.AwaitsPeers() },
+		absenceUncertainUntil: func(now time.Time) time.Time {
+			return node.follower.AbsenceUncertainUntil(node.settings.Load().absenceUncertainSpan(), now)
 		},
 	}
 }
 
 // Table implements front.State.
 func (s *state) Table() *route.Table {
-	if s.mayBeOld != nil && s.mayBeOld() {
+	if s.mayBeOutdated != nil && s.mayBeOutdated() {
 		return nil
 	}
 	return s.table.Load()
@@ -89,33 +89,31 @@
 // Draining implements front.State.
 func (s *state) Draining() bool { return s.draining.Load() }
 
-// Times of requests that come before a configuration is known.
+// Times for requests that arrive before a configuration is known.
 const (
-	// startingPatience is how long they wait for it: a node that has just
-	// started knows it within milliseconds.
-	startingPatience = 120 * time.Millisecond
-	// leastStartingWait and greatestStartingWait bound when they may be retried.
-	leastStartingWait    = 200 * time.Millisecond
-	greatestStartingWait = 1200 * time.Millisecond
-	// lostStoreWait is when they may be retried while the store does not answer:
-	// its outages last for seconds, and a client that may retry only once
-	// must not come too early.
-	lostStoreWait = 2 * time.Second
+	// startingMaxWait is how long requests wait for the configuration: a node that has just started
+	// knows it within milliseconds.
+	startingMaxWait = 120 * time.Millisecond
+	// minStartingWait and maxStartingWait bound the Retry-After of refused requests.
+	minStartingWait = 200 * time.Millisecond
+	maxStartingWait = 1200 * time.Millisecond
+	// storeLostWait is the Retry-After while the store does not answer: its outages last for seconds,
+	// and a client that may retry only once must not retry too early.
+	storeLostWait = 2 * time.Second
 )
 
-// Starting implements front.State. While the store does not answer, waiting
-// helps nobody: a request is refused at once, so that its client can turn to
-// another node or retry in time.
+// Starting implements front.State. While the store does not answer, waiting is useless: requests are
+// refused at once, so that their clients can use another node or retry in time.
 func (s *state) Starting() front.Starting {
 	if s.storeLost() {
-		return front.Starting{RetryAfter: lostStoreWait}
+		return front.Starting{RetryAfter: storeLostWait}
 	}
 	return front.Starting{
-		Patience: startingPatience, RetryAfter: min(max(leastStartingWait, time.Since(s.startedAt)), greatestStartingWait),
+		MaxWait: startingMaxWait, RetryAfter: min(max(minStartingWait, time.Since(s.startedAt)), maxStartingWait),
 	}
 }
 
-// ready reports whether the node takes new connections.
+// ready reports whether the node accepts new connections.
 func (s *state) ready() bool { return s.Table() != nil && !s.draining.Load() }
 
 // Changed implements directory.Listener.
@@ -130,10 +128,10 @@
 	case entry.EvacuatedZone != "":
 		s.applyEvacuation(entry)
 	case entry.Note != nil:
-		s.quarantine.Learn(*entry.Note, entry.Gone, time.Now())
+		s.quarantine.ApplyNote(*entry.Note, entry.Gone, time.Now())
 	case entry.Node != nil:
-		if s.member != nil {
-			s.member.found(entry)
+		if s.nodeEntry != nil {
+			s.nodeEntry.noteEntry(entry)
 		}
 		s.setNode(entry.Key, *entry.Node)
 	case entry.Template != nil:
@@ -143,27 +141,28 @@
 	}
 }
 
-// applyServer takes a server's entry; lines about single servers begin once the first state is restored.
+// applyServer applies the entry of a server. Changes of single servers are logged only after the
+// first load of the store.
 func (s *state) applyServer(entry directory.Entry) {
 	now := time.Now()
 	change := s.fleet.Apply(*entry.Server, now)
 	switch change.Kind {
 	case fleet.Unchanged:
 		return
-	case fleet.Mistaken, fleet.StillMistaken:
-		entry.Problem = errNoStart
-		s.tellRefused(entry, change.Kind == fleet.Mistaken)
+	case fleet.Invalid, fleet.StillInvalid:
+		entry.Problem = errStartMissing
+		s.logRefusal(entry, change.Kind == fleet.Invalid)
 		return
 	case fleet.Restarted:
-		s.quarantine.NoteReplaced(change.Replaced, now)
+		s.quarantine.RecordReplacement(change.Replaced, now)
 	}
-	if !s.restored.Load() {
+	if !s.loaded.Load() {
 		return
 	}
 	s.logger.Info("server "+string(change.Kind), serverFields(entry)...)
 }
 
-// serverFields returns what a line of the log tells of a server's entry.
+// serverFields returns the log fields for the entry of a server.
 func serverFields(entry directory.Entry) []any {
 	list := []any{"server", entry.Server.ID, "service", entry.Server.Service, "address", entry.Server.Address,
 		"zone", entry.Server.Zone, "revision", entry.Revision}
@@ -173,32 +172,30 @@
 	return list
 }
 
-// errNoStart is why an entry is not taken for that of a server which has told its start.
-var errNoStart = errors.New("it lacks the start that the server has told before")
+// errStartMissing is the problem of an entry without a start time whose server had one before.
+var errStartMissing = errors.New("entry lacks the start that the server reported before")
 
-// refuse takes an entry that could not be read. It names no server, so that the one which was
-// known under its key is left as if the key had gone; for anything else the last good state stays
-// in force.
+// refuse handles an entry that could not be decoded. It identifies no server, so the server known
+// under its key is treated as if the key had been deleted. For other kinds of entries the last valid
+// state stays in force.
 func (s *state) refuse(entry directory.Entry) {
-	isKnown := entry.ServerID != "" && s.fleet.Refuse(entry.ServerID, time.Now())
-	s.tellRefused(entry, isKnown)
+	isKnown := entry.ServerID != "" && s.fleet.RejectEntry(entry.ServerID, time.Now())
+	s.logRefusal(entry, isKnown)
 }
 
-// tellRefused counts an entry that was refused and writes a line about it, as far as the rate of
-// lines allows.
-func (s *state) tellRefused(entry directory.Entry, leftOut bool) {
-	s.figures.refused.WithLabelValues("entry").Inc()
+// logRefusal counts a refused entry and logs it within the limit on the rate of log lines.
+func (s *state) logRefusal(entry directory.Entry, serverLeftOut bool) {
+	s.metrics.refused.WithLabelValues("entry").Inc()
 	if s.refusals.mayWrite() {
-		s.logger.Error("entry refused", "key", entry.Key, "revision", entry.Revision, "server_left_out", leftOut,
+		s.logger.Error("entry refused", "key", entry.Key, "revision", entry.Revision, "server_left_out", serverLeftOut,
 			"error", entry.Problem.Error())
 	}
 }
 
-// Restored implements directory.Listener. One line tells of all servers and
-// nodes that were found at the start: a line for each would take processor time
-// just when clients retry.
-func (s *state) Restored(revision uint64) {
-	s.restored.Store(true)
+// Loaded implements directory.Listener. It logs one line for all servers and nodes that were found at
+// the start: a line for each would take processor time just when clients retry.
+func (s *state) Loaded(revision uint64) {
+	s.loaded.Store(true)
 	s.logger.Info("state restored", "revision", revision, "servers", s.fleet.Len(), "nodes", len(s.knownNodes()))
 }
 
@@ -211,7 +208,7 @@
 		return
 	}
 	if err := route.Validate(offered); err != nil {
-		s.figures.refused.WithLabelValues("configuration").Inc()
+		s.metrics.refused.WithLabelValues("configuration").Inc()
 		s.logger.Error("configuration refused", "version", offered.Version, "revision", entry.Revision, "error", err.Error())
 		return
 	}
@@ -222,33 +219,34 @@
 	}
 	s.fleet.SetConnections(connections)
 	s.fleet.SetWarmUps(warmUps)
-	s.idle(offered.Limits.IdleTimeout)
+	s.setIdleTimeout(offered.Limits.IdleTimeout)
 	s.table.Store(route.NewTable(offered))
 	s.logger.Info("configuration in force", "version", offered.Version, "revision", entry.Revision,
 		"routes", len(offered.Routes), "services", len(offered.Services))
 }
 
-// applyEvacuation takes that nothing more is to be sent to the servers of a zone, or that it
-// may be again. What is found at the start may have been told long ago, so it holds at once.
+// applyEvacuation starts or ends the evacuation of a zone, whose servers receive no requests in the
+// meantime. An evacuation found at the start may have been ordered long ago, so it takes effect at
+// once.
 func (s *state) applyEvacuation(entry directory.Entry) {
-	now, within := time.Now(), s.evacuateWithin()
-	if !s.restored.Load() {
-		within = 0
+	now, span := time.Now(), s.evacuationSpan()
+	if !s.loaded.Load() {
+		span = 0
 	}
 	switch {
 	case entry.Gone && s.fleet.EndEvacuation(entry.EvacuatedZone, now):
-		s.figures.evacuated.WithLabelValues(entry.EvacuatedZone).Set(0)
-		s.logger.Info("zone open again", "zone", entry.EvacuatedZone, "revision", entry.Revision)
-	case !entry.Gone && s.fleet.Evacuate(entry.EvacuatedZone, within, now):
-		s.figures.evacuated.WithLabelValues(entry.EvacuatedZone).Set(1)
-		s.logger.Info("zone evacuated", "zone", entry.EvacuatedZone, "revision", entry.Revision, "within_ms", within.Milliseconds())
+		s.metrics.evacuated.WithLabelValues(entry.EvacuatedZone).Set(0)
+		s.logger.Info("zone evacuation ended", "zone", entry.EvacuatedZone, "revision", entry.Revision)
+	case !entry.Gone && s.fleet.Evacuate(entry.EvacuatedZone, span, now):
+		s.metrics.evacuated.WithLabelValues(entry.EvacuatedZone).Set(1)
+		s.logger.Info("zone evacuated", "zone", entry.EvacuatedZone, "revision", entry.Revision, "within_ms", span.Milliseconds())
 	}
 }
 
 func (s *state) applyTemplate(entry directory.Entry) {
 	offered := entry.Template.Template
 	if err := s.policies.apply(entry.Template); err != nil {
-		s.figures.refused.WithLabelValues("template").Inc()
+		s.metrics.refused.WithLabelValues("template").Inc()
 		s.logger.Error("template refused", "template", offered.Key().String(), "template_revision", offered.Revision,
 			"revision", entry.Revision, "error", err.Error())
 		return
@@ -266,8 +264,8 @@
 	if known {
 		return
 	}
-	s.share()
-	if !s.restored.Load() {
+	s.updateNodes()
+	if !s.loaded.Load() {
 		return
 	}
 	s.logger.Info("node found", "found", node.Name, "nodes", count)
@@ -275,9 +273,9 @@
 
 func (s *state) remove(entry directory.Entry) {
 	now := time.Now()
-	doubtedUntil := s.doubtedUntil(now)
-	if entry.ServerID != "" && s.fleet.Remove(entry.ServerID, doubtedUntil, now) {
-		s.logger.Info("server gone", "list_settles", doubtedUntil.After(now), "server", entry.ServerID, "revision", entry.Revision)
+	uncertainUntil := s.absenceUncertainUntil(now)
+	if entry.ServerID != "" && s.fleet.Remove(entry.ServerID, uncertainUntil, now) {
+		s.logger.Info("server gone", "list_settles", uncertainUntil.After(now), "server", entry.ServerID, "revision", entry.Revision)
 		return
 	}
 	s.mutex.Lock()
@@ -286,20 +284,21 @@
 	count := len(s.nodes)
 	s.mutex.Unlock()
 	if known {
-		s.share()
+		s.updateNodes()
 		s.logger.Info("node gone", "key", entry.Key, "nodes", count)
 	}
 }
 
-// knownNodes returns the nodes that are known.
+// knownNodes returns the known nodes, in no particular order.
 func (s *state) knownNodes() []directory.Node {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return slices.Collect(maps.Values(s.nodes))
 }
 
-// share divides what the nodes have in common among those that are known.
-func (s *state) share() {
+// updateNodes passes the known nodes to everything that is shared among nodes: shards, tenant
+// limits, gossip, warm-up bounds and the extra-load budget.
+func (s *state) updateNodes() {
 	s.mutex.Lock()
 	callers := fleet.Callers{Total: len(s.nodes), ByZone: make(map[string]int)}
 	for _, node := range s.nodes {
@@ -313,32 +312,32 @@
 	if s.limits != nil {
 		s.limits.setNodes(s.knownNodes())
 	}
-	if s.teller != nil {
-		s.teller.SetNodes(addressesOf(s.knownNodes()))
+	if s.gossiper != nil {
+		s.gossiper.SetNodes(peerAddresses(s.knownNodes()))
 	}
 	s.fleet.SetCallers(callers)
 	s.budgets.setNodes(callers.Total)
 }
 
-// keptKeysTold bounds the keys that the line about a restore names.
-const keptKeysTold = 10
+// maxLoggedKeys is the maximum number of keys in the log line about a restore.
+const maxLoggedKeys = 10
 
-// EraBegan implements directory.Listener.
-func (s *state) EraBegan(change directory.EraChange) {
-	s.figures.restores.Inc()
+// EraChanged implements directory.Listener.
+func (s *state) EraChanged(change directory.EraChange) {
+	s.metrics.restores.Inc()
 	s.logger.Warn("store came back from an older copy", "era_before", change.From.Era, "revision_before", change.From.Revision,
-		"era", change.To.Era, "revision", change.To.Revision, "keys_kept", len(change.Kept),
-		"keys", change.Kept[:min(len(change.Kept), keptKeysTold)])
-	s.member.noteEra()
+		"era", change.To.Era, "revision", change.To.Revision, "keys_kept", len(change.Retained),
+		"keys", change.Retained[:min(len(change.Retained), maxLoggedKeys)])
+	s.nodeEntry.notifyEraChange()
 }
 
 // Dependency implements directory.Listener.
 func (s *state) Dependency(name string, connected bool, cause error) {
 	if connected {
-		s.figures.dependency.WithLabelValues(name).Set(1)
+		s.metrics.dependency.WithLabelValues(name).Set(1)
 		s.logger.Info("dependency regained", "dependency", name)
 		return
 	}
-	s.figures.dependency.WithLabelValues(name).Set(0)
+	s.metrics.dependency.WithLabelValues(name).Set(0)
 	s.logger.Warn("dependency lost", "dependency", name, "error", cause.Error())
 }
--- a/internal/edge/state_lines_test.go
+++ b/internal/edge/state_log_limiter_test.go
@@ -15,8 +15,8 @@
 
 func (s *countingSink) Accept(string, hclog.Level, string, ...any) { s.lines++ }
 
-// TestChangesBackAndForthAreToldOncePerSpan: twenty shortages that begin and end within two spans
-// give a line on the beginning and one on the end of at most three of them.
+// TestChangesBackAndForthAreToldOncePerSpan: of twenty shortages that begin and end within two
+// intervals, at most three are logged, with a line for the beginning and one for the end.
 func TestChangesBackAndForthAreToldOncePerSpan(t *testing.T) {
 	g := NewWithT(t)
 	sink := &countingSink{}
@@ -25,10 +25,10 @@
 	log, began := newRoomLog(logger), time.Unix(100, 0)
 	short := loadshed.Shares{Ranks: []loadshed.RankShare{{Share: 0.5}}}
 	for step := range 20 {
-		at := began.Add(time.Duration(step) * roomLogSpan / 10)
+		at := began.Add(time.Duration(step) * roomLogInterval / 10)
 		key := loadshed.Key{Service: "a"}
-		log.write([]loadshed.Measured{{Key: key, Shares: short, At: at}})
-		log.write([]loadshed.Measured{{Key: key, At: at.Add(roomLogSpan / 20)}})
+		log.write([]loadshed.Measurement{{Key: key, Shares: short, MeasuredAt: at}})
+		log.write([]loadshed.Measurement{{Key: key, MeasuredAt: at.Add(roomLogInterval / 20)}})
 	}
 	g.Expect(sink.lines).To(And(BeNumerically(">=", 2), BeNumerically("<=", 6)))
 }
--- a/internal/edge/stop.go
+++ b/internal/edge/stop.go
@@ -9,23 +9,23 @@
 	"github.com/pkg/errors"
 )
 
-// Times of a planned stop.
+// Times of a graceful stop.
 const (
-	// notReadyNotice is for how long a stopping node still accepts connections,
-	// so that the platform has noticed that it is not ready.
-	notReadyNotice = 2600 * time.Millisecond
-	// stopReserve is kept of the grace time.
+	// notReadyDelay is how long a stopping node continues to accept connections, so that the platform
+	// can notice that it is not ready.
+	notReadyDelay = 2600 * time.Millisecond
+	// stopReserve is the part of the grace time that is not used for draining.
 	stopReserve = 300 * time.Millisecond
 )
 
-// openReady opens the address of the platform's questions about readiness.
+// openReady opens the listener for the readiness probes of the platform.
 func (n *Node) openReady() error {
 	opened, err := net.Listen("tcp", n.options.Settings.Listen.Ready)
 	if err != nil {
 		return errors.Wrap(err, "listen for readiness")
 	}
 	n.readyListener = opened
-	n.ready = &http.Server{Handler: n.readyHandler(), ReadHeaderTimeout: connectTimeout}
+	n.readyServer = &http.Server{Handler: n.readyHandler(), ReadHeaderTimeout: connectTimeout}
 	return nil
 }
 
@@ -39,22 +39,23 @@
 	return mux
 }
 
-// awaitStop waits for the end of ctx and stops as planned.
+// awaitStop waits for the end of ctx, then drains the connections of clients within the grace time.
+// It returns at once if inner ends first.
 func (n *Node) awaitStop(ctx, inner context.Context) error {
 	select {
 	case <-inner.Done():
 		return nil
 	case <-ctx.Done():
 	}
-	begun := time.Now()
+	stopStartedAt := time.Now()
 	grace := n.settings.Load().grace()
 	n.logger.Info("stopping", "grace_s", grace.Seconds(), "connections", n.listener.Open())
 	n.state.draining.Store(true)
-	time.Sleep(min(notReadyNotice, grace/2))
+	time.Sleep(min(notReadyDelay, grace/2))
 	n.listener.StopAccepting()
-	limited, cancel := context.WithDeadline(inner, begun.Add(grace-stopReserve))
+	drainCtx, cancel := context.WithDeadline(inner, stopStartedAt.Add(grace-stopReserve))
 	defer cancel()
-	left := n.listener.AwaitDrained(limited)
-	n.logger.Info("drained", "connections_left", left, "took_ms", time.Since(begun).Milliseconds())
+	left := n.listener.AwaitDrained(drainCtx)
+	n.logger.Info("drained", "connections_left", left, "took_ms", time.Since(stopStartedAt).Milliseconds())
 	return nil
 }
--- a/internal/edge/suspects.go
+++ b/internal/edge/suspects.go
@@ -8,17 +8,17 @@
 	"github.com/bramblemast/bramblemast/pkg/quarantine"
 )
 
-// suspectEvents tells in the log which requests are kept from servers, and why. It
-// implements quarantine.Events.
+// suspectEvents logs which requests are kept from servers, and why. It implements
+// quarantine.Events.
 type suspectEvents struct {
 	node *Node
-	// recorder bounds the lines: one crash leaves as many suspects as it had requests.
-	recorder *events
+	// recorder limits the rate of lines: a crash makes each request in flight at the server a suspect.
+	recorder *requestRecorder
 }
 
-// Standing implements quarantine.Events.
-func (e suspectEvents) Standing(fingerprint exchange.Fingerprint, standing quarantine.Standing, servers []fleet.Incarnation) {
-	e.node.figures.standings.WithLabelValues(standing.String()).Inc()
+// StateChanged implements quarantine.Events.
+func (e suspectEvents) StateChanged(fingerprint exchange.Fingerprint, current quarantine.State, servers []fleet.Incarnation) {
+	e.node.metrics.suspectStates.WithLabelValues(current.String()).Inc()
 	if !e.recorder.mayWrite() {
 		return
 	}
@@ -27,11 +27,11 @@
 		names = append(names, server.String())
 	}
 	list := []any{"fingerprint", fingerprint.String(), "servers_ended", names}
-	if standing == quarantine.Clear {
+	if current == quarantine.Clear {
 		e.node.logger.Info("request cleared", list...)
 		return
 	}
-	e.node.logger.Warn("request "+standing.String(), list...)
+	e.node.logger.Warn("request "+current.String(), list...)
 }
 
 // LedgerFailed implements quarantine.Events.
@@ -39,28 +39,28 @@
 	if !e.recorder.mayWrite() {
 		return
 	}
-	e.node.logger.Warn("notes on suspect requests not kept", "call", call, "error", err.Error())
+	e.node.logger.Warn("notes on suspect requests not stored", "call", call, "error", err.Error())
 }
 
-// openTeller lets nodes tell each other of suspect requests directly.
-func (n *Node) openTeller() {
-	n.teller = quarantine.NewTeller(n.quarantine, n.transport)
-	n.state.teller = n.teller
-	n.figures.counter("suspect_notes_told_total", "Notes on requests under which servers ended that were told to other nodes.", func() uint64 {
-		told, _ := n.teller.Counts()
-		return told
+// openGossiper lets nodes exchange notes on suspect requests directly, not only through the store.
+func (n *Node) openGossiper() {
+	n.gossiper = quarantine.NewGossiper(n.quarantine, n.transport)
+	n.state.gossiper = n.gossiper
+	n.metrics.counter("suspect_notes_told_total", "Notes on requests under which servers ended that were told to other nodes.", func() uint64 {
+		sent, _ := n.gossiper.Counts()
+		return sent
 	})
-	n.figures.counter("suspect_notes_heard_total", "Notes on requests under which servers ended that other nodes told first.", func() uint64 {
-		_, heard := n.teller.Counts()
-		return heard
+	n.metrics.counter("suspect_notes_heard_total", "Notes on requests under which servers ended that other nodes told first.", func() uint64 {
+		_, received := n.gossiper.Counts()
+		return received
 	})
-	n.figures.counter("suspect_notes_refused_total", "Times that a note for other nodes found no room to wait: ends are told later, the rest by the store.", n.teller.Refused)
+	n.metrics.counter("suspect_notes_refused_total", "Times that a note for other nodes found no room to wait: ends are told later, the rest by the store.", n.gossiper.Refused)
 }
 
-// addressesOf returns where nodes are told something.
-func addressesOf(known []directory.Node) []peer.Address {
-	addresses := make([]peer.Address, 0, len(known))
-	for _, node := range known {
+// peerAddresses returns the peer addresses of nodes.
+func peerAddresses(nodes []directory.Node) []peer.Address {
+	addresses := make([]peer.Address, 0, len(nodes))
+	for _, node := range nodes {
 		addresses = append(addresses, peer.Address(node.PeerAddress))
 	}
 	return addresses
--- a/internal/edge/write_back.go
+++ b/internal/edge/write_back.go
@@ -10,25 +10,26 @@
 	"github.com/bramblemast/bramblemast/pkg/rendezvous"
 )
 
-// Restorer writes to the store what only nodes write, after the store has lost it.
+// Restorer writes to the store what it has lost and what only nodes write.
 type Restorer interface {
-	// WriteBack writes a lost state unless its key was written meanwhile; false if it was.
-	WriteBack(ctx context.Context, lost directory.Lost) (bool, error)
+	// WriteBack writes a lost entry unless its key has been written since; it returns false if it has.
+	WriteBack(ctx context.Context, lost directory.LostEntry) (bool, error)
 }
 
-// Times of writing back.
+// Timing of writing back.
 const (
 	writeBackInterval = 250 * time.Millisecond
 	writeBackTimeout  = time.Second
-	// writeBackTurn is how much later than the one before it a node writes a key, in the order of its
-	// rank for that key: the others find it written. writeBackRanks bounds the turns.
-	writeBackTurn  = time.Second
-	writeBackRanks = 5
+	// writeBackStagger is the delay per rank: a node writes a key that much later than the node
+	// ranked before it, so that it finds the key written if that node succeeded. Ranks beyond
+	// maxWriteBackRank count as maxWriteBackRank.
+	writeBackStagger = time.Second
+	maxWriteBackRank = 5
 )
 
-// writeBack writes to the store what it has lost and nobody but the nodes keeps: templates, and notes on
-// requests that end servers. All nodes know it, so that each key needs no lease: the node that ranks
-// first for it writes, the next ones do if it did not, and each write is conditional.
+// writeBack writes to the store what it has lost and only the nodes still have: templates, and notes on
+// requests that crash servers. All nodes have them, so no lease per key is needed: the node that
+// ranks first for a key writes it, the next ones do if it did not, and each write is conditional.
 type writeBack struct {
 	restorer Restorer
 	node     *Node
@@ -40,7 +41,7 @@
 	return &writeBack{restorer: restorer, node: node, work: make(chan struct{}, 1)}
 }
 
-// wake tells that the store may lack something, as this node or another one knows it.
+// wake reports that the store may lack something that this node or another one knows.
 func (w *writeBack) wake() {
 	select {
 	case w.work <- struct{}{}:
@@ -61,23 +62,23 @@
 	return nil
 }
 
-// writeAll writes until the store has everything back, as this node knows it.
+// writeAll writes until the store has everything back, as far as this node knows.
 func (w *writeBack) writeAll(ctx context.Context) {
 	ticker := time.NewTicker(writeBackInterval)
 	defer ticker.Stop()
 	var settledAt time.Time
-	written, writtenIn := make(map[string]uint64), w.node.follower.Position().Era
+	written, writtenEra := make(map[string]uint64), w.node.follower.Position().Era
 	for w.node.follower.IsRestoring() {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			if era := w.node.follower.Position().Era; era != writtenIn {
-				// Another restore has taken it away again.
+			if era := w.node.follower.Position().Era; era != writtenEra {
+				// Another restore may have removed again what was written.
 				clear(written)
-				settledAt, writtenIn = time.Time{}, era
+				settledAt, writtenEra = time.Time{}, era
 			}
-			lost := w.node.follower.Lost()
+			lost := w.node.follower.LostEntries()
 			if len(lost) > 0 && settledAt.IsZero() {
 				settledAt = now
 			}
@@ -86,30 +87,31 @@
 	}
 }
 
-// writeDue writes those of the lost states for which it is this node's turn a span after the store
-// has settled. What was written over a revision of the store is known to be there a reading later.
-func (w *writeBack) writeDue(ctx context.Context, lost []directory.Lost, span time.Duration, written map[string]uint64) {
+// writeDue writes the lost entries for which it is this node's turn, given the time since the store
+// has settled. An entry that was written over a revision of the store is not written again over the
+// same one, because the node sees its own write only at the next reading of the store.
+func (w *writeBack) writeDue(ctx context.Context, lost []directory.LostEntry, sinceSettled time.Duration, written map[string]uint64) {
 	names := w.nodeNames()
 	for _, each := range lost {
-		over, isWritten := written[each.Entry.Key]
-		isDue := time.Duration(w.rank(each.Entry.Key, names))*writeBackTurn <= span
-		if !isDue || isWritten && over == each.StoreRevision {
+		writtenRevision, isWritten := written[each.Entry.Key]
+		isOwnTurn := time.Duration(w.rank(each.Entry.Key, names))*writeBackStagger <= sinceSettled
+		if !isOwnTurn || isWritten && writtenRevision == each.StoreRevision {
 			continue
 		}
 		if !w.write(ctx, each) {
-			// The store refuses this node, or is away: another one may write meanwhile.
-			pause.For(ctx, writeBackTurn)
+			// The store refuses this node or is unavailable: another node may write in the meantime.
+			pause.For(ctx, writeBackStagger)
 			return
 		}
 		written[each.Entry.Key] = each.StoreRevision
 	}
 }
 
-// write writes one state, and reports whether the store took the call.
-func (w *writeBack) write(ctx context.Context, lost directory.Lost) bool {
-	limited, cancel := context.WithTimeout(ctx, writeBackTimeout)
+// write writes one entry, and reports whether the call to the store succeeded.
+func (w *writeBack) write(ctx context.Context, lost directory.LostEntry) bool {
+	callCtx, cancel := context.WithTimeout(ctx, writeBackTimeout)
 	defer cancel()
-	isWritten, err := w.restorer.WriteBack(limited, lost)
+	isWritten, err := w.restorer.WriteBack(callCtx, lost)
 	if err != nil {
 		w.node.logger.Warn("lost state not written back", "key", lost.Entry.Key, "error", err.Error())
 		return false
@@ -121,7 +123,7 @@
 
 // nodeNames returns the names of the known nodes, this one among them.
 func (w *writeBack) nodeNames() []string {
-	names := []string{w.node.member.node.Name}
+	names := []string{w.node.nodeEntry.node.Name}
 	for _, known := range w.node.state.knownNodes() {
 		if known.Name != names[0] {
 			names = append(names, known.Name)
@@ -130,7 +132,7 @@
 	return names
 }
 
-// rank returns this node's rank for a key among nodes, at most writeBackRanks.
+// rank returns this node's rank for a key among nodes, at most maxWriteBackRank.
 func (w *writeBack) rank(key string, names []string) int {
-	return min(slices.Index(rendezvous.Rank(key, names), w.node.member.node.Name), writeBackRanks)
+	return min(slices.Index(rendezvous.Rank(key, names), w.node.nodeEntry.node.Name), maxWriteBackRank)
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -12,8 +12,8 @@
 	"github.com/bramblemast/bramblemast/internal/explain"
 )
 
-// recorded are lines of a day with servers that crash and turn slow, nodes that
-// are stopped and killed, and configurations in quick succession.
+// recorded returns log lines of a system in which servers crash and slow down, nodes are stopped and
+// killed, and configurations change in quick succession.
 func recorded(t *testing.T) []explain.Line { return linesOf(t, "testdata/recorded.log") }
 
 func linesOf(t *testing.T, name string) []explain.Line {
@@ -25,50 +25,50 @@
 	defer func() { _ = file.Close() }()
 	lines, other, err := explain.Read(file)
 	if err != nil || other != 0 {
-		t.Fatalf("%v, %d other lines", err, other)
+		t.Fatalf("reading recorded log lines: error %v, %d other lines", err, other)
 	}
 	return lines
 }
 
-// TestFromARequestToItsCause are the walks of docs/OPERATIONS.md.
-func TestFromARequestToItsCause(t *testing.T) {
+// TestCauseOfARequest checks the walkthroughs of docs/OPERATIONS.md.
+func TestCauseOfARequest(t *testing.T) {
 	lines := recorded(t)
-	for _, walk := range []struct {
-		id    string
-		cause explain.Cause
-		says  []string
+	for _, test := range []struct {
+		id       string
+		cause    explain.Cause
+		contains []string
 	}{
 		{"64b4f2f0ebcbdc59", explain.CauseBusy, []string{"answered 503", "0 of 15 parts", "before: dependency regained (store)"}},
-		{"496cbb0faf4354e1", explain.CauseThinSilent, []string{"answered 200, target; 9 of 10 parts", "pending after 108 ms"}},
-		{"69c0f4757721e019", explain.CauseThinAttempted, []string{"connection refused", "unexpected EOF", "14 of 15 parts"}},
+		{"496cbb0faf4354e1", explain.CausePartialTimeout, []string{"answered 200, target; 9 of 10 parts", "pending after 108 ms"}},
+		{"69c0f4757721e019", explain.CausePartialFailed, []string{"connection refused", "unexpected EOF", "14 of 15 parts"}},
 		{"d1c4988924e9e51d", explain.CauseServerFailed, []string{"answered 504", "status 504 after 384 ms"}},
-		{"0a9029d193cb7384", explain.CauseSilent, []string{"answered 502", "pending after 57 ms"}},
+		{"0a9029d193cb7384", explain.CauseTimeout, []string{"answered 502", "pending after 57 ms"}},
 		{"b885f4a24d3a4b60", explain.CauseNoRoute, []string{
 			"an older configuration: edge-setubal-sala-a-1 had version 37 in force 59 ms before",
 		}},
 	} {
-		t.Run(walk.id, func(t *testing.T) {
+		t.Run(test.id, func(t *testing.T) {
 			g := NewWithT(t)
-			story, err := explain.Explain(lines, walk.id)
+			story, err := explain.Explain(lines, test.id)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(story.Tries[0].Cause).To(Equal(walk.cause))
+			g.Expect(story.Tries[0].Cause).To(Equal(test.cause))
 			var text bytes.Buffer
 			story.Write(&text)
-			for _, part := range append(walk.says, "cause: "+string(walk.cause)) {
+			for _, part := range append(test.contains, "cause: "+string(test.cause)) {
 				g.Expect(text.String()).To(ContainSubstring(part))
 			}
 		})
 	}
 }
 
-// TestFromARequestThroughItsOwnerToItsCause is the fifth walk: the servers that were
-// asked for a shard stand in the line of its owner.
-func TestFromARequestThroughItsOwnerToItsCause(t *testing.T) {
+// TestCauseInTheLineOfAnOwner checks the fifth walkthrough: the servers that were queried
+// for a shard are named only in the line of its owner.
+func TestCauseInTheLineOfAnOwner(t *testing.T) {
 	g := NewWithT(t)
 	story, err := explain.Explain(linesOf(t, "testdata/owners.log"), "dd38e8a6bd64c044")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(story.Tries).To(HaveLen(1))
-	g.Expect(story.Tries[0].Cause).To(Equal(explain.CauseThinSilent))
+	g.Expect(story.Tries[0].Cause).To(Equal(explain.CausePartialTimeout))
 	var text bytes.Buffer
 	story.Write(&text)
 	for _, part := range []string{
@@ -79,7 +79,8 @@
 	}
 }
 
-// TestAnOwnerThatDidNotAnswerIsNamed, where nothing else is known.
+// TestAnOwnerThatDidNotAnswerIsNamed checks that an owner without an answer is the cause if nothing
+// else is known.
 func TestAnOwnerThatDidNotAnswerIsNamed(t *testing.T) {
 	g := NewWithT(t)
 	lines, _, err := explain.Read(strings.NewReader(`{"@timestamp":"2026-03-13T13:02:12Z","@message":"owner lost","node":"a",` +
@@ -90,24 +91,24 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	story, err := explain.Explain(lines, "r")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(story.Tries[0].Cause).To(Equal(explain.CauseOwnerSilent))
+	g.Expect(story.Tries[0].Cause).To(Equal(explain.CauseOwnerTimeout))
 	var text bytes.Buffer
 	story.Write(&text)
 	g.Expect(text.String()).To(ContainSubstring("before: owner lost (b) no report came in time"))
 	g.Expect(text.String()).To(ContainSubstring("asked b for 3 shards: silent"))
 }
 
-// TestFromARefusalForOverloadToItsCause is the fourth walk, on lines of a burst.
-func TestFromARefusalForOverloadToItsCause(t *testing.T) {
+// TestCauseOfARefusalForOverload checks the fourth walkthrough, on log lines of a burst.
+func TestCauseOfARefusalForOverload(t *testing.T) {
 	lines := linesOf(t, "testdata/overload.log")
 	for id, expected := range map[string]struct {
-		cause explain.Cause
-		says  []string
+		cause    explain.Cause
+		contains []string
 	}{
 		"842d6d83a8d798bc": {explain.CauseNotOffered, []string{
 			"before: overload (kade41a: 94 sub-requests wait for a free server)", "0 of 10 parts, 9 wanted", "retry after 120 ms",
 		}},
-		"0d5f99e88e38d915": {explain.CauseNoRoom, []string{"answered 504, deadline", "2 of 10 parts, 9 wanted"}},
+		"0d5f99e88e38d915": {explain.CauseNoCapacity, []string{"answered 504, deadline", "2 of 10 parts, 9 wanted"}},
 	} {
 		t.Run(id, func(t *testing.T) {
 			g := NewWithT(t)
@@ -116,7 +117,7 @@
 			g.Expect(story.Tries[0].Cause).To(Equal(expected.cause))
 			var text bytes.Buffer
 			story.Write(&text)
-			for _, part := range expected.says {
+			for _, part := range expected.contains {
 				g.Expect(text.String()).To(ContainSubstring(part))
 			}
 		})
@@ -128,7 +129,7 @@
 	NewWithT(t).Expect(err).To(MatchError(explain.ErrUnknownRequest))
 }
 
-// TestASummaryCountsEachRequestOnce, within the span of time that is asked for.
+// TestASummaryCountsEachRequestOnce checks the counts, and that the time range is applied.
 func TestASummaryCountsEachRequestOnce(t *testing.T) {
 	g := NewWithT(t)
 	lines := recorded(t)
@@ -144,8 +145,8 @@
 	g.Expect(early[0].Last.Before(to)).To(BeTrue())
 }
 
-// TestLinesOfOtherProgramsArePassedOver.
-func TestLinesOfOtherProgramsArePassedOver(t *testing.T) {
+// TestLinesOfOtherProgramsAreIgnored checks that lines that are not a node's are counted and ignored.
+func TestLinesOfOtherProgramsAreIgnored(t *testing.T) {
 	g := NewWithT(t)
 	lines, other, err := explain.Read(strings.NewReader("panic: x\n\n{\"a\":1}\n{broken\n" +
 		`  3.5 node-1 {"@timestamp":"2026-05-08T01:48:40Z","@message":"started","node":"node-1"}` + "\n"))
@@ -155,7 +156,8 @@
 	g.Expect(lines[0].Node).To(Equal("node-1"))
 }
 
-// TestARequestThatEndedItsServersIsNamed, with what its node found out about it.
+// TestARequestThatEndedItsServersIsNamed checks that the story of a quarantined request names the
+// servers that ended while they had it, and no others.
 func TestARequestThatEndedItsServersIsNamed(t *testing.T) {
 	g := NewWithT(t)
 	lines, _, err := explain.Read(strings.NewReader(`{"@timestamp":"2026-03-13T13:02:12Z","@message":"request suspect","node":"a",` +
@@ -174,21 +176,21 @@
 	g.Expect(text.String()).NotTo(ContainSubstring("s9"))
 }
 
-// TestFromACallerThatIsRefusedToItsKey is walk 7: whether a key was sent, whose it is, and
-// which configuration did not know it.
-func TestFromACallerThatIsRefusedToItsKey(t *testing.T) {
+// TestCauseOfARefusedKey checks walkthrough 7: whether a key was sent, whose it is, and
+// which configuration lacked it.
+func TestCauseOfARefusedKey(t *testing.T) {
 	g := NewWithT(t)
 	lines := linesOf(t, "testdata/keys.log")
 	for id, expected := range map[string]struct {
-		cause explain.Cause
-		says  []string
+		cause    explain.Cause
+		contains []string
 	}{
 		"unknown": {explain.CauseUnknownKey, []string{
 			"request unknown with a key of hash 5e884898 on route \"r\", configuration 4", "before: configuration in force (version 4)",
 			"an older configuration: b had version 5 in force 700 ms before",
 		}},
 		"none": {explain.CauseNoKey, []string{"answered 401, unauthenticated"}},
-		"old": {explain.CauseOldKeys, []string{
+		"old": {explain.CauseStaleKeys, []string{
 			"before: keys lapsed", "of hash 5e884898", "the client was told to retry after 200 ms",
 		}},
 		"limit": {explain.CauseOverLimit, []string{"request limit of tenant \"desk\" on route", "answered 429, over_limit"}},
@@ -198,14 +200,15 @@
 		g.Expect(story.Tries[0].Cause).To(Equal(expected.cause))
 		var text bytes.Buffer
 		story.Write(&text)
-		for _, part := range expected.says {
+		for _, part := range expected.contains {
 			g.Expect(text.String()).To(ContainSubstring(part))
 		}
 	}
 }
 
-// TestARefusedRequestNamesTheShardThatWasShortOfRoom, what it let in, and of whom.
-func TestARefusedRequestNamesTheShardThatWasShortOfRoom(t *testing.T) {
+// TestARefusedRequestNamesTheServiceWithoutCapacity checks that the story names the service with too
+// little capacity, the share that it admitted, and the priority and tenant of that share.
+func TestARefusedRequestNamesTheServiceWithoutCapacity(t *testing.T) {
 	g := NewWithT(t)
 	lines, _, err := explain.Read(strings.NewReader(`{"@timestamp":"2026-03-13T13:02:12.1Z","@message":"request","node":"a",` +
 		`"request":"r","status":503,"reason":"not_offered","parts":0,"required":35,"total":36,"shed":36,"tenant":"acme",` +
--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -15,84 +15,84 @@
 
 // Catalog implements Source. It is safe for concurrent use.
 //
-// View, ReportHints and ReportResult are on the path of every sub-request and
-// take no lock unless something changed.
+// View, ReportHints and ReportResult run for every sub-request. They take the mutex only when
+// something changed.
 type Catalog struct {
 	options Options
-	// records maps target.ServerID to *record. It is written under mutex.
+	// records maps target.ServerID to *record. Writers hold mutex.
 	records sync.Map
-	// services is replaced as a whole, under mutex.
+	// services is replaced as a whole by writers that hold mutex.
 	services atomic.Pointer[map[target.Service]*serviceState]
-	// membership counts the changes of the set of servers.
+	// membership counts the changes to the set of servers.
 	membership atomic.Uint64
 
-	// mutex guards the records' fields, the fields below and the building of
-	// views.
+	// mutex guards the fields of the records, the fields below and the building of views.
 	mutex sync.Mutex
-	// listed is the length of the last whole machine list.
-	listed int
-	// pending counts the records of servers that the machine list never named.
+	// listedCount is the length of the last complete machine list.
+	listedCount int
+	// pending counts the records of servers that the machine list has never named.
 	pending int
-	// watched are the records that Refresh looks at: those with recent results
-	// and those that are missing from the machine list.
+	// watched holds the records that Refresh examines: those with recent results and those that are
+	// missing from the machine list.
 	watched map[*record]struct{}
-	// wanted are the records with a wish for one probe.
-	wanted map[*record]struct{}
+	// probeRequests holds the records for which a single probe is requested.
+	probeRequests map[*record]struct{}
 	// bases maps VersionChange.Base to the record of the server.
 	bases map[uint64]*record
-	// unresolved are the changes of versions whose base is not known yet.
+	// unresolved holds version changes whose base is not known yet.
 	unresolved unresolvedChanges
-	// probesWanted wakes the probe loop for probes that are wanted at once.
-	probesWanted chan struct{}
+	// probeWakeup wakes the probe loop for probes that are requested immediately.
+	probeWakeup chan struct{}
 }
 
 var _ Source = (*Catalog)(nil)
 
-// maxPending bounds the records of servers that only peers have told of.
+// maxPending bounds the number of records of servers that are known only from peers.
 const maxPending = 4096
 
-// ErrUnknownServer means that the catalog has no such server.
+// ErrUnknownServer means that the catalog has no record of the server.
 var ErrUnknownServer = errors.New("unknown server")
 
 // New returns an empty catalog.
 func New(options Options) *Catalog {
 	created := &Catalog{
-		options:      options.withDefaults(),
-		watched:      make(map[*record]struct{}),
-		wanted:       make(map[*record]struct{}),
-		bases:        make(map[uint64]*record),
-		unresolved:   make(unresolvedChanges),
-		probesWanted: make(chan struct{}, 1),
+		options:       options.withDefaults(),
+		watched:       make(map[*record]struct{}),
+		probeRequests: make(map[*record]struct{}),
+		bases:         make(map[uint64]*record),
+		unresolved:    make(unresolvedChanges),
+		probeWakeup:   make(chan struct{}, 1),
 	}
 	created.services.Store(&map[target.Service]*serviceState{})
 	return created
 }
 
-// update is one change of the catalog, under its mutex.
-type update struct {
-	now  time.Time
-	news []News
+// mutation is one change to the catalog. It runs with the catalog's mutex held and collects the
+// updates to publish afterwards.
+type mutation struct {
+	now     time.Time
+	updates []Update
 }
 
-// tell adds news about a server to what is sent when the change is done.
-func (c *Catalog) tell(u *update, r *record, kind NewsKind, instance *instanceFacts) {
-	news := News{Server: r.server, Kind: kind, Observer: c.options.Node, Operator: r.facts.operator}
+// queueUpdate queues an update about a server for publication when the mutation completes.
+func (c *Catalog) queueUpdate(m *mutation, r *record, kind UpdateKind, instance *instanceFacts) {
+	update := Update{Server: r.server, Kind: kind, Observer: c.options.Node, Operator: r.facts.operator}
 	if instance != nil {
-		news.Instance = instance.news(u.now)
+		update.Instance = instance.instanceAt(m.now)
 	}
-	u.news = append(u.news, news)
+	m.updates = append(m.updates, update)
 }
 
-// change runs a change under the mutex and sends its news afterwards.
-func (c *Catalog) change(run func(u *update)) {
-	u := &update{now: c.options.Now()}
+// mutate runs a change with the mutex held and publishes the queued updates after releasing it.
+func (c *Catalog) mutate(run func(m *mutation)) {
+	m := &mutation{now: c.options.Now()}
 	c.mutex.Lock()
-	run(u)
+	run(m)
 	c.mutex.Unlock()
-	for _, news := range u.news {
-		c.options.Logger.Debug("news of back end", "server", news.Server, "kind", news.Kind.String(),
-			"instance", news.Instance.ID, "generation", news.Instance.Generation)
-		c.options.OnNews(news)
+	for _, update := range m.updates {
+		c.options.Logger.Debug("publishing server update", "server", update.Server, "kind", update.Kind.String(),
+			"instance", update.Instance.ID, "generation", update.Instance.Generation)
+		c.options.OnUpdate(update)
 	}
 }
 
@@ -105,8 +105,8 @@
 	return found.(*record)
 }
 
-// touched marks the view of a server's service for rebuilding.
-func (c *Catalog) touched(r *record) {
+// markDirty marks the view of the server's service for rebuilding.
+func (c *Catalog) markDirty(r *record) {
 	if state := (*c.services.Load())[r.listing.Service]; state != nil {
 		state.dirty.Store(true)
 	}
@@ -122,28 +122,28 @@
 		r.results.setLoad(hints.Load)
 	}
 	if hints.Instance != "" {
-		r.results.noteNamed()
+		r.results.setNamesInstance()
 	}
 	if hints.Draining {
-		c.serverDrains(r, hints.Instance)
+		c.noteServerDrain(r, hints.Instance)
 	}
 	if hints.NewestVersion > 0 && hints.NewestVersion > r.results.newestVersion() {
-		c.wantProbe(r, hints.NewestVersion)
+		c.requestVersionProbe(r, hints.NewestVersion)
 	}
 }
 
-// serverDrains takes a server's own word that it is leaving. Without an
-// instance it is taken for the word of the current one.
-func (c *Catalog) serverDrains(r *record, instance string) {
-	if r.results.knownDraining(instance) {
+// noteServerDrain records a server's own statement that it drains. A statement that names no
+// instance is attributed to the current instance.
+func (c *Catalog) noteServerDrain(r *record, instance string) {
+	if r.results.isKnownDraining(instance) {
 		return
 	}
-	c.change(func(u *update) {
+	c.mutate(func(m *mutation) {
 		current := r.facts.current()
 		switch {
 		case instance == "" && current == nil:
 			r.drainUnattributed = true
-			c.touched(r)
+			c.markDirty(r)
 			return
 		case instance == "":
 			instance = current.ID
@@ -154,39 +154,41 @@
 		}
 		known.Draining = true
 		r.facts.prune()
-		r.results.noteDraining(instance)
-		c.touched(r)
-		c.tell(u, r, KindDraining, known.withoutContents())
+		r.results.setDraining(instance)
+		c.markDirty(r)
+		c.queueUpdate(m, r, KindDraining, known.withoutContents())
 	})
 }
 
-// wantProbe asks for one probe of a server that said that it has a newer index
-// version, unless news of it comes first.
-func (c *Catalog) wantProbe(r *record, newest target.Version) {
-	const wait = 1500 * time.Millisecond
-	c.change(func(u *update) {
+// requestVersionProbe requests a single probe of a server that reported a newer index version. The
+// probe is delayed and is skipped if a peer's update brings that version first.
+func (c *Catalog) requestVersionProbe(r *record, newest target.Version) {
+	const delay = 1500 * time.Millisecond
+	c.mutate(func(m *mutation) {
 		current := r.facts.current()
 		if current != nil && current.Contents.newestVersion() >= newest {
 			return
 		}
-		r.results.noteVersion(newest)
-		if r.probe.wantedAt.IsZero() {
-			c.wantProbeAt(r, u.now.Add(wait))
+		r.results.setNewestVersion(newest)
+		if r.probe.requestedAt.IsZero() {
+			c.requestProbeAt(r, m.now.Add(delay))
 		}
 	})
 }
 
-func (c *Catalog) wantProbeAt(r *record, at time.Time) {
-	r.probe.wantedAt = at
-	c.wanted[r] = struct{}{}
+func (c *Catalog) requestProbeAt(r *record, at time.Time) {
+	r.probe.requestedAt = at
+	c.probeRequests[r] = struct{}{}
 }
 
-// ReportResult implements Source. A refusal for draining counts as a drain only
-// for servers that do not name their instance in hints: otherwise ReportHints,
-// which is to be called for refusals too, says which instance drains, while a
-// refusal that is reported late could be taken for one of the next instance. A
-// refusal that contradicts what is known of the server's contents has it probed
-// at once.
+// ReportResult implements Source.
+//
+// A refusal because of draining counts as a drain only for servers that do not name their instance
+// in hints. For the others, ReportHints, which callers also call for refusals, identifies the
+// draining instance; a refusal that is reported late could otherwise be attributed to the next
+// instance.
+//
+// A refusal that contradicts the known contents of the server triggers a probe immediately.
 func (c *Catalog) ReportResult(server target.ServerID, err error) {
 	r := c.find(server)
 	switch {
@@ -203,17 +205,17 @@
 	reason := outcome.ReasonOf(err)
 	switch {
 	case reason == outcome.ReasonDraining:
-		if !r.results.named() {
-			c.serverDrains(r, "")
+		if !r.results.hasNamedInstance() {
+			c.noteServerDrain(r, "")
 		}
 	case contradictsContents(reason):
-		c.doubtContents(r)
+		c.suspectContents(r)
 	case countsAsFailure(err):
-		c.failed(r)
+		c.recordFailure(r)
 	}
 }
 
-// watch has Refresh look at a server.
+// watch adds a server to those that Refresh examines.
 func (c *Catalog) watch(r *record) {
 	if r.results.watched.Load() {
 		return
@@ -228,66 +230,67 @@
 	c.watched[r] = struct{}{}
 }
 
-// failed counts a failed sub-request and ejects the server if it is one too
-// many.
-func (c *Catalog) failed(r *record) {
+// recordFailure counts a failed sub-request and ejects the server when the number of consecutive
+// failures reaches Options.ConsecutiveFailures.
+func (c *Catalog) recordFailure(r *record) {
 	c.watch(r)
 	if r.results.failure() < c.options.ConsecutiveFailures {
 		return
 	}
-	c.change(func(u *update) { c.eject(u, r) })
+	c.mutate(func(m *mutation) { c.eject(m, r) })
 }
 
-func (c *Catalog) eject(u *update, r *record) {
-	if r.outlier.ejected(u.now) {
+func (c *Catalog) eject(m *mutation, r *record) {
+	if r.outlier.ejected(m.now) {
 		return
 	}
-	r.outlier.eject(u.now, &c.options)
+	r.outlier.eject(m.now, &c.options)
 	r.results.resetConsecutive()
-	c.touched(r)
+	c.markDirty(r)
 	c.options.Logger.Info("back end ejected", "server", r.server, "until", r.outlier.until)
 }
 
-// Drain sets or takes back the operators' wish that a server gets no new work.
-// It stands until it is taken back, also over restarts of the server.
+// Drain sets or clears the operators' drain mark of a server; a drained server gets no new work.
+// The mark persists until it is cleared, also across restarts of the server. The error is
+// ErrUnknownServer if the catalog has no such server.
 func (c *Catalog) Drain(server target.ServerID, drained bool, author string) error {
 	r := c.find(server)
 	if r == nil {
 		return errors.Wrap(ErrUnknownServer, string(server))
 	}
-	c.change(func(u *update) {
+	c.mutate(func(m *mutation) {
 		r.facts.operator = OperatorMark{
 			Sequence: r.facts.operator.Sequence + 1,
 			Drained:  drained,
 			Author:   author,
 		}
-		c.touched(r)
-		c.tell(u, r, KindOperator, nil)
+		c.markDirty(r)
+		c.queueUpdate(m, r, KindOperator, nil)
 	})
 	return nil
 }
 
-// Apply takes news from a peer. It returns those that taught something, for
-// the relay to pass on; news that is known already must not be passed on.
-func (c *Catalog) Apply(batch ...News) []News {
-	var learnt []News
-	c.change(func(u *update) {
+// Apply merges updates from a peer. It returns those that changed the catalog, for the relay to
+// forward; updates that change nothing must not be forwarded.
+func (c *Catalog) Apply(batch ...Update) []Update {
+	var applied []Update
+	c.mutate(func(m *mutation) {
 		for index := range batch {
-			if c.apply(u, &batch[index]) {
-				learnt = append(learnt, batch[index])
+			if c.apply(m, &batch[index]) {
+				applied = append(applied, batch[index])
 			}
 		}
 	})
-	return learnt
+	return applied
 }
 
-func (c *Catalog) apply(u *update, news *News) bool {
-	if news.Server == "" {
-		return c.applyChange(u, news)
+func (c *Catalog) apply(m *mutation, update *Update) bool {
+	if update.Server == "" {
+		return c.applyChange(m, update)
 	}
-	r := c.find(news.Server)
+	r := c.find(update.Server)
 	if r == nil {
-		if r = c.addPending(u, news.Server); r == nil {
+		if r = c.addPending(m, update.Server); r == nil {
 			return false
 		}
 	}
@@ -296,89 +299,88 @@
 	if previous != nil {
 		previousID, wasDead = previous.ID, previous.dead()
 	}
-	if !r.facts.merge(news, u.now) {
+	if !r.facts.merge(update, m.now) {
 		return false
 	}
-	c.settle(u, r, previousID)
+	c.factsChanged(m, r, previousID)
 	if current := r.facts.current(); wasDead && current.ID == previousID && !current.dead() {
-		c.refuted(u, r)
+		c.noteRefutation(m, r)
 	}
 	return true
 }
 
-// refuted delays this node's next announcement that a server is dead, since
-// another node reaches it.
-func (c *Catalog) refuted(u *update, r *record) {
+// noteRefutation extends the wait before this node announces a server as dead again, because
+// another node can reach the server.
+func (c *Catalog) noteRefutation(m *mutation, r *record) {
 	if r.probe.failures < c.options.ProbeFailures {
 		return
 	}
 	const maxDoublings = 6
-	r.probe.announced = min(r.probe.announced+1, maxDoublings)
-	r.probe.announceAfter = u.now.Add(c.options.DeadAnnouncementWait << r.probe.announced)
+	r.probe.refutations = min(r.probe.refutations+1, maxDoublings)
+	r.probe.announceAfter = m.now.Add(c.options.DeadAnnouncementBackoff << r.probe.refutations)
 }
 
-// settle brings a record in line after its facts changed.
-func (c *Catalog) settle(u *update, r *record, previousID string) {
+// factsChanged updates the derived state of a record after its facts changed.
+func (c *Catalog) factsChanged(m *mutation, r *record, previousID string) {
 	current := r.facts.current()
 	if current != nil && current.ID != previousID {
 		unattributed := r.drainUnattributed
-		r.instanceChanged(previousID, u.now)
+		r.instanceChanged(previousID, m.now)
 		if unattributed && previousID == "" {
-			c.tell(u, r, KindDraining, current)
+			c.queueUpdate(m, r, KindDraining, current)
 		}
 	}
-	r.results.noteFacts(current)
-	r.doubtResolved()
-	c.touched(r)
-	c.noteBases(u, r)
+	r.results.updateFrom(current)
+	r.clearStalenessIfContentsChanged()
+	c.markDirty(r)
+	c.updateBases(m, r)
 }
 
-// addPending makes the record of a server that the machine list has not named
-// yet, or returns nil if there are too many of them.
-func (c *Catalog) addPending(u *update, server target.ServerID) *record {
+// addPending creates the record of a server that the machine list has not named yet. It returns nil
+// if there are maxPending of them already.
+func (c *Catalog) addPending(m *mutation, server target.ServerID) *record {
 	if c.pending >= maxPending {
 		return nil
 	}
 	c.pending++
 	r := newRecord(server)
-	r.listing.unlistedSince = u.now
+	r.listing.unlistedSince = m.now
 	c.records.Store(server, r)
 	c.watchLocked(r)
 	return r
 }
 
-// Snapshot returns everything that is known of the servers that the machine
-// list names, for a peer that starts or was cut off.
-func (c *Catalog) Snapshot() []News {
+// Snapshot returns all facts about the servers of the machine list, for a peer that starts or was
+// disconnected.
+func (c *Catalog) Snapshot() []Update {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
-	var all []News
+	var all []Update
 	for _, r := range c.sortedRecords() {
 		if r.listing.listed {
-			all = append(all, c.recordNews(r, now)...)
+			all = append(all, c.recordUpdates(r, now)...)
 		}
 	}
 	return all
 }
 
-// recordNews returns the news that make another catalog know what this one
-// knows of a server.
-func (c *Catalog) recordNews(r *record, now time.Time) []News {
-	base := News{Server: r.server, Observer: c.options.Node, Operator: r.facts.operator}
+// recordUpdates returns the updates that bring another catalog to the same facts about a server.
+func (c *Catalog) recordUpdates(r *record, now time.Time) []Update {
+	base := Update{Server: r.server, Observer: c.options.Node, Operator: r.facts.operator}
 	if len(r.facts.instances) == 0 && base.Operator.Sequence > 0 {
-		return []News{base}
+		return []Update{base}
 	}
-	told := make([]News, 0, len(r.facts.instances))
+	updates := make([]Update, 0, len(r.facts.instances))
 	for _, instance := range r.facts.instances {
-		news := base
-		news.Instance = instance.news(now)
-		told = append(told, news)
+		update := base
+		update.Instance = instance.instanceAt(now)
+		updates = append(updates, update)
 	}
-	return told
+	return updates
 }
 
-// sortedRecords returns all records by server.
+// sortedRecords returns all records, sorted by server ID.
 func (c *Catalog) sortedRecords() []*record {
 	var sorted []*record
 	c.records.Range(func(_, value any) bool {
--- a/pkg/catalog/catalog_test.go
+++ b/pkg/catalog/catalog_test.go
@@ -19,7 +19,7 @@
 		now  *clock
 		c    *Catalog
 		list machinelist.List
-		sent []News
+		sent []Update
 	)
 	const servers = 8
 
@@ -27,7 +27,7 @@
 		now, list, sent = newClock(), listOf(servers), nil
 		c = New(Options{
 			Node: "node", Zone: "zone", Region: "east", Now: now.Now,
-			OnNews: func(news News) { sent = append(sent, news) },
+			OnUpdate: func(update Update) { sent = append(sent, update) },
 		})
 		c.ReplaceMachines(list)
 		for number := range servers {
@@ -51,19 +51,19 @@
 			c.ReportResult(serverID(number), lostConnection(serverID(number)))
 		}
 	}
-	pass := func(by time.Duration) {
+	advanceAndRefresh := func(by time.Duration) {
 		now.advance(by)
 		c.Refresh()
 	}
 
 	Describe("a server that fails", func() {
-		It("is ejected after failures in a row, longer each time", func() {
+		It("is ejected after consecutive failures, longer each time", func() {
 			for _, length := range []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second} {
 				fail(0)
 				Expect(stateOf(0)).To(Equal(Ejected))
-				pass(length - time.Millisecond)
+				advanceAndRefresh(length - time.Millisecond)
 				Expect(stateOf(0)).To(Equal(Ejected))
-				pass(time.Millisecond)
+				advanceAndRefresh(time.Millisecond)
 				Expect(stateOf(0)).To(Equal(Active))
 			}
 		})
@@ -73,7 +73,7 @@
 				c.ReportResult(serverID(0), nil)
 				c.ReportResult(serverID(0), lostConnection(serverID(0)))
 			}
-			pass(time.Second)
+			advanceAndRefresh(time.Second)
 			Expect(stateOf(0)).To(Equal(Ejected))
 		})
 
@@ -90,7 +90,7 @@
 			Expect(ejected).To(Equal(servers / 2))
 		})
 
-		DescribeTable("is judged only by what speaks against it",
+		DescribeTable("is ejected only for errors that count against it",
 			func(err error, want State) {
 				for range DefaultConsecutiveFailures {
 					c.ReportResult(serverID(0), err)
@@ -116,25 +116,25 @@
 			Expect(sent[0].Kind).To(Equal(KindDead))
 		})
 
-		It("is not, as long as it answers sub-requests", func() {
+		It("is not ejected while it answers sub-requests", func() {
 			c.ReportResult(serverID(0), nil)
-			pass(time.Millisecond)
+			advanceAndRefresh(time.Millisecond)
 			failProbes(0)
 			Expect(stateOf(0)).To(Equal(Active))
 			Expect(sent).To(BeEmpty())
-			pass(DefaultAnswerFreshness)
+			advanceAndRefresh(DefaultAnswerFreshness)
 			Expect(stateOf(0)).To(Equal(Ejected))
 		})
 
-		It("is announced less and less often while another node reaches it", func() {
+		It("is announced less often each time another node refutes it", func() {
 			announced := 0
 			for range 60 {
-				pass(time.Second)
+				advanceAndRefresh(time.Second)
 				c.ReportProbe(serverID(0), now.now, nil, errTest)
 				announced += len(sent)
-				for _, news := range sent {
-					news.Instance.Liveness++
-					c.Apply(news)
+				for _, update := range sent {
+					update.Instance.Liveness++
+					c.Apply(update)
 				}
 				sent = nil
 			}
@@ -143,31 +143,31 @@
 	})
 
 	Describe("a server that is missing from the machine list", func() {
-		It("is kept while it answers probes, until a bound", func() {
+		It("is kept while it answers probes, up to a time limit", func() {
 			c.ReplaceMachines(list[1:])
-			for passed := time.Duration(0); passed < DefaultUnlistedLimit-time.Second; passed += time.Minute {
-				pass(time.Minute - time.Second)
+			for passed := time.Duration(0); passed < DefaultUnlistedTimeout-time.Second; passed += time.Minute {
+				advanceAndRefresh(time.Minute - time.Second)
 				probe(0, statusOf(0, "first", false, 1))
 				Expect(server(0)).NotTo(BeNil())
 			}
-			pass(time.Minute)
+			advanceAndRefresh(time.Minute)
 			Expect(server(0)).To(BeNil())
 		})
 
-		It("is removed soon if it is silent, and returns with the list", func() {
+		It("is removed early if it is silent, and returns when it is listed again", func() {
 			c.ReplaceMachines(list[1:])
 			failProbes(0)
 			Expect(server(0)).NotTo(BeNil())
-			pass(DefaultUnlistedSilent)
+			advanceAndRefresh(DefaultUnlistedSilentTimeout)
 			Expect(server(0)).To(BeNil())
 			c.ReplaceMachines(list)
 			Expect(server(0)).NotTo(BeNil())
 		})
 
-		It("may be told of one by one", func() {
+		It("can be reported by changes to the list", func() {
 			c.ApplyMachines(nil, []target.ServerID{serverID(0), "10.9.9.9:1"})
 			failProbes(0)
-			pass(DefaultUnlistedSilent)
+			advanceAndRefresh(DefaultUnlistedSilentTimeout)
 			Expect(server(0)).To(BeNil())
 			list[1].State = machinelist.Leaving
 			c.ApplyMachines(list[:2], nil)
@@ -180,9 +180,9 @@
 			Expect(server(1).State).To(Equal(Active))
 		})
 
-		It("is forgotten in the end", func() {
+		It("is forgotten after the retention time", func() {
 			c.ReplaceMachines(list[1:])
-			pass(DefaultUnlistedLimit + DefaultRetention)
+			advanceAndRefresh(DefaultUnlistedTimeout + DefaultRetention)
 			Expect(errors.Is(c.Drain(serverID(0), true, "author"), ErrUnknownServer)).To(BeTrue())
 		})
 	})
@@ -191,17 +191,17 @@
 		It("gets a weight that grows with its uptime", func() {
 			status := statusOf(0, "second", false, 1)
 			status.Uptime = DefaultWarmUp / 4
-			pass(status.Uptime)
+			advanceAndRefresh(status.Uptime)
 			probe(0, status)
 			Expect(server(0).Weight).To(BeNumerically("~", 0.25, 0.01))
-			pass(DefaultWarmUp / 2)
+			advanceAndRefresh(DefaultWarmUp / 2)
 			Expect(server(0).Weight).To(BeNumerically("~", 0.75, 0.01))
-			pass(DefaultWarmUp / 4)
+			advanceAndRefresh(DefaultWarmUp / 4)
 			Expect(server(0).Weight).To(Equal(1.0))
 		})
 
-		It("is new when its instance is, whatever uptime it claims", func() {
-			pass(time.Second)
+		It("warms up when its instance is new, whatever uptime it reports", func() {
+			advanceAndRefresh(time.Second)
 			probe(0, statusOf(0, "second", false, 1))
 			Expect(server(0).Weight).To(BeNumerically("<", 0.1))
 		})
@@ -216,14 +216,14 @@
 		})
 	})
 
-	It("does not let a late answer of an old instance drain the new one", func() {
+	It("does not let a late answer from an old instance drain the new one", func() {
 		c.ReportHints(serverID(0), backend.Hints{Draining: true, Instance: "first"})
 		probe(0, statusOf(0, "second", false, 1))
 		c.ReportResult(serverID(0), &outcome.Error{Outcome: outcome.NotRun, Reason: outcome.ReasonDraining})
 		Expect(stateOf(0)).To(Equal(Active))
 	})
 
-	It("does not let a late hint of an old instance drain the new one", func() {
+	It("does not let a late hint from an old instance drain the new one", func() {
 		probe(0, statusOf(0, "second", false, 1))
 		c.ReportHints(serverID(0), backend.Hints{Draining: true, Instance: "first"})
 		Expect(stateOf(0)).To(Equal(Active))
@@ -231,21 +231,21 @@
 
 	It("ignores a probe that was sent before the instance changed", func() {
 		sentAt := now.now
-		pass(time.Second)
+		advanceAndRefresh(time.Second)
 		probe(0, statusOf(0, "second", false, 1))
 		c.ReportProbe(serverID(0), sentAt, statusOf(0, "first", true, 1), nil)
 		Expect(stateOf(0)).To(Equal(Active))
 	})
 
-	It("wants one probe when an answer tells of a newer version", func() {
-		c.takeWanted()
+	It("requests one probe when an answer mentions a newer version", func() {
+		c.takeRequestedProbes()
 		c.ReportHints(serverID(0), backend.Hints{Load: -1, NewestVersion: 2})
-		pass(2 * time.Second)
-		Expect(c.takeWanted()).To(ConsistOf(wantedProbe{server: serverID(0)}))
-		Expect(c.takeWanted()).To(BeEmpty())
+		advanceAndRefresh(2 * time.Second)
+		Expect(c.takeRequestedProbes()).To(ConsistOf(requestedProbe{server: serverID(0)}))
+		Expect(c.takeRequestedProbes()).To(BeEmpty())
 	})
 
-	It("refuses a status that it could not tell to others", func() {
+	It("rejects a status that other nodes would not accept", func() {
 		status := statusOf(0, "second", false, 1)
 		status.Indexes = append(status.Indexes, status.Indexes[0])
 		probe(0, status)
@@ -263,12 +263,12 @@
 		Expect(c.View("other").Servers).To(HaveLen(1))
 		Expect(c.Services()).To(Equal([]target.Service{"other", testService}))
 		c.ReplaceMachines(list[:servers])
-		pass(DefaultUnlistedLimit + DefaultRetention)
+		advanceAndRefresh(DefaultUnlistedTimeout + DefaultRetention)
 		Expect(server(servers)).To(BeNil())
 		Expect(c.View("nothing")).To(BeNil())
 	})
 
-	It("knows zones and regions, and gives all parts with their replicas", func() {
+	It("computes zone distances, and returns all parts with their replicas", func() {
 		list[0].Zone, list[0].Region = "other", "east"
 		list[1].Zone, list[1].Region = "far", "west"
 		c.ReplaceMachines(list)
--- a/pkg/catalog/change.go
+++ b/pkg/catalog/change.go
@@ -9,33 +9,32 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// Bounds of the changes that are kept until their base is known.
+// Bounds of the version changes that are kept until their base is known.
 const (
 	maxUnresolvedBases = 4096
 	maxChangesPerBase  = 4
 )
 
-// unresolvedChanges are changes of versions by their base. They came before the
-// news that they build on, or that news was lost.
-type unresolvedChanges map[uint64][]News
+// unresolvedChanges holds version changes by their base. They arrived before the update that they
+// build on, or that update was lost.
+type unresolvedChanges map[uint64][]Update
 
-// add keeps a change if its revision is the highest for its base. When there
-// are too many, all are dropped; what is lost by that, the next comparison with
-// a peer brings.
-func (u unresolvedChanges) add(news *News) {
+// add keeps a change if its revision is the highest for its base. When there are maxUnresolvedBases
+// bases, all changes are dropped; the next anti-entropy exchange with a peer restores what is lost.
+func (u unresolvedChanges) add(update *Update) {
 	if len(u) >= maxUnresolvedBases {
 		clear(u)
 	}
-	kept := u[news.Change.Base]
-	if len(kept) > 0 && news.Change.Revision != kept[0].Change.Revision {
-		if news.Change.Revision < kept[0].Change.Revision {
+	kept := u[update.Change.Base]
+	if len(kept) > 0 && update.Change.Revision != kept[0].Change.Revision {
+		if update.Change.Revision < kept[0].Change.Revision {
 			return
 		}
 		kept = nil
 	}
-	known := slices.ContainsFunc(kept, func(other News) bool { return other.Change.equal(&news.Change) })
+	known := slices.ContainsFunc(kept, func(other Update) bool { return other.Change.equal(&update.Change) })
 	if !known && len(kept) < maxChangesPerBase {
-		u[news.Change.Base] = append(kept, *news)
+		u[update.Change.Base] = append(kept, *update)
 	}
 }
 
@@ -43,20 +42,19 @@
 	return v.Base == other.Base && v.Revision == other.Revision && slices.Equal(v.Versions, other.Versions)
 }
 
-// noteChange marks news as no more than other versions, if the base is the same
-// before and after.
-func (n *News) noteChange(before, after uint64) {
+// setVersionChange turns the update into a version change if the base is the same before and after.
+func (u *Update) setVersionChange(before, after uint64) {
 	if before == 0 || before != after {
 		return
 	}
-	n.Change = VersionChange{Base: after, Revision: n.Instance.Revision}
-	for _, index := range n.Instance.Contents.Indexes {
-		n.Change.Versions = append(n.Change.Versions, index.Version)
+	u.Change = VersionChange{Base: after, Revision: u.Instance.Revision}
+	for _, index := range u.Instance.Contents.Indexes {
+		u.Change.Versions = append(u.Change.Versions, index.Version)
 	}
 }
 
-// changeBase returns VersionChange.Base for an instance: zero if its contents
-// are unknown or its versions have different shards.
+// changeBase returns VersionChange.Base for an instance. It is zero if the contents are unknown or
+// the versions have different shards.
 func (i *instanceFacts) changeBase(server target.ServerID) uint64 {
 	if i.Contents != i.baseOf {
 		i.base, i.baseOf = computeBase(server, &i.Instance), i.Contents
@@ -75,7 +73,7 @@
 	return xxhash.Sum64(key)
 }
 
-// sameShards reports whether there is an index and all have the same shards.
+// sameShards reports whether there is at least one index and all have the same shards.
 func sameShards(indexes []backend.Index) bool {
 	for _, index := range indexes {
 		if !slices.Equal(index.Shards, indexes[0].Shards) {
@@ -85,9 +83,9 @@
 	return len(indexes) > 0
 }
 
-// noteBases brings the bases of a server in line with its facts, and applies
-// the changes that waited for one of them.
-func (c *Catalog) noteBases(u *update, r *record) {
+// updateBases updates the index of bases after the facts of a server changed, and applies the
+// version changes that were waiting for one of the new bases.
+func (c *Catalog) updateBases(m *mutation, r *record) {
 	bases := make([]uint64, 0, len(r.facts.instances))
 	for _, instance := range r.facts.instances {
 		if base := instance.changeBase(r.server); base != 0 {
@@ -97,47 +95,47 @@
 	if slices.Equal(bases, r.bases) {
 		return
 	}
-	c.forgetBases(r)
+	c.removeBases(r)
 	r.bases = bases
 	for _, base := range bases {
 		c.bases[base] = r
 	}
 	for _, base := range bases {
-		waiting := c.unresolved[base]
+		pending := c.unresolved[base]
 		delete(c.unresolved, base)
-		for index := range waiting {
-			c.applyChange(u, &waiting[index])
+		for index := range pending {
+			c.applyChange(m, &pending[index])
 		}
 	}
 }
 
-func (c *Catalog) forgetBases(r *record) {
+func (c *Catalog) removeBases(r *record) {
 	for _, base := range r.bases {
 		delete(c.bases, base)
 	}
 	r.bases = nil
 }
 
-// applyChange takes a change of versions. It reports whether it taught
-// anything; one whose base is unknown is kept for later.
-func (c *Catalog) applyChange(u *update, news *News) bool {
-	if news.Change.Base == 0 {
+// applyChange applies a version change and reports whether it changed anything. A change with an
+// unknown base is kept for later.
+func (c *Catalog) applyChange(m *mutation, update *Update) bool {
+	if update.Change.Base == 0 {
 		return false
 	}
-	r := c.bases[news.Change.Base]
+	r := c.bases[update.Change.Base]
 	if r == nil {
-		c.unresolved.add(news)
+		c.unresolved.add(update)
 		return false
 	}
-	known := r.instanceWithBase(news.Change.Base)
+	known := r.instanceWithBase(update.Change.Base)
 	if known == nil {
 		return false
 	}
-	whole := r.wholeNews(u, known, news)
-	return c.apply(u, &whole)
+	expanded := r.expandChange(m, known, update)
+	return c.apply(m, &expanded)
 }
 
-// instanceWithBase returns nil if the instance was dropped as too old.
+// instanceWithBase returns the instance with a base, or nil if the instance was pruned.
 func (r *record) instanceWithBase(base uint64) *instanceFacts {
 	for _, instance := range r.facts.instances {
 		if instance.changeBase(r.server) == base {
@@ -147,14 +145,14 @@
 	return nil
 }
 
-// wholeNews returns the news that a change of versions stands for.
-func (r *record) wholeNews(u *update, known *instanceFacts, news *News) News {
-	instance := known.news(u.now)
+// expandChange returns the complete update that a version change represents.
+func (r *record) expandChange(m *mutation, known *instanceFacts, update *Update) Update {
+	instance := known.instanceAt(m.now)
 	shards := instance.Contents.Indexes[0].Shards
-	instance.Contents.Indexes = make([]backend.Index, 0, len(news.Change.Versions))
-	for _, version := range news.Change.Versions {
+	instance.Contents.Indexes = make([]backend.Index, 0, len(update.Change.Versions))
+	for _, version := range update.Change.Versions {
 		instance.Contents.Indexes = append(instance.Contents.Indexes, backend.Index{Version: version, Shards: shards})
 	}
-	instance.Revision = news.Change.Revision
-	return News{Server: r.server, Kind: news.Kind, Observer: news.Observer, Instance: instance}
+	instance.Revision = update.Change.Revision
+	return Update{Server: r.server, Kind: update.Kind, Observer: update.Observer, Instance: instance}
 }
--- a/pkg/catalog/change_encoding.go
+++ b/pkg/catalog/change_encoding.go
@@ -7,22 +7,22 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// appendChange adds a change of versions to the last entry of a message, or to
-// a new one if that has others.
-func appendChange(message *catalogpb.NewsBatch, news *News) {
+// appendChange adds a version change to the last entry of a message, or to a new entry if the last
+// one has different versions.
+func appendChange(message *catalogpb.NewsBatch, update *Update) {
 	var last *catalogpb.VersionChange
 	if count := len(message.VersionChanges); count > 0 {
 		last = message.VersionChanges[count-1]
 	}
-	if last == nil || !sameVersions(last.Versions, news.Change.Versions) {
+	if last == nil || !sameVersions(last.Versions, update.Change.Versions) {
 		last = &catalogpb.VersionChange{}
-		for _, version := range news.Change.Versions {
+		for _, version := range update.Change.Versions {
 			last.Versions = append(last.Versions, uint64(version))
 		}
 		message.VersionChanges = append(message.VersionChanges, last)
 	}
-	last.Bases = append(last.Bases, news.Change.Base)
-	last.Revisions = append(last.Revisions, news.Change.Revision)
+	last.Bases = append(last.Bases, update.Change.Base)
+	last.Revisions = append(last.Revisions, update.Change.Revision)
 }
 
 func sameVersions(sent []uint64, versions []target.Version) bool {
@@ -37,9 +37,8 @@
 	return true
 }
 
-// changesFromProto checks and converts changes of versions, one news for each
-// process.
-func changesFromProto(message *catalogpb.VersionChange) ([]News, error) {
+// changesFromProto validates and converts version changes. It returns one update for each process.
+func changesFromProto(message *catalogpb.VersionChange) ([]Update, error) {
 	if err := checkChange(message); err != nil {
 		return nil, err
 	}
@@ -47,13 +46,13 @@
 	for _, version := range message.Versions {
 		versions = append(versions, target.Version(version))
 	}
-	changes := make([]News, 0, len(message.Bases))
+	changes := make([]Update, 0, len(message.Bases))
 	for index, base := range message.Bases {
 		revision := message.Revisions[index]
 		if base == 0 || revision == 0 || revision > maxCounter {
 			return nil, errors.Errorf("process %d has a base or revision that is out of bounds", index)
 		}
-		changes = append(changes, News{
+		changes = append(changes, Update{
 			Kind:   KindContents,
 			Change: VersionChange{Base: base, Revision: revision, Versions: versions},
 		})
--- a/pkg/catalog/converge_test.go
+++ b/pkg/catalog/converge_test.go
@@ -10,20 +10,20 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// drawNews makes arbitrary news about few servers and instances, so that
-// many of them contradict each other.
-func drawNews(t *rapid.T) News {
+// drawUpdate draws arbitrary updates about few servers and instances, so that many of them
+// conflict.
+func drawUpdate(t *rapid.T) Update {
 	number := rapid.IntRange(0, 1).Draw(t, "server")
-	news := News{Server: serverID(number), Observer: "peer"}
+	update := Update{Server: serverID(number), Observer: "peer"}
 	if rapid.Bool().Draw(t, "operator") {
-		news.Operator = OperatorMark{
+		update.Operator = OperatorMark{
 			Sequence: rapid.Uint64Range(1, 3).Draw(t, "sequence"),
 			Drained:  rapid.Bool().Draw(t, "drained"),
 			Author:   rapid.SampledFrom([]string{"a", "b"}).Draw(t, "author"),
 		}
 	}
 	if rapid.IntRange(0, 4).Draw(t, "instance") > 0 {
-		news.Instance = Instance{
+		update.Instance = Instance{
 			ID:         rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "id"),
 			Generation: rapid.Uint64Range(0, 3).Draw(t, "generation"),
 			Draining:   rapid.Bool().Draw(t, "draining"),
@@ -31,24 +31,23 @@
 		}
 		if revision := rapid.Uint64Range(0, 2).Draw(t, "revision"); revision > 0 {
 			version := target.Version(rapid.IntRange(1, 2).Draw(t, "version"))
-			news.Instance.Revision = revision
-			news.Instance.Contents = newContents(statusOf(number, news.Instance.ID, false, version))
+			update.Instance.Revision = revision
+			update.Instance.Contents = newContents(statusOf(number, update.Instance.ID, false, version))
 		}
 	}
-	return news
+	return update
 }
 
-// drawNewsOrChange also makes changes of versions, for instances that other
-// news may be about.
-func drawNewsOrChange(t *rapid.T) News {
+// drawUpdateOrChange also draws version changes, for instances that other updates may concern.
+func drawUpdateOrChange(t *rapid.T) Update {
 	if rapid.Bool().Draw(t, "whole") {
-		return drawNews(t)
+		return drawUpdate(t)
 	}
 	number := rapid.IntRange(0, 1).Draw(t, "server")
 	instance := Instance{ID: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "id")}
 	instance.Contents = newContents(statusOf(number, instance.ID, false, 1))
 	versions := rapid.SampledFrom([][]target.Version{{1}, {2}, {1, 2}, {2, 1}}).Draw(t, "versions")
-	return News{Kind: KindContents, Change: VersionChange{
+	return Update{Kind: KindContents, Change: VersionChange{
 		Base:     computeBase(serverID(number), &instance),
 		Revision: rapid.Uint64Range(1, 3).Draw(t, "revision"),
 		Versions: versions,
@@ -61,8 +60,8 @@
 	return created
 }
 
-// stateOf describes all that nodes share about the servers, and the view.
-func stateOf(c *Catalog) string {
+// describeState describes the view and all facts that nodes share about the servers.
+func describeState(c *Catalog) string {
 	text := contentsOf(c.View(testService))
 	for _, number := range []int{0, 1} {
 		f := &c.find(serverID(number)).facts
@@ -76,51 +75,51 @@
 	return text
 }
 
-// TestNewsConverge gives the same news to two catalogs in different orders and
-// with repeats.
+// TestNewsConverge guards against catalogs that diverge: two of them get the same updates in
+// different orders and with repeats. A third gets the snapshot of the second.
 func TestNewsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := newClock().Now
 		first, second := newTestCatalog("first", now), newTestCatalog("second", now)
-		var batch []News
+		var batch []Update
 		for range rapid.IntRange(1, 12).Draw(t, "count") {
-			batch = append(batch, drawNewsOrChange(t))
+			batch = append(batch, drawUpdateOrChange(t))
 		}
 		first.Apply(batch...)
 		shuffled := rapid.Permutation(batch).Draw(t, "order")
-		for _, news := range shuffled {
-			second.Apply(news)
+		for _, update := range shuffled {
+			second.Apply(update)
 		}
 		if again := second.Apply(batch...); len(again) > 0 {
-			t.Fatalf("known news is passed on again: %+v", again)
+			t.Fatalf("known updates would be forwarded again: %+v", again)
 		}
-		if a, b := stateOf(first), stateOf(second); a != b {
+		if a, b := describeState(first), describeState(second); a != b {
 			t.Fatalf("states differ:\n%s\n%s", a, b)
 		}
 		third := newTestCatalog("third", now)
 		third.Apply(second.Snapshot()...)
-		if a, b := stateOf(first), stateOf(third); a != b {
+		if a, b := describeState(first), describeState(third); a != b {
 			t.Fatalf("state from the snapshot differs:\n%s\n%s", a, b)
 		}
 	})
 }
 
-// peers are two nodes that observe the same servers and exchange news, which
-// may be late, repeated and out of order.
+// peers are nodes that observe the same servers and exchange updates, which may be late, repeated
+// and out of order.
 type peers struct {
 	clock    *clock
 	catalogs []*Catalog
-	// mail holds the news that were sent to each node.
-	mail [][]News
-	sent int
+	// inbox holds the undelivered updates of each node.
+	inbox [][]Update
+	sent  int
 }
 
 func newPeers(nodes int) *peers {
-	p := &peers{clock: newClock(), mail: make([][]News, nodes)}
+	p := &peers{clock: newClock(), inbox: make([][]Update, nodes)}
 	for node := range nodes {
 		created := New(Options{
 			Node: target.NodeID(fmt.Sprint(node)), Zone: "zone", Now: p.clock.Now,
-			OnNews: func(news News) { p.send(node, news) },
+			OnUpdate: func(update Update) { p.send(node, update) },
 		})
 		created.ReplaceMachines(listOf(2))
 		p.catalogs = append(p.catalogs, created)
@@ -128,39 +127,40 @@
 	return p
 }
 
-// send brings news to the other nodes in its wire form.
-func (p *peers) send(from int, news News) {
+// send puts an update into the inboxes of the other nodes, after a round trip through its wire
+// form.
+func (p *peers) send(from int, update Update) {
 	p.sent++
-	encoded, err := EncodeNews([]News{news})
+	encoded, err := EncodeUpdates([]Update{update})
 	if err != nil {
 		panic(err)
 	}
-	decoded, err := DecodeNews(encoded)
+	decoded, err := DecodeUpdates(encoded)
 	if err != nil {
 		panic(err)
 	}
-	news = decoded[0]
-	for node := range p.mail {
+	update = decoded[0]
+	for node := range p.inbox {
 		if node != from {
-			p.mail[node] = append(p.mail[node], news)
+			p.inbox[node] = append(p.inbox[node], update)
 		}
 	}
 }
 
-// deliver applies the news with the given index, passes on what was learnt,
-// and keeps a copy in the mail if repeat is set.
+// deliver applies the update at index, forwards the resulting updates, and keeps a copy in the
+// inbox if repeat is set.
 func (p *peers) deliver(node, index int, repeat bool) {
-	news := p.mail[node][index]
+	update := p.inbox[node][index]
 	if !repeat {
-		p.mail[node] = append(p.mail[node][:index], p.mail[node][index+1:]...)
+		p.inbox[node] = append(p.inbox[node][:index], p.inbox[node][index+1:]...)
 	}
-	for _, learnt := range p.catalogs[node].Apply(news) {
-		p.send(node, learnt)
+	for _, applied := range p.catalogs[node].Apply(update) {
+		p.send(node, applied)
 	}
 }
 
-// TestPeersConverge lets two nodes observe and exchange news in any order. In
-// the end both are in the same state, and the number of messages is bounded.
+// TestPeersConverge guards against nodes that disagree, or that forward updates forever, when they
+// observe servers and exchange updates in any order.
 func TestPeersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPeers(2)
@@ -182,64 +182,65 @@
 			case 4:
 				p.catalogs[node].ReportProbe(serverID(number), p.clock.now, nil, errTest)
 			case 5:
-				if len(p.mail[node]) > 0 {
-					index := rapid.IntRange(0, len(p.mail[node])-1).Draw(t, "news")
+				if len(p.inbox[node]) > 0 {
+					index := rapid.IntRange(0, len(p.inbox[node])-1).Draw(t, "news")
 					p.deliver(node, index, rapid.Bool().Draw(t, "repeat"))
 				}
 			case 6:
 				versions[number]++
 			}
 		}
-		p.settle(t)
+		p.deliverAll(t)
 		for number := range drained {
 			p.checkAgreement(t, number)
 		}
-		// One more round of probes: what the servers say now is what holds.
+		// One more round of probes: the current status of the servers must prevail.
 		for number := range drained {
 			status := statusOf(number, fmt.Sprint(instances[number]), drained[number], versions[number])
 			p.catalogs[0].ReportProbe(serverID(number), p.clock.now, status, nil)
 		}
-		p.settle(t)
+		p.deliverAll(t)
 		for number := range drained {
 			server := p.checkAgreement(t, number)
 			if (server.State == Leaving) != drained[number] {
 				t.Fatalf("%s is %s, drained %v", server.ID, server.State, drained[number])
 			}
 			if server.Indexes[0].Version != versions[number] {
-				t.Fatalf("%s has version %d, known is %d", server.ID, versions[number], server.Indexes[0].Version)
+				t.Fatalf("%s has version %d, but the view has %d", server.ID, versions[number], server.Indexes[0].Version)
 			}
 		}
 	})
 }
 
-// settle delivers all mail; passing on must come to an end.
-func (p *peers) settle(t *rapid.T) {
+// deliverAll delivers all updates; forwarding must end.
+func (p *peers) deliverAll(t *rapid.T) {
 	const bound = 10_000
-	for count := 0; len(p.mail[0])+len(p.mail[1]) > 0; count++ {
+	for count := 0; len(p.inbox[0])+len(p.inbox[1]) > 0; count++ {
 		if count > bound {
-			t.Fatal("news goes round in circles")
+			t.Fatal("updates are forwarded endlessly")
 		}
-		for node := range p.mail {
-			if len(p.mail[node]) > 0 {
-				p.deliver(node, len(p.mail[node])-1, false)
+		for node := range p.inbox {
+			if len(p.inbox[node]) > 0 {
+				p.deliver(node, len(p.inbox[node])-1, false)
 			}
 		}
 	}
 }
 
-// checkAgreement fails unless both nodes know the same of a server.
+// checkAgreement fails unless both nodes have the same facts about a server. It returns the
+// server's entry in the second node's view.
 func (p *peers) checkAgreement(t *rapid.T, number int) *Server {
-	var told []string
+	var states []string
 	for _, c := range p.catalogs {
 		f := &c.find(serverID(number)).facts
 		current := f.current()
 		if current == nil {
 			current = &instanceFacts{}
 		}
-		told = append(told, fmt.Sprint(current.ID, current.Generation, current.Draining, current.Liveness))
+		states = append(states, fmt.Sprint(current.ID, current.Generation, current.Draining, current.Liveness))
 	}
-	if told[0] != told[1] {
-		t.Fatalf("%s: %s and %s", serverID(number), told[0], told[1])
+	if states[0] != states[1] {
+		t.Fatalf("facts about %s differ: %s and %s", serverID(number), states[0], states[1])
 	}
 	return serverOf(p.catalogs[1].View(testService), serverID(number))
 }
--- a/pkg/catalog/digest.go
+++ b/pkg/catalog/digest.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// digestBuckets is the number of groups of servers that are compared.
+	// digestBuckets is the number of buckets of servers whose digests are compared.
 	digestBuckets = 256
-	// maxSyncBytes bounds the news of one reply.
+	// maxSyncBytes is the size of the updates in a reply after which no further bucket is added.
 	maxSyncBytes = 128 << 10
 )
 
-// digests sums up what is known of the servers of each bucket. Two catalogs
-// with the same facts have the same digests.
+// digests holds one digest of the facts for each bucket of servers. Two catalogs with the same
+// facts have the same digests.
 type digests [digestBuckets]uint64
 
 func bucketOf(server target.ServerID) int {
 	return int(xxhash.Sum64String(string(server)) % digestBuckets)
 }
 
-// digests returns the digests of the facts about the servers of the machine
-// list, or of the operators' marks alone.
+// digests returns the digests of the facts about the servers of the machine list. With
+// operatorOnly, only the operators' marks are included.
 func (c *Catalog) digests(operatorOnly bool) digests {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -42,9 +42,9 @@
 	return sums
 }
 
-// digest is zero for a server of which nothing is known. Contents count by
-// their revision alone: where two nodes hold different ones of the same
-// revision, the next probe gives a higher one.
+// digest returns the digest of the facts about a server; zero if there are none. Contents are
+// represented by their revision alone: if two nodes hold different contents with the same revision,
+// the next probe assigns a higher one.
 func (r *record) digest(operatorOnly bool) uint64 {
 	var sum uint64
 	if mark := r.facts.operator; mark.Sequence > 0 {
@@ -70,9 +70,9 @@
 	return xxhash.Sum64(buffer)
 }
 
-// answerSync returns the news of all buckets whose digest differs from the one
-// asked about, beginning with the bucket first, up to the bound.
-func (c *Catalog) answerSync(asked []uint64, first int, operatorOnly bool) *catalogpb.SyncReply {
+// answerSync returns the updates of all buckets whose digest differs from the peer's, beginning
+// with firstBucket. It sets More when it stops at maxSyncBytes.
+func (c *Catalog) answerSync(peerDigests []uint64, firstBucket int, operatorOnly bool) *catalogpb.SyncReply {
 	own := c.digests(operatorOnly)
 	reply := &catalogpb.SyncReply{}
 	differing := make(map[int][]*record)
@@ -81,7 +81,7 @@
 	c.records.Range(func(_, value any) bool {
 		r := value.(*record)
 		bucket := bucketOf(r.server)
-		if r.listing.listed && own[bucket] != asked[bucket] {
+		if r.listing.listed && own[bucket] != peerDigests[bucket] {
 			differing[bucket] = append(differing[bucket], r)
 		}
 		return true
@@ -92,24 +92,24 @@
 			reply.More = true
 			return reply
 		}
-		for _, r := range differing[(first+offset)%digestBuckets] {
+		for _, r := range differing[(firstBucket+offset)%digestBuckets] {
 			size += c.appendSync(reply, r, now, operatorOnly)
 		}
 	}
 	return reply
 }
 
-// appendSync adds what is known of a server and returns its size in bytes.
+// appendSync adds the facts about a server to the reply and returns their size in bytes.
 func (c *Catalog) appendSync(reply *catalogpb.SyncReply, r *record, now time.Time, operatorOnly bool) int {
 	size := 0
-	for _, news := range c.recordNews(r, now) {
+	for _, update := range c.recordUpdates(r, now) {
 		if operatorOnly {
-			news.Instance = Instance{}
-			if news.Operator.Sequence == 0 {
+			update.Instance = Instance{}
+			if update.Operator.Sequence == 0 {
 				return size
 			}
 		}
-		message := ToProto(&news)
+		message := ToProto(&update)
 		size += message.SizeVT()
 		reply.News = append(reply.News, message)
 		if operatorOnly {
--- a/pkg/catalog/encoding.go
+++ b/pkg/catalog/encoding.go
@@ -13,47 +13,46 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// Bounds of what is taken from the wire.
+// Bounds of accepted input. Names are in bytes.
 const (
 	maxNameBytes = 255
 	maxIndexes   = 64
 	maxShards    = 4096
 	maxLimit     = 1 << 20
 	maxUptime    = 100 * 365 * 24 * time.Hour
-	// maxCounter leaves room for successors of every counter.
+	// maxCounter leaves room for every counter to be incremented.
 	maxCounter = 1 << 62
 )
 
-// EncodeNews returns the wire form of a batch of news. Changes of versions come
-// after the others, and adjacent ones with the same versions share what is
-// equal.
-func EncodeNews(batch []News) ([]byte, error) {
+// EncodeUpdates returns the wire form of a batch of updates. Version changes follow the others;
+// adjacent ones with the same versions are stored as one entry.
+func EncodeUpdates(batch []Update) ([]byte, error) {
 	message := &catalogpb.NewsBatch{}
 	for index := range batch {
-		if news := &batch[index]; news.Change.Base != 0 {
-			appendChange(message, news)
+		if update := &batch[index]; update.Change.Base != 0 {
+			appendChange(message, update)
 		} else {
-			message.News = append(message.News, ToProto(news))
+			message.News = append(message.News, ToProto(update))
 		}
 	}
 	encoded, err := message.MarshalVT()
 	return encoded, errors.Wrap(err, "encode news")
 }
 
-// DecodeNews reads the wire form of a batch. It fails as a whole if any of the
-// news is malformed.
-func DecodeNews(encoded []byte) ([]News, error) {
+// DecodeUpdates decodes a batch. If any update is malformed, the whole batch is rejected with an
+// error.
+func DecodeUpdates(encoded []byte) ([]Update, error) {
 	var message catalogpb.NewsBatch
 	if err := message.UnmarshalVT(encoded); err != nil {
 		return nil, errors.Wrap(err, "decode news")
 	}
-	batch := make([]News, 0, len(message.News))
+	batch := make([]Update, 0, len(message.News))
 	for index, item := range message.News {
-		news, err := FromProto(item)
+		update, err := FromProto(item)
 		if err != nil {
 			return nil, errors.Wrapf(err, "news %d", index)
 		}
-		batch = append(batch, news)
+		batch = append(batch, update)
 	}
 	for index, item := range message.VersionChanges {
 		changes, err := changesFromProto(item)
@@ -65,29 +64,29 @@
 	return batch, nil
 }
 
-// ToProto returns the protobuf message of one news, as a whole also if it is no
-// more than a change of versions.
-func ToProto(news *News) *catalogpb.News {
+// ToProto returns the protobuf message of one update. A version change is written in its complete
+// form.
+func ToProto(update *Update) *catalogpb.News {
 	message := &catalogpb.News{
-		Server:   string(news.Server),
-		Kind:     uint32(news.Kind),
-		Observer: string(news.Observer),
+		Server:   string(update.Server),
+		Kind:     uint32(update.Kind),
+		Observer: string(update.Observer),
 	}
-	if news.Instance.ID != "" {
+	if update.Instance.ID != "" {
 		message.Instance = &catalogpb.Instance{
-			Id:         news.Instance.ID,
-			Generation: news.Instance.Generation,
-			Draining:   news.Instance.Draining,
-			Liveness:   news.Instance.Liveness,
-			Revision:   news.Instance.Revision,
-			Contents:   contentsToProto(news.Instance.Contents),
+			Id:         update.Instance.ID,
+			Generation: update.Instance.Generation,
+			Draining:   update.Instance.Draining,
+			Liveness:   update.Instance.Liveness,
+			Revision:   update.Instance.Revision,
+			Contents:   contentsToProto(update.Instance.Contents),
 		}
 	}
-	if news.Operator.Sequence > 0 {
+	if update.Operator.Sequence > 0 {
 		message.OperatorMark = &catalogpb.OperatorMark{
-			Sequence: news.Operator.Sequence,
-			Drained:  news.Operator.Drained,
-			Author:   news.Operator.Author,
+			Sequence: update.Operator.Sequence,
+			Drained:  update.Operator.Drained,
+			Author:   update.Operator.Author,
 		}
 	}
 	return message
@@ -111,8 +110,8 @@
 	return message
 }
 
-// indexToProto leaves the shards out if the index before has the same: most
-// new versions keep the layout.
+// indexToProto omits the shards if the previous index has the same ones, as most new versions keep
+// the layout.
 func indexToProto(indexes []backend.Index, position int, index backend.Index) *catalogpb.Index {
 	message := &catalogpb.Index{Version: uint64(index.Version)}
 	if position > 0 {
@@ -142,31 +141,31 @@
 	return encoded
 }
 
-// FromProto checks and converts one news.
-func FromProto(message *catalogpb.News) (News, error) {
+// FromProto validates and converts one update.
+func FromProto(message *catalogpb.News) (Update, error) {
 	if _, _, err := net.SplitHostPort(message.GetServer()); err != nil || len(message.GetServer()) > maxNameBytes {
-		return News{}, errors.Errorf("server %.40q is not host:port", message.GetServer())
+		return Update{}, errors.Errorf("server %.40q is not host:port", message.GetServer())
 	}
-	news := News{
+	update := Update{
 		Server:   target.ServerID(message.Server),
-		Kind:     NewsKind(message.Kind),
+		Kind:     UpdateKind(message.Kind),
 		Observer: target.NodeID(message.Observer),
 	}
 	if len(message.Observer) > maxNameBytes {
-		return News{}, errors.New("observer is too long")
+		return Update{}, errors.New("observer is too long")
 	}
 	if mark := message.OperatorMark; mark != nil {
-		news.Operator = OperatorMark{Sequence: mark.Sequence, Drained: mark.Drained, Author: mark.Author}
+		update.Operator = OperatorMark{Sequence: mark.Sequence, Drained: mark.Drained, Author: mark.Author}
 		if mark.Sequence == 0 || mark.Sequence > maxCounter || len(mark.Author) > maxNameBytes {
-			return News{}, errors.New("operator mark is out of bounds")
+			return Update{}, errors.New("operator mark is out of bounds")
 		}
 	}
 	if message.Instance == nil {
-		return news, nil
+		return update, nil
 	}
 	instance, err := instanceFromProto(message.Instance)
-	news.Instance = instance
-	return news, err
+	update.Instance = instance
+	return update, err
 }
 
 func instanceFromProto(message *catalogpb.Instance) (Instance, error) {
@@ -229,15 +228,15 @@
 	return slices.ContainsFunc(indexes, func(index backend.Index) bool { return index.Version == version })
 }
 
-// checkStatus refuses a status that could not be told to other nodes.
+// checkStatus returns an error for a status that other nodes would not accept in an update.
 func checkStatus(status *backend.Status) error {
 	contents := contentsToProto(newContents(status))
 	_, err := instanceFromProto(&catalogpb.Instance{Id: status.Instance, Revision: 1, Contents: contents})
 	return err
 }
 
-// shardsFromProto returns the shards of an index; earlier are the indexes
-// before it.
+// shardsFromProto returns the shards of an index. earlier holds the indexes that precede it in the
+// message.
 func shardsFromProto(earlier []backend.Index, message *catalogpb.Index) ([]backend.Shard, error) {
 	if message.SameAs != 0 {
 		for _, index := range earlier {
--- a/pkg/catalog/exchange_test.go
+++ b/pkg/catalog/exchange_test.go
@@ -16,13 +16,13 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// exchangeNode is a catalog with its exchange on an in-memory network.
+// exchangeNode is a catalog with its Exchange on an in-memory network.
 type exchangeNode struct {
 	catalog  *Catalog
 	exchange *Exchange
-	// mutex guards told, the news for the own zone that came from another.
-	mutex sync.Mutex
-	told  []News
+	// mutex guards forwarded, the updates from another zone for this zone.
+	mutex     sync.Mutex
+	forwarded []Update
 }
 
 func newExchangeNode(network *peer.Network, name string, servers int, peers, remote []peer.Address) *exchangeNode {
@@ -34,17 +34,17 @@
 		Peers:     func() []peer.Address { return peers },
 		Remote:    func() []peer.Address { return remote },
 		Random:    rand.New(rand.NewPCG(1, uint64(len(name)))),
-		OnForwarded: func(news News) {
+		OnForwarded: func(update Update) {
 			node.mutex.Lock()
 			defer node.mutex.Unlock()
-			node.told = append(node.told, news)
+			node.forwarded = append(node.forwarded, update)
 		},
 	})
 	return node
 }
 
-// TestPullTakesWhatDiffers gives two nodes arbitrary news; after each has
-// pulled from the other, their digests agree.
+// TestPullTakesWhatDiffers guards against pulls that miss differences: two nodes get arbitrary
+// updates, and after each has pulled from the other, their digests agree.
 func TestPullTakesWhatDiffers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		network := peer.NewNetwork(1)
@@ -52,8 +52,8 @@
 		first := newExchangeNode(network, "first", 2, nil, nil)
 		second := newExchangeNode(network, "second", 2, nil, nil)
 		for range rapid.IntRange(0, 8).Draw(t, "news") {
-			first.catalog.Apply(drawNews(t))
-			second.catalog.Apply(drawNews(t))
+			first.catalog.Apply(drawUpdate(t))
+			second.catalog.Apply(drawUpdate(t))
 		}
 		if err := first.exchange.Pull(context.Background(), "second"); err != nil {
 			t.Fatal(err)
@@ -73,8 +73,8 @@
 	})
 }
 
-// TestNewNodeLearnsAZone has a node without any knowledge take that of 5,300
-// servers in replies of bounded size, and compares again at no cost.
+// TestNewNodeLearnsAZone has an empty node pull the facts about 5,300 servers in replies of bounded
+// size. A further comparison must transfer no updates.
 func TestNewNodeLearnsAZone(t *testing.T) {
 	const servers = 5300
 	network := peer.NewNetwork(1)
@@ -96,7 +96,7 @@
 		t.Fatal(err)
 	}
 	if known.catalog.digests(false) != starter.catalog.digests(false) {
-		t.Fatal("digests differ")
+		t.Fatal("digests differ after the pull")
 	}
 	for _, server := range starter.catalog.View(testService).Servers {
 		want := serverOf(known.catalog.View(testService), server.ID)
@@ -104,32 +104,32 @@
 			t.Fatalf("got %+v, want %+v", server, want)
 		}
 	}
-	asked := starter.catalog.digests(false)
-	reply := known.catalog.answerSync(asked[:], 0, false)
+	ownDigests := starter.catalog.digests(false)
+	reply := known.catalog.answerSync(ownDigests[:], 0, false)
 	t.Logf("request %d B, reply without differences %d B, one bucket of %d servers %d B",
-		(&catalogpb.SyncRequest{Digests: asked[:]}).SizeVT(), reply.SizeVT(), servers/digestBuckets, bucketBytes(known.catalog, asked))
+		(&catalogpb.SyncRequest{Digests: ownDigests[:]}).SizeVT(), reply.SizeVT(), servers/digestBuckets, bucketBytes(known.catalog, ownDigests))
 	if len(reply.News) > 0 || reply.More {
-		t.Fatalf("%d news without a difference", len(reply.News))
+		t.Fatalf("%d updates in a reply without differences", len(reply.News))
 	}
 }
 
-// bucketBytes is the size of a reply when one bucket differs.
-func bucketBytes(c *Catalog, asked digests) int {
-	asked[0]++
-	return c.answerSync(asked[:], 0, false).SizeVT()
+// bucketBytes returns the size of a reply when one bucket differs.
+func bucketBytes(c *Catalog, peerDigests digests) int {
+	peerDigests[0]++
+	return c.answerSync(peerDigests[:], 0, false).SizeVT()
 }
 
-// TestOperatorsMarkReachesOtherZones drains a server: another zone hears of it
-// at once, and by comparison if that message is lost. Nothing else crosses.
+// TestOperatorsMarkReachesOtherZones drains a server: another zone learns of it immediately, or by
+// the next digest comparison if that message is lost. No other updates cross zones.
 func TestOperatorsMarkReachesOtherZones(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		t.Run(fmt.Sprintf("lost=%v", lost), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { operatorsMarkCrosses(t, lost) })
+			synctest.Test(t, func(t *testing.T) { testOperatorMark(t, lost) })
 		})
 	}
 }
 
-func operatorsMarkCrosses(t *testing.T, lost bool) {
+func testOperatorMark(t *testing.T, lost bool) {
 	network := peer.NewNetwork(1)
 	ctx, cancel := context.WithCancel(t.Context())
 	near := newExchangeNode(network, "near", 2, nil, []peer.Address{"far"})
@@ -138,10 +138,10 @@
 	if err := near.catalog.Drain(serverID(0), true, "author"); err != nil {
 		t.Fatal(err)
 	}
-	for _, news := range near.catalog.Snapshot() {
-		news.Kind = KindOperator
+	for _, update := range near.catalog.Snapshot() {
+		update.Kind = KindOperator
 		if !lost {
-			near.exchange.Forward(ctx, news)
+			near.exchange.Forward(ctx, update)
 		}
 	}
 	var running sync.WaitGroup
@@ -150,24 +150,24 @@
 	}
 	time.Sleep(time.Millisecond)
 	if isLeaving := serverOf(far.catalog.View(testService), serverID(0)).State == Leaving; isLeaving == lost {
-		t.Errorf("lost=%v, but leaving=%v at once", lost, isLeaving)
+		t.Errorf("lost=%v, but leaving=%v immediately", lost, isLeaving)
 	}
 	time.Sleep(2 * DefaultRemoteSyncInterval)
 	if serverOf(far.catalog.View(testService), serverID(0)).State != Leaving {
-		t.Error("the mark did not arrive")
+		t.Error("the operator's mark did not arrive")
 	}
 	if serverOf(far.catalog.View(testService), serverID(1)).State != Active {
-		t.Error("what a server said of itself crossed zones")
+		t.Error("a status reported by a server crossed zones")
 	}
 	cancel()
 	running.Wait()
 	network.Close()
-	if len(far.told) != 1 {
-		t.Errorf("the zone was told %d times", len(far.told))
+	if len(far.forwarded) != 1 {
+		t.Errorf("the mark was forwarded to the zone %d times, want 1", len(far.forwarded))
 	}
 }
 
-// FuzzHandleSync feeds malformed requests to the handlers.
+// FuzzHandleSync passes malformed requests to the handlers.
 func FuzzHandleSync(f *testing.F) {
 	sums := make([]uint64, digestBuckets)
 	request, err := (&catalogpb.SyncRequest{Digests: sums}).MarshalVT()
--- a/pkg/catalog/machine_test.go
+++ b/pkg/catalog/machine_test.go
@@ -14,35 +14,35 @@
 
 const machineServers = 6
 
-// oracle says in a few lines when a server is leaving: a source said so, and no
-// fresh evidence came after.
+// oracle is a simple model of when a server is leaving: a source reported it, and no newer evidence
+// followed.
 type oracle struct {
 	instance string
-	// drained holds the instances that said that they drain.
-	drained  map[string]bool
-	nameless bool
-	operator bool
-	listed   machinelist.State
-	byList   bool
-	awaits   bool
+	// drained holds the instances that reported that they drain.
+	drained           map[string]bool
+	drainUnattributed bool
+	operator          bool
+	listed            machinelist.State
+	leavingByList     bool
+	awaitsProbe       bool
 }
 
 func (o *oracle) leaving() bool {
-	return o.operator || o.nameless || o.drained[o.instance] || o.byList || o.awaits
+	return o.operator || o.drainUnattributed || o.drained[o.instance] || o.leavingByList || o.awaitsProbe
 }
 
 func (o *oracle) probed(instance string, draining bool) {
 	switch {
-	case o.instance == "" && o.nameless:
+	case o.instance == "" && o.drainUnattributed:
 		o.drained[instance] = true
 	case o.instance != "" && o.instance != instance:
-		o.byList, o.awaits = false, false
+		o.leavingByList, o.awaitsProbe = false, false
 	}
-	o.instance, o.nameless = instance, false
+	o.instance, o.drainUnattributed = instance, false
 	if draining {
 		o.drained[instance] = true
 	} else {
-		o.awaits = false
+		o.awaitsProbe = false
 	}
 }
 
@@ -51,7 +51,7 @@
 		instance = o.instance
 	}
 	if instance == "" {
-		o.nameless = true
+		o.drainUnattributed = true
 		return
 	}
 	o.drained[instance] = true
@@ -62,23 +62,23 @@
 	case state == o.listed:
 		return
 	case state == machinelist.Leaving:
-		o.byList, o.awaits = true, false
-	case o.byList:
-		o.byList, o.awaits = false, true
+		o.leavingByList, o.awaitsProbe = true, false
+	case o.leavingByList:
+		o.leavingByList, o.awaitsProbe = false, true
 	}
 	o.listed = state
 }
 
-// machine drives one catalog with random sources in random order.
+// machine drives one catalog with random events in random order.
 type machine struct {
 	clock   *clock
 	catalog *Catalog
 	list    machinelist.List
 	oracles []*oracle
-	// instances is the number of starts of each server.
+	// instances counts the restarts of each server.
 	instances []int
-	news      []News
-	// old is an earlier view with its contents at that time.
+	updates   []Update
+	// old is an earlier view, and oldContents its contents at that time.
 	old         *View
 	oldContents string
 }
@@ -87,7 +87,7 @@
 	m := &machine{clock: newClock(), list: listOf(machineServers), instances: make([]int, machineServers)}
 	m.catalog = New(Options{
 		Node: "node", Zone: "zone", Now: m.clock.Now,
-		OnNews: func(news News) { m.news = append(m.news, news) },
+		OnUpdate: func(update Update) { m.updates = append(m.updates, update) },
 	})
 	m.catalog.ReplaceMachines(m.list)
 	for range machineServers {
@@ -153,14 +153,14 @@
 	m.catalog.Refresh()
 }
 
-// ApplyOwnNews plays news back that this node sent itself, as a relay may.
-func (m *machine) ApplyOwnNews(t *rapid.T) {
-	if len(m.news) == 0 {
+// ApplyOwnUpdate returns an update to the node that sent it, as a relay may.
+func (m *machine) ApplyOwnUpdate(t *rapid.T) {
+	if len(m.updates) == 0 {
 		return
 	}
-	sent := len(m.news)
-	if learnt := m.catalog.Apply(rapid.SampledFrom(m.news).Draw(t, "news")); len(learnt) > 0 || len(m.news) > sent {
-		t.Fatalf("own news taught %v", learnt)
+	sent := len(m.updates)
+	if applied := m.catalog.Apply(rapid.SampledFrom(m.updates).Draw(t, "news")); len(applied) > 0 || len(m.updates) > sent {
+		t.Fatalf("own update changed the catalog: %v", applied)
 	}
 }
 
@@ -192,7 +192,7 @@
 	m.checkImmutable(t, view)
 }
 
-// checkImmutable compares an earlier view with what it was then.
+// checkImmutable checks that an earlier view still has its original contents.
 func (m *machine) checkImmutable(t *rapid.T, view *View) {
 	if m.old != nil && contentsOf(m.old) != m.oldContents {
 		t.Fatalf("an earlier view changed: %s, was %s", contentsOf(m.old), m.oldContents)
@@ -208,14 +208,16 @@
 	return text
 }
 
-// TestLeavingFloorAndViews drives one catalog against the oracle.
+// TestLeavingFloorAndViews compares one catalog with the oracle under random events. It guards
+// against servers that are wrongly leaving or not, ejections beyond half of the replicas, and views
+// that change after they were returned.
 func TestLeavingFloorAndViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine()
 		t.Repeat(map[string]func(*rapid.T){
 			"restart": m.Restart, "probe": m.Probe, "probeFails": m.ProbeFails, "drainHint": m.DrainHint,
 			"operator": m.Operator, "machineList": m.MachineList, "failures": m.Failures, "answer": m.Answer,
-			"time": m.Time, "ownNews": m.ApplyOwnNews, "": m.Check,
+			"time": m.Time, "ownNews": m.ApplyOwnUpdate, "": m.Check,
 		})
 	})
 }
--- a/pkg/catalog/outlier.go
+++ b/pkg/catalog/outlier.go
@@ -11,26 +11,26 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// unknownLoad stands for a load that was not said.
+// unknownLoad represents a load that was not reported.
 const unknownLoad = -1
 
-// results counts how sub-requests to a server ended. It is written for each of
-// them, so that it has no lock.
+// results counts the outcomes of sub-requests to a server. It is updated for every sub-request and
+// therefore uses atomics instead of a lock.
 type results struct {
 	successes   atomic.Uint64
 	failures    atomic.Uint64
 	consecutive atomic.Int64
 	load        atomic.Uint64
-	// watched tells that Refresh looks at the server.
+	// watched is set while Refresh examines the server.
 	watched atomic.Bool
-	// namesInstance tells that the server names its instance in hints.
+	// namesInstance is set once the server has named its instance in hints.
 	namesInstance atomic.Bool
-	// doubted tells that a probe for doubted contents is asked for.
-	doubted atomic.Bool
-	// newest is the newest index version that the server is known to have, or
-	// to have spoken of.
+	// suspectedStale is set while a probe for suspected stale contents is requested.
+	suspectedStale atomic.Bool
+	// newest is the newest index version that the server is known to have or has mentioned in a
+	// hint.
 	newest atomic.Uint64
-	// draining is the instance that is last known to drain; nil for none.
+	// draining is the instance that was last found to drain; nil if there is none.
 	draining atomic.Pointer[string]
 }
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// failure counts a failed sub-request and returns how many failed in a row.
+// failure counts a failed sub-request and returns the number of consecutive failures.
 func (r *results) failure() int {
 	r.failures.Add(1)
 	return int(r.consecutive.Add(1))
@@ -59,39 +59,38 @@
 
 func (r *results) newestVersion() target.Version { return target.Version(r.newest.Load()) }
 
-func (r *results) noteVersion(version target.Version) { r.newest.Store(uint64(version)) }
+func (r *results) setNewestVersion(version target.Version) { r.newest.Store(uint64(version)) }
 
-func (r *results) named() bool { return r.namesInstance.Load() }
+func (r *results) hasNamedInstance() bool { return r.namesInstance.Load() }
 
-func (r *results) noteNamed() {
+func (r *results) setNamesInstance() {
 	if !r.namesInstance.Load() {
 		r.namesInstance.Store(true)
 	}
 }
 
-// knownDraining reports whether it is known already that an instance drains.
-// Without an instance it is not known which one is meant.
-func (r *results) knownDraining(instance string) bool {
+// isKnownDraining reports whether an instance is already known to drain. It is false for an empty
+// instance, because that does not say which one is meant.
+func (r *results) isKnownDraining(instance string) bool {
 	known := r.draining.Load()
 	return known != nil && *known == instance
 }
 
-func (r *results) noteDraining(instance string) { r.draining.Store(&instance) }
+func (r *results) setDraining(instance string) { r.draining.Store(&instance) }
 
-// noteFacts takes over what later hints are compared with.
-func (r *results) noteFacts(current *instanceFacts) {
+// updateFrom stores the facts with which later hints are compared.
+func (r *results) updateFrom(current *instanceFacts) {
 	if current == nil {
 		return
 	}
-	r.noteVersion(current.Contents.newestVersion())
+	r.setNewestVersion(current.Contents.newestVersion())
 	if current.Draining {
-		r.noteDraining(current.ID)
+		r.setDraining(current.ID)
 	}
 }
 
-// countsAsFailure reports whether an error speaks against the server. A
-// refusal for lack of slots, a cancelled sub-request or one that was never sent
-// for lack of time does not.
+// countsAsFailure reports whether an error counts against the server. A refusal for lack of slots,
+// a cancelled sub-request and one that was never sent for lack of time do not.
 func countsAsFailure(err error) bool {
 	var failed *outcome.Error
 	if !errors.As(err, &failed) {
@@ -107,14 +106,14 @@
 	return false
 }
 
-// outlier is the ejection of one server. The catalog's mutex guards it.
+// outlier is the ejection state of one server. The catalog's mutex guards it.
 type outlier struct {
 	until time.Time
-	// inRow counts the ejections without a calm time between them.
-	inRow int
-	// wasEjected tells that the server was ejected in the last view.
+	// consecutive counts the ejections since the server was last healthy for MaxEjectionTime.
+	consecutive int
+	// wasEjected is set if the server was ejected in the last view.
 	wasEjected bool
-	// window holds recent results, older ones with less weight.
+	// The window counts recent results; older ones have less weight.
 	windowSuccesses float64
 	windowFailures  float64
 	// seenSuccesses and seenFailures are the counts at the last roll.
@@ -124,28 +123,28 @@
 
 func (o *outlier) ejected(now time.Time) bool { return now.Before(o.until) }
 
-// eject starts an ejection, unless one runs.
+// eject starts an ejection unless one is in progress.
 func (o *outlier) eject(now time.Time, options *Options) {
 	if o.ejected(now) {
 		return
 	}
 	const maxDoublings = 30
-	length := options.EjectionTime << min(o.inRow, maxDoublings)
+	length := options.EjectionTime << min(o.consecutive, maxDoublings)
 	if length <= 0 || length > options.MaxEjectionTime {
 		length = options.MaxEjectionTime
 	}
-	o.inRow++
+	o.consecutive++
 	o.until = now.Add(length)
 	o.windowSuccesses, o.windowFailures = 0, 0
 }
 
-// reset forgets everything, for a new instance.
+// reset clears the state for a new instance. The counts at the last roll remain.
 func (o *outlier) reset() {
 	*o = outlier{seenSuccesses: o.seenSuccesses, seenFailures: o.seenFailures}
 }
 
-// roll takes the counts since the last roll into the window and returns the
-// number of successes among them.
+// roll adds the results since the last roll to the window and returns the number of successes among
+// them.
 func (o *outlier) roll(counts *results) uint64 {
 	const decay = 0.9
 	successes, failures := counts.successes.Load(), counts.failures.Load()
@@ -156,21 +155,22 @@
 	return fresh
 }
 
-// idle reports whether no recent result is left to look at.
+// idle reports whether there are neither recent results nor recent ejections.
 func (o *outlier) idle() bool {
 	const negligible = 0.01
-	return o.windowSuccesses+o.windowFailures < negligible && o.inRow == 0
+	return o.windowSuccesses+o.windowFailures < negligible && o.consecutive == 0
 }
 
-// failsTooOften reports whether the failed share of the window is too great.
-func (o *outlier) failsTooOften(options *Options) bool {
+// exceedsFailureShare reports whether the failed share of the window reaches Options.FailureShare.
+func (o *outlier) exceedsFailureShare(options *Options) bool {
 	total := o.windowSuccesses + o.windowFailures
 	return total >= float64(options.MinResults) && o.windowFailures >= options.FailureShare*total
 }
 
-// calm forgets earlier ejections once the server did well for a while.
-func (o *outlier) calm(now time.Time, options *Options) {
-	if o.inRow > 0 && now.Sub(o.until) >= options.MaxEjectionTime {
-		o.inRow = 0
+// expireEjections resets the count of ejections once MaxEjectionTime has passed since the end of
+// the last one.
+func (o *outlier) expireEjections(now time.Time, options *Options) {
+	if o.consecutive > 0 && now.Sub(o.until) >= options.MaxEjectionTime {
+		o.consecutive = 0
 	}
 }
--- a/pkg/configsync/replica_test.go
+++ b/pkg/configsync/replica_test.go
@@ -17,14 +17,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startTime is enough virtual time for every node to become ready.
+// startTime is the virtual time within which every node becomes ready.
 const startTime = 5 * time.Second
 
-// spreadTime is the virtual time in which the trees reach every node.
+// spreadTime is the virtual time within which the trees reach every node.
 const spreadTime = 200 * time.Millisecond
 
-// inCluster runs a test in virtual time with nodes that are ready.
-func inCluster(t *testing.T, size, zones int, tune func(*Options), body func(t *testing.T, c *cluster)) {
+// runInCluster runs a test in virtual time with a cluster of nodes that are ready.
+func runInCluster(t *testing.T, size, zones int, tune func(*Options), body func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(size, zones, tune)
@@ -40,13 +40,13 @@
 }
 
 func TestChangeReachesEveryNode(t *testing.T) {
-	inCluster(t, 30, 3, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 30, 3, nil, func(t *testing.T, c *cluster) {
 		version := mustPublish(t, c.nodes[7], "first")
 		time.Sleep(spreadTime)
 		c.wantEverywhere(t, version)
 		compiled, isKnown := c.nodes[3].replica.Get(ticker)
 		if !isKnown || compiled.Template.Author != "first" || len(c.nodes[3].replica.List()) != 1 {
-			t.Fatalf("got %v", compiled)
+			t.Fatalf("got template %v, want the one by author first and no other", compiled)
 		}
 
 		if _, err := c.nodes[0].publisher.Delete(t.Context(), ticker, 1, "operator", ""); err != nil {
@@ -61,9 +61,12 @@
 	})
 }
 
+// TestChangeSpreadsPastDeadAndFrozenMembers checks that the tree alone reaches every live member
+// although many others are still listed but closed or frozen, and that the frozen ones have the
+// change soon after they resume.
 func TestChangeSpreadsPastDeadAndFrozenMembers(t *testing.T) {
 	treesOnly := func(o *Options) { o.ExchangePeriod = 24 * time.Hour }
-	inCluster(t, 40, 1, treesOnly, func(t *testing.T, c *cluster) {
+	runInCluster(t, 40, 1, treesOnly, func(t *testing.T, c *cluster) {
 		frozen, dead, alive := c.nodes[1:8], c.nodes[8:11], c.nodes[11:]
 		for _, node := range frozen {
 			c.network.Freeze(node.Address)
@@ -75,7 +78,7 @@
 		time.Sleep(12 * time.Second)
 		for _, node := range alive {
 			if node.version(ticker) != version {
-				t.Errorf("%s holds %v", node.ID, node.version(ticker))
+				t.Errorf("%s holds %v, not the published version", node.ID, node.version(ticker))
 			}
 		}
 		for _, node := range frozen {
@@ -84,17 +87,18 @@
 		time.Sleep(time.Second)
 		for _, node := range frozen {
 			if node.version(ticker) != version {
-				t.Errorf("%s holds %v after it resumed", node.ID, node.version(ticker))
+				t.Errorf("%s holds %v after it resumed, not the published version", node.ID, node.version(ticker))
 			}
 		}
 	})
 }
 
-// TestChangeReachesTheRestOfAPartWhoseHeadsAreFrozen freezes as many members at
-// the start of one part of the tree as are tried for it.
+// TestChangeReachesTheRestOfAPartWhoseHeadsAreFrozen freezes the first maxHeadsTried members of one
+// part of the tree. Unless the rest of the part is split again after these have failed, its members
+// never receive the document.
 func TestChangeReachesTheRestOfAPartWhoseHeadsAreFrozen(t *testing.T) {
 	treesOnly := func(o *Options) { o.ExchangePeriod = 24 * time.Hour }
-	inCluster(t, 40, 1, treesOnly, func(t *testing.T, c *cluster) {
+	runInCluster(t, 40, 1, treesOnly, func(t *testing.T, c *cluster) {
 		document := content(ticker, "first")
 		document.Revision, document.ChangeID = 1, "change"
 		published, err := template.Seal(document)
@@ -103,7 +107,7 @@
 		}
 		order := c.nodes[0].replica.zoneOrder(fingerprint(published))
 		frozen := map[target.NodeID]bool{}
-		for _, head := range split(order[1:], DefaultFanout, math.MaxUint64)[1].heads[:maxHeads] {
+		for _, head := range split(order[1:], DefaultFanout, math.MaxUint64)[1].heads[:maxHeadsTried] {
 			c.network.Freeze(head.Address)
 			frozen[head.ID] = true
 		}
@@ -112,19 +116,21 @@
 				node.replica.Announce(published)
 			}
 		}
-		time.Sleep((maxHeads + 1) * DefaultPushTimeout)
+		time.Sleep((maxHeadsTried + 1) * DefaultPushTimeout)
 		for _, node := range c.nodes {
 			if !frozen[node.ID] && node.version(ticker) != published.Version() {
-				t.Errorf("%s holds %v", node.ID, node.version(ticker))
+				t.Errorf("%s holds %v, not the published version", node.ID, node.version(ticker))
 			}
 			c.network.Thaw(node.Address)
 		}
 	})
 }
 
+// TestChangeSpreadsWhereEveryRootIsFrozen checks that a change still spreads if the members that
+// come first in its order don't answer: the node that has the change then acts as the root itself.
 func TestChangeSpreadsWhereEveryRootIsFrozen(t *testing.T) {
 	treesOnly := func(o *Options) { o.ExchangePeriod = 24 * time.Hour }
-	inCluster(t, 5, 1, treesOnly, func(t *testing.T, c *cluster) {
+	runInCluster(t, 5, 1, treesOnly, func(t *testing.T, c *cluster) {
 		for _, node := range c.nodes[2:] {
 			c.network.Freeze(node.Address)
 		}
@@ -143,8 +149,10 @@
 	})
 }
 
+// TestZoneThatWasCutOffCatchesUp checks that the comparisons alone bring a zone up to date that was
+// cut off from the others and from the store.
 func TestZoneThatWasCutOffCatchesUp(t *testing.T) {
-	inCluster(t, 12, 3, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 12, 3, nil, func(t *testing.T, c *cluster) {
 		var cut, rest []*testNode
 		for index, node := range c.nodes {
 			if index%3 == 0 {
@@ -158,7 +166,7 @@
 		version := mustPublish(t, rest[0], "first")
 		time.Sleep(time.Minute)
 		if got := cut[0].version(ticker); got != (template.Version{}) {
-			t.Fatalf("a node that is cut off holds %v", got)
+			t.Fatalf("a node that is cut off holds %v, want nothing", got)
 		}
 		c.network.Heal() // the store stays out of reach: only the comparisons are left
 		time.Sleep(30 * time.Second)
@@ -166,8 +174,11 @@
 	})
 }
 
+// TestDocumentOfANewerReleaseIsPassedOnAndNotRun checks that a document which this release can't
+// compile is passed on unchanged, while the earlier document stays in force and the status gives
+// the reason.
 func TestDocumentOfANewerReleaseIsPassedOnAndNotRun(t *testing.T) {
-	inCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
 		mustPublish(t, c.nodes[0], "first")
 		time.Sleep(spreadTime)
 		encoded := []byte(`{"tenant":"valgsok","name":"ticker","revision":2,"change_id":"x","service":"s",` +
@@ -183,34 +194,36 @@
 			compiled, _ := node.replica.Get(ticker)
 			status := node.replica.Status().Templates[0]
 			if string(held.Encoded) != string(encoded) || compiled.Template.Author != "first" || status.Invalid == "" || status.InForce {
-				t.Errorf("%s holds %s, runs %v, reports %+v", node.ID, held.Encoded, compiled.Template, status)
+				t.Errorf("%s holds %s, has %v in force, reports %+v", node.ID, held.Encoded, compiled.Template, status)
 			}
 		}
 	})
 }
 
-func TestSurveyNamesWhoDidNotAnswer(t *testing.T) {
-	inCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
+func TestSurveyReportsNodesThatDidNotAnswer(t *testing.T) {
+	runInCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
 		version := mustPublish(t, c.nodes[0], "first")
 		time.Sleep(spreadTime)
 		c.network.Freeze(c.nodes[4].Address)
 		defer c.network.Thaw(c.nodes[4].Address)
 		reports := c.nodes[1].replica.Survey(t.Context(), ticker)
 		if len(reports) != len(c.nodes) {
-			t.Fatalf("%d reports", len(reports))
+			t.Fatalf("got %d reports, want one for each node", len(reports))
 		}
 		for _, report := range reports {
 			isFrozen := report.Node == c.nodes[4].ID
 			if (report.Err != nil) != isFrozen || (!isFrozen && (report.Version != version || !report.InForce || !report.Ready)) {
-				t.Errorf("got %+v", report)
+				t.Errorf("unexpected report %+v", report)
 			}
 		}
 	})
 }
 
+// TestLargeStateIsFetchedInBoundedReplies checks that a state larger than maxReplyBytes is
+// transferred in several bounded replies.
 func TestLargeStateIsFetchedInBoundedReplies(t *testing.T) {
 	const templates = 600
-	inCluster(t, 2, 1, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 2, 1, nil, func(t *testing.T, c *cluster) {
 		for number := range templates {
 			document := content(template.Key{Tenant: "tenant", Name: fmt.Sprint("name", number)}, "author")
 			document.Comment = string(make([]byte, 0, 1000))
@@ -222,26 +235,26 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.nodes[0].replica.take(sealed, SourceLocal)
+			c.nodes[0].replica.apply(sealed, SourceLocal)
 		}
 		everything := &pb.ReconcileRequest{}
 		for shard := range uint32(stored.ShardCount) {
 			everything.Shards = append(everything.Shards, &pb.ShardListing{Shard: shard})
 		}
 		if reply := c.nodes[0].replica.handleReconcile(everything); reply.SizeVT() > 2*maxReplyBytes || !reply.More {
-			t.Errorf("a reply has %d bytes, more is %v", reply.SizeVT(), reply.More)
+			t.Errorf("reply of %d bytes with More %v, want a bounded reply with More set", reply.SizeVT(), reply.More)
 		}
 		if _, err := c.nodes[1].replica.exchange(t.Context(), c.nodes[0].Peer, SourceExchange); err != nil {
 			t.Fatal(err)
 		}
 		if got := len(c.nodes[1].replica.List()); got != templates {
-			t.Fatalf("fetched %d templates", got)
+			t.Fatalf("fetched %d templates, want all", got)
 		}
 	})
 }
 
-func TestSubscribersHearOfChanges(t *testing.T) {
-	inCluster(t, 3, 1, nil, func(t *testing.T, c *cluster) {
+func TestSubscribersAreNotifiedOfChanges(t *testing.T) {
+	runInCluster(t, 3, 1, nil, func(t *testing.T, c *cluster) {
 		changes, stop := c.nodes[2].replica.Subscribe()
 		defer stop()
 		mustPublish(t, c.nodes[0], "first")
@@ -251,6 +264,6 @@
 
 func TestOptionsAreChecked(t *testing.T) {
 	if _, err := New(Options{}); err == nil {
-		t.Error("options without a store were taken")
+		t.Error("New accepted options without required fields")
 	}
 }
--- a/pkg/configsync/stats.go
+++ b/pkg/configsync/stats.go
@@ -4,8 +4,8 @@
 	"sync/atomic"
 )
 
-// Stats counts what a replica did since it was made. Bytes are those of the
-// messages, without frames; the transport counts those.
+// Stats holds counters of a replica since its creation. Bytes are those of the message bodies,
+// without framing; the transport counts frames.
 type Stats struct {
 	// MessagesOut and MessagesIn count requests and replies alike.
 	MessagesOut uint64
@@ -13,13 +13,13 @@
 	BytesOut    uint64
 	BytesIn     uint64
 
-	// Taken counts the documents that replaced an older one, by source.
-	Taken map[Source]uint64
-	// Duplicates counts the documents that were held already, Refused those
-	// that were older than the held one.
+	// Applied counts the documents that were accepted as new or newer, by source.
+	Applied map[Source]uint64
+	// Duplicates counts the offered documents that were held already, Refused those that were older
+	// than the held one.
 	Duplicates uint64
 	Refused    uint64
-	// Malformed counts documents that could not be read.
+	// Malformed counts documents that could not be decoded.
 	Malformed uint64
 
 	PushesFailed    uint64
@@ -29,17 +29,18 @@
 
 	StoreCalls  uint64
 	StoreErrors uint64
-	// StoreBytes counts the bytes of the values that were read.
+	// StoreBytes counts the bytes of the values read from the store.
 	StoreBytes uint64
-	// StoreBehind counts documents that a read of the store showed in an older
-	// version, each time; Repaired those that this node wrote back.
+	// StoreBehind counts documents that the store was found to have lost or to hold in an older
+	// version, once for each read; Repaired counts those that this node wrote back.
 	StoreBehind uint64
 	Repaired    uint64
-	// Forks counts pairs of documents with the same revision.
+	// Forks counts held documents for which another document with the same revision and a different
+	// change id was offered.
 	Forks uint64
 }
 
-// counters is the live form of Stats.
+// counters holds the live values of Stats.
 type counters struct {
 	messagesOut, messagesIn, bytesOut, bytesIn        atomic.Uint64
 	local, store, push, exchange, bootstrap           atomic.Uint64
@@ -53,34 +54,34 @@
 	storeReadAt atomic.Int64
 }
 
-func (c *counters) sent(bytes int) {
+func (c *counters) addSent(bytes int) {
 	c.messagesOut.Add(1)
 	c.bytesOut.Add(uint64(bytes))
 }
 
-func (c *counters) answered(bytes int) {
+func (c *counters) addReceived(bytes int) {
 	c.messagesIn.Add(1)
 	c.bytesIn.Add(uint64(bytes))
 }
 
-func (c *counters) received(requestBytes, replyBytes int) {
-	c.answered(requestBytes)
-	c.sent(replyBytes)
+func (c *counters) addHandled(requestBytes, replyBytes int) {
+	c.addReceived(requestBytes)
+	c.addSent(replyBytes)
 }
 
-// offered counts a document that was offered to the table.
-func (c *counters) offered(source Source, result verdict) {
+// addOffer counts a document that was offered to the table.
+func (c *counters) addOffer(source Source, result offerResult) {
 	switch result {
-	case older:
+	case resultOlder:
 		c.refused.Add(1)
-	case same:
+	case resultSame:
 		c.duplicates.Add(1)
-	case newer:
-		c.taken(source).Add(1)
+	case resultNewer:
+		c.applied(source).Add(1)
 	}
 }
 
-func (c *counters) taken(source Source) *atomic.Uint64 {
+func (c *counters) applied(source Source) *atomic.Uint64 {
 	switch source {
 	case SourceLocal:
 		return &c.local
@@ -101,7 +102,7 @@
 	stats := Stats{
 		MessagesOut: c.messagesOut.Load(), MessagesIn: c.messagesIn.Load(),
 		BytesOut: c.bytesOut.Load(), BytesIn: c.bytesIn.Load(),
-		Taken:      map[Source]uint64{},
+		Applied:    map[Source]uint64{},
 		Duplicates: c.duplicates.Load(), Refused: c.refused.Load(), Malformed: c.malformed.Load(),
 		PushesFailed: c.pushesFailed.Load(), PushesDropped: c.dropped.Load(),
 		Exchanges: c.exchanges.Load(), ExchangesFailed: c.exchangesFailed.Load(),
@@ -110,7 +111,7 @@
 		Forks: r.table.forkCount(),
 	}
 	for _, source := range []Source{SourceLocal, SourceStore, SourcePush, SourceExchange, SourceBootstrap} {
-		stats.Taken[source] = c.taken(source).Load()
+		stats.Applied[source] = c.applied(source).Load()
 	}
 	return stats
 }
--- a/pkg/configsync/store_test.go
+++ b/pkg/configsync/store_test.go
@@ -11,8 +11,10 @@
 	"github.com/bramblemast/bramblemast/pkg/template"
 )
 
+// TestStoreKilledRightAfterItAccepted checks that a change whose store becomes unavailable right
+// after the write still reaches every node through peers.
 func TestStoreKilledRightAfterItAccepted(t *testing.T) {
-	inCluster(t, 30, 3, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 30, 3, nil, func(t *testing.T, c *cluster) {
 		c.store.SetDelay(time.Millisecond)
 		version := mustPublish(t, c.nodes[0], "first")
 		c.store.SetUnavailable(true)
@@ -21,9 +23,11 @@
 	})
 }
 
+// TestSlowRepliesOfTheStoreAreNotTakenForARollback guards against false reports of a rollback: a
+// slow reply of the store may be older than a change that the node received meanwhile.
 func TestSlowRepliesOfTheStoreAreNotTakenForARollback(t *testing.T) {
 	slow := func(o *Options) { o.Store.(*reachableStore).replyDelay = 200 * time.Millisecond }
-	inCluster(t, 6, 2, slow, func(t *testing.T, c *cluster) {
+	runInCluster(t, 6, 2, slow, func(t *testing.T, c *cluster) {
 		var version template.Version
 		for number := range 20 {
 			version = mustPublish(t, c.nodes[number%6], "author")
@@ -39,41 +43,44 @@
 	})
 }
 
+// TestStoreThatWentBackIsRefusedReportedAndRepaired checks that after a rollback of the store the
+// nodes refuse to publish on top of it, keep the newer version, report the store as behind and
+// write the version back.
 func TestStoreThatWentBackIsRefusedReportedAndRepaired(t *testing.T) {
-	inCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
 		mustPublish(t, c.nodes[0], "first")
 		backup := c.store.Snapshot()
 		version := mustPublish(t, c.nodes[0], "second")
 		time.Sleep(spreadTime)
 		c.store.Restore(backup)
 		if _, err := c.nodes[1].publish(ticker, "third"); !errors.Is(err, publish.ErrStoreBehind) {
-			t.Fatalf("got %v", err)
+			t.Fatalf("publishing on a rolled-back store returned error %v, want ErrStoreBehind", err)
 		}
 		time.Sleep(30 * time.Second)
 		c.wantEverywhere(t, version)
 		if got := c.storedVersion(ticker); got != version {
-			t.Errorf("the store has %v, want %v", got, version)
+			t.Errorf("the store holds %v, want %v", got, version)
 		}
 		var reported, repaired uint64
 		for _, node := range c.nodes {
 			stats := node.replica.Stats()
 			reported, repaired = reported+stats.StoreBehind, repaired+stats.Repaired
 			if behind := node.replica.Status().Store.Behind; behind != 0 {
-				t.Errorf("%s still reports %d templates", node.ID, behind)
+				t.Errorf("%s still reports the store behind in %d templates", node.ID, behind)
 			}
 		}
 		if reported == 0 || repaired == 0 {
-			t.Errorf("reported %d, repaired %d", reported, repaired)
+			t.Errorf("store reported behind %d times and repaired %d times, want both above 0", reported, repaired)
 		}
 	})
 }
 
-// TestStoreThatWentBackDuringAChangeIsRepaired was found by the state machine:
-// a change that is learned during a watch could be from after the state that
-// the watch returns, and was left out of the comparison until the watch after
-// next.
+// TestStoreThatWentBackDuringAChangeIsRepaired guards against a rollback that is detected late. A
+// change that is accepted during a watch may be newer than the state that the watch returns, so it
+// is left out of that comparison; without an immediate second read it was compared only by the
+// watch after next.
 func TestStoreThatWentBackDuringAChangeIsRepaired(t *testing.T) {
-	inCluster(t, 6, 3, nil, func(t *testing.T, c *cluster) {
+	runInCluster(t, 6, 3, nil, func(t *testing.T, c *cluster) {
 		backup := c.store.Snapshot()
 		version := mustPublish(t, c.nodes[0], "first")
 		synctest.Wait()
@@ -81,13 +88,15 @@
 		time.Sleep(5 * time.Second)
 		c.wantEverywhere(t, version)
 		if got := c.storedVersion(ticker); got != version {
-			t.Errorf("the store has %v, want %v", got, version)
+			t.Errorf("the store holds %v, want %v", got, version)
 		}
 	})
 }
 
-func TestSameRevisionTwiceIsDecidedAlikeEverywhere(t *testing.T) {
-	inCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
+// TestForkIsResolvedTheSameWayAtEveryNode announces three changes with the same revision at
+// different nodes. All nodes must end with the one that has the highest change id.
+func TestForkIsResolvedTheSameWayAtEveryNode(t *testing.T) {
+	runInCluster(t, 6, 2, nil, func(t *testing.T, c *cluster) {
 		mustPublish(t, c.nodes[0], "first")
 		time.Sleep(spreadTime)
 		var forks []template.Published
@@ -111,27 +120,30 @@
 	})
 }
 
+// TestFewWatchersKeepToTheStoresLimit checks, with the largest number of prefixes, that each prefix
+// has WatchersPerZone watchers in each zone, that the watches are spread over the nodes, and that
+// all watchers together stay within StoreCallsPerSecond, also while every call fails.
 func TestFewWatchersKeepToTheStoresLimit(t *testing.T) {
 	const callsPerSecond = 20
-	tune := func(o *Options) { o.StoreCallsPerSecond, o.WatchedBytes = callsPerSecond, 1 }
-	inCluster(t, 30, 3, tune, func(t *testing.T, c *cluster) {
+	tune := func(o *Options) { o.StoreCallsPerSecond, o.MaxBytesPerWatch = callsPerSecond, 1 }
+	runInCluster(t, 30, 3, tune, func(t *testing.T, c *cluster) {
 		mustPublish(t, c.nodes[0], "first")
 		const settled, seconds = 2 * time.Minute, 120
 		time.Sleep(settled)
-		watches, most := 0, 0
+		watches, maxWatched := 0, 0
 		for _, node := range c.nodes {
-			watched := len(node.replica.Status().Store.Watched)
-			watches, most = watches+watched, max(most, watched)
+			watched := len(node.replica.Status().Store.WatchedPrefixes)
+			watches, maxWatched = watches+watched, max(maxWatched, watched)
 		}
-		if want := 3 * 256 * DefaultWatchersPerZone; watches != want || most > 2*want/len(c.nodes) {
-			t.Errorf("%d watches, want %d; one node has %d", watches, want, most)
+		if want := 3 * 256 * DefaultWatchersPerZone; watches != want || maxWatched > 2*want/len(c.nodes) {
+			t.Errorf("%d watches in total, want %d; the most at one node is %d", watches, want, maxWatched)
 		}
 		for _, away := range []bool{false, true} {
 			c.store.SetUnavailable(away)
 			before := c.store.Counts().Reads
 			time.Sleep(seconds * time.Second)
 			if rate := float64(c.store.Counts().Reads-before) / seconds; rate > callsPerSecond {
-				t.Errorf("with the store away %v: %.1f calls a second", away, rate)
+				t.Errorf("store unavailable %v: %.1f calls per second", away, rate)
 			}
 		}
 	})
