--- a/pkg/owner/announcer.go
+++ b/pkg/owner/announcer.go
@@ -15,90 +15,92 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// Messages about the room at services. An owner sends kindRoom to one node of each part of the
-// region, its head; the head sends kindRoomOnward to the others of its part, who pass it to nobody.
+// Kinds of messages with measured admission shares of services. An owner sends kindMeasurements to
+// one node of each segment of the region, its relay. The relay sends kindForwardedMeasurements to
+// the other nodes of its segment, which do not forward it.
 const (
-	kindRoom       peer.Kind = "owner.room"
-	kindRoomOnward peer.Kind = "owner.room.onward"
+	kindMeasurements          peer.Kind = "owner.room"
+	kindForwardedMeasurements peer.Kind = "owner.room.onward"
 )
 
-// Constants of what is told.
+// Timing of messages with measurements.
 const (
-	// tellTimeout bounds one message: meters repeat what still matters about as often.
-	tellTimeout = 400 * time.Millisecond
-	// onwardPause is the least time between two messages to this node's part of the region, so
-	// that their number does not grow with the owners; it is short against the time between two
-	// messages of one owner.
-	onwardPause = 20 * time.Millisecond
+	// sendTimeout bounds one message: meters repeat measurements that are still relevant at about
+	// this interval.
+	sendTimeout = 400 * time.Millisecond
+	// forwardInterval is the minimum time between two messages to this node's segment, so that
+	// their number does not grow with the number of owners. It is short compared with the time
+	// between two messages of one owner.
+	forwardInterval = 20 * time.Millisecond
 )
 
-// Announcer tells the nodes of the region what this node measures, as an owner, of the room at
-// services, and takes what other owners tell. It is safe for concurrent use.
+// Announcer publishes the admission shares that this node measures as an owner to the nodes of its
+// region, and applies those that other owners publish. It is safe for concurrent use.
 type Announcer struct {
-	known     *fanout.Room
+	admission *fanout.AdmissionControl
 	roster    *Roster
 	transport peer.Transport
-	told      func([]loadshed.Measured)
-	// waiting is what this node has measured and is to tell, and onward what it was told and is to
-	// tell the nodes of its part.
-	waiting, onward *outbox
-	// heads are used by Run alone.
-	heads heads
+	onPublish func([]loadshed.Measurement)
+	// outgoing holds measurements of this node, forwarded those received from other owners for the
+	// nodes of this node's segment.
+	outgoing, forwarded *outbox
+	// relays is used by Run only.
+	relays relays
 }
 
-// AnnouncerOptions are the parts of an Announcer.
+// AnnouncerOptions configures an Announcer.
 type AnnouncerOptions struct {
-	// Known is what this node measures, and takes what others tell.
-	Known *fanout.Room
-	// Roster has the nodes that are told.
+	// Admission holds the meters of this node and the measurements received from other owners.
+	Admission *fanout.AdmissionControl
+	// Roster lists the nodes of the region that receive the messages.
 	Roster    *Roster
 	Transport peer.Transport
-	// Told takes what the nodes are told; it does not block.
-	Told func([]loadshed.Measured)
+	// OnPublish is called with each message that this node publishes; it must not block.
+	OnPublish func([]loadshed.Measurement)
 }
 
-// NewAnnouncer registers the handler of what other owners tell.
+// NewAnnouncer returns an Announcer and registers its handlers for messages of other owners.
 func NewAnnouncer(options AnnouncerOptions) *Announcer {
 	created := &Announcer{
-		known: options.Known, roster: options.Roster, transport: options.Transport, told: options.Told,
-		waiting: newOutbox(), onward: newOutbox(),
+		admission: options.Admission, roster: options.Roster, transport: options.Transport, onPublish: options.OnPublish,
+		outgoing: newOutbox(), forwarded: newOutbox(),
 	}
-	options.Known.Meters.Tell(created.waiting.put)
-	options.Transport.Handle(kindRoom, created.takeAndTell)
-	options.Transport.Handle(kindRoomOnward, created.take)
+	options.Admission.Meters.SetPublisher(created.outgoing.put)
+	options.Transport.Handle(kindMeasurements, created.handleAndForward)
+	options.Transport.Handle(kindForwardedMeasurements, created.handleMeasurements)
 	return created
 }
 
-// Run tells what has changed, until ctx ends.
+// Run publishes and forwards measurements until ctx ends. It always returns nil.
 func (a *Announcer) Run(ctx context.Context) error {
-	var onward sync.WaitGroup
-	onward.Go(func() { a.onward.run(ctx, onwardPause, a.tellPart) })
-	// Meters keep a pause between messages.
-	a.waiting.run(ctx, 0, a.spread)
-	onward.Wait()
+	var forwarding sync.WaitGroup
+	forwarding.Go(func() { a.forwarded.run(ctx, forwardInterval, a.forward) })
+	// The meters limit the rate of their messages themselves.
+	a.outgoing.run(ctx, 0, a.publish)
+	forwarding.Wait()
 	return nil
 }
 
-// spread tells the head of each part of the region, and waits until they have answered or
-// tellTimeout is over.
-func (a *Announcer) spread(ctx context.Context, message []loadshed.Measured) {
-	a.told(message)
-	parts, _ := a.roster.parts()
-	chosen := a.heads.choose(parts)
-	answered := a.send(ctx, chosen, kindRoom, message)
-	a.heads.note(chosen, answered, parts)
+// publish sends a message to the relay of each segment and waits until all have answered or
+// sendTimeout has passed.
+func (a *Announcer) publish(ctx context.Context, message []loadshed.Measurement) {
+	a.onPublish(message)
+	segments, _ := a.roster.segments()
+	chosen := a.relays.choose(segments)
+	answered := a.send(ctx, chosen, kindMeasurements, message)
+	a.relays.recordAnswers(chosen, answered, segments)
 }
 
-// tellPart tells the nodes of this node's part of the region what it was told. One that hears it
-// twice takes the later measurement.
-func (a *Announcer) tellPart(ctx context.Context, message []loadshed.Measured) {
-	parts, own := a.roster.parts()
-	a.send(ctx, parts[own], kindRoomOnward, message)
+// forward sends measurements of other owners to the nodes of this node's segment. A node that
+// receives a service's shares twice keeps the later measurement.
+func (a *Announcer) forward(ctx context.Context, message []loadshed.Measurement) {
+	segments, own := a.roster.segments()
+	a.send(ctx, segments[own], kindForwardedMeasurements, message)
 }
 
-// send sends a message to some nodes and returns those that took it in time.
+// send sends a message to several nodes and returns those that acknowledged it in time.
 func (a *Announcer) send(
-	ctx context.Context, addresses []peer.Address, kind peer.Kind, message []loadshed.Measured,
+	ctx context.Context, addresses []peer.Address, kind peer.Kind, message []loadshed.Measurement,
 ) []peer.Address {
 	if len(addresses) == 0 {
 		return nil
@@ -106,93 +108,96 @@
 	now := time.Now()
 	rooms := &ownerpb.Rooms{}
 	for _, each := range message {
-		rooms.Rooms = append(rooms.Rooms, encodeRoom(each.Key, each.Shares, now.Sub(each.At)))
+		rooms.Rooms = append(rooms.Rooms, encodeMeasurement(each.Key, each.Shares, now.Sub(each.MeasuredAt)))
 	}
-	limited, cancel := context.WithTimeout(ctx, tellTimeout)
+	limited, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	return peer.SpreadAll(limited, a.transport, addresses, kind, rooms, func() proto.Message { return &ownerpb.Ping{} })
 }
 
-// take notes what another owner tells.
-func (a *Announcer) take(_ context.Context, _ target.NodeID, body []byte) (proto.Message, error) {
-	_, err := a.note(body)
+// handleMeasurements applies a message of another owner.
+func (a *Announcer) handleMeasurements(_ context.Context, _ target.NodeID, body []byte) (proto.Message, error) {
+	_, err := a.apply(body)
 	return &ownerpb.Ping{}, err
 }
 
-// takeAndTell notes what another owner tells, and lets the nodes of this node's part know.
-func (a *Announcer) takeAndTell(_ context.Context, _ target.NodeID, body []byte) (proto.Message, error) {
-	message, err := a.note(body)
+// handleAndForward applies a message of another owner and queues it for this node's segment.
+func (a *Announcer) handleAndForward(_ context.Context, _ target.NodeID, body []byte) (proto.Message, error) {
+	message, err := a.apply(body)
 	if err == nil {
-		a.onward.put(message)
+		a.forwarded.put(message)
 	}
 	return &ownerpb.Ping{}, err
 }
 
-// note notes a message on this node's board and returns it.
-func (a *Announcer) note(body []byte) ([]loadshed.Measured, error) {
+// apply decodes a message, passes it to this node's admitter and returns it.
+func (a *Announcer) apply(body []byte) ([]loadshed.Measurement, error) {
 	rooms := &ownerpb.Rooms{}
 	if err := rooms.UnmarshalVT(body); err != nil {
 		return nil, errors.Wrap(err, "decode rooms")
 	}
-	return takeRooms(a.known.Board, rooms.Rooms, time.Now()), nil
+	return applyMeasurements(a.admission.Admitter, rooms.Rooms, time.Now()), nil
 }
 
-// roomOf returns what is told with a report about the services of a question: those that this node
-// has measured to be short of room, or to have room although the asking node let only a part in.
-func (a *Announcer) roomOf(question *ownerpb.Question, regions string, now time.Time) []*ownerpb.Room {
+// measurementsFor returns the measurements that go with a report: those of the question's services
+// that this node has measured to be overloaded, or to admit all requests although the asking node
+// admits only a part. The Announcer may be nil.
+func (a *Announcer) measurementsFor(question *ownerpb.Question, regions string, now time.Time) []*ownerpb.Room {
 	if a == nil {
 		return nil
 	}
 	var rooms []*ownerpb.Room
 	for index, service := range question.Services {
-		measured, ok := a.known.Meters.Measured(loadshed.Key{Service: service, Regions: regions}, now)
-		isTakenForShort := index < len(question.AdmittedShares) && question.AdmittedShares[index] < 1
-		if ok && (isTakenForShort || !measured.Shares.IsFull()) {
-			rooms = append(rooms, encodeRoom(measured.Key, measured.Shares, now.Sub(measured.At)))
+		measured, ok := a.admission.Meters.Measurement(loadshed.Key{Service: service, Regions: regions}, now)
+		isPartlyAdmitted := index < len(question.AdmittedShares) && question.AdmittedShares[index] < 1
+		if ok && (isPartlyAdmitted || !measured.Shares.IsFull()) {
+			rooms = append(rooms, encodeMeasurement(measured.Key, measured.Shares, now.Sub(measured.MeasuredAt)))
 		}
 	}
 	return rooms
 }
 
-// encodeRoom returns the message for one service's shares, judged an age ago.
-func encodeRoom(key loadshed.Key, shares loadshed.Shares, age time.Duration) *ownerpb.Room {
+// encodeMeasurement returns the message for one service's shares, where age is the time since they
+// were measured.
+func encodeMeasurement(key loadshed.Key, shares loadshed.Shares, age time.Duration) *ownerpb.Room {
 	encoded := &ownerpb.Room{Service: key.Service, Regions: key.Regions, AgeMs: uint32(max(0, age.Milliseconds()))}
 	for _, rank := range shares.Ranks {
 		encoded.Ranks = append(encoded.Ranks, &ownerpb.RankShare{Priority: int32(rank.Priority), Share: rank.Share})
 	}
-	for _, heavy := range shares.Tenants {
+	for _, tenant := range shares.Tenants {
 		encoded.Tenants = append(encoded.Tenants, &ownerpb.TenantShare{
-			Priority: int32(heavy.Priority), Tenant: heavy.Tenant, Share: heavy.Share,
+			Priority: int32(tenant.Priority), Tenant: tenant.Tenant, Share: tenant.Share,
 		})
 	}
 	return encoded
 }
 
-// takeRooms notes what an owner tells and returns it. Of services that it does not name, which it
-// may not have measured, what was told before holds until that is too old.
-func takeRooms(board *loadshed.Board, told []*ownerpb.Room, now time.Time) []loadshed.Measured {
-	message := make([]loadshed.Measured, len(told))
-	for index, each := range told {
-		decoded := decodeRoom(each, now)
-		board.Take(decoded.Key, decoded.Shares, decoded.At)
+// applyMeasurements passes an owner's measurements to the admitter and returns them. For services
+// that are not in the message, which the owner may not have measured, earlier measurements hold
+// until they expire.
+func applyMeasurements(admitter *loadshed.Admitter, received []*ownerpb.Room, now time.Time) []loadshed.Measurement {
+	message := make([]loadshed.Measurement, len(received))
+	for index, each := range received {
+		decoded := decodeMeasurement(each, now)
+		admitter.Update(decoded.Key, decoded.Shares, decoded.MeasuredAt)
 		message[index] = decoded
 	}
 	return message
 }
 
-// decodeRoom reads one service's shares.
-func decodeRoom(told *ownerpb.Room, now time.Time) loadshed.Measured {
+// decodeMeasurement decodes one service's shares; now is the time at which they were received.
+func decodeMeasurement(encoded *ownerpb.Room, now time.Time) loadshed.Measurement {
 	var shares loadshed.Shares
-	for _, rank := range told.Ranks {
+	for _, rank := range encoded.Ranks {
 		shares.Ranks = append(shares.Ranks, loadshed.RankShare{Priority: int(rank.Priority), Share: rank.Share})
 	}
-	for _, heavy := range told.Tenants {
+	for _, tenant := range encoded.Tenants {
 		shares.Tenants = append(shares.Tenants, loadshed.TenantShare{
-			Class: loadshed.Class{Priority: int(heavy.Priority), Tenant: heavy.Tenant}, Share: heavy.Share,
+			Class: loadshed.Class{Priority: int(tenant.Priority), Tenant: tenant.Tenant}, Share: tenant.Share,
 		})
 	}
-	return loadshed.Measured{
-		Key: loadshed.Key{Service: told.Service, Regions: told.Regions}, Shares: shares,
-		At: now.Add(-time.Duration(told.AgeMs) * time.Millisecond),
+	return loadshed.Measurement{
+		Key: loadshed.Key{Service: encoded.Service, Regions: encoded.Regions}, Shares: shares,
+		MeasuredAt: now.Add(-time.Duration(encoded.AgeMs) * time.Millisecond),
 	}
 }
--- a/pkg/owner/cluster_test.go
+++ b/pkg/owner/cluster_test.go
@@ -66,8 +66,8 @@
 	client    *owner.Client
 	runner    *fanout.Runner
 	draining  bool
-	// regions is where this node's own configuration lets requests be served; nil if it is
-	// not newer than that of the asking node.
+	// regions is where this node's own configuration allows requests to be served; nil if it is not
+	// newer than that of the asking node.
 	regions atomic.Pointer[route.Regions]
 	mutex   sync.Mutex
 	// records and lost are guarded by mutex.
@@ -95,7 +95,7 @@
 	return n.lost[name] > 0
 }
 
-// recorded returns the stories of the questions that were answered.
+// recorded returns the records of the questions that this node has finished.
 func (n *node) recorded() []owner.Record {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -108,28 +108,28 @@
 	n.records = append(n.records, record)
 }
 
-// cluster is some nodes of one zone, and two servers for each shard.
+// cluster has several nodes in one zone, and two servers for each shard.
 type cluster struct {
 	t        *testing.T
 	network  *peer.Network
 	servers  *exchangetest.Network
 	nodes    []*node
 	services []string
-	// regions bound where requests may be served.
+	// regions is where requests may be served.
 	regions route.Regions
-	// answers decides what the server with a name does; guarded by mutex.
+	// answers holds the answer of each server by its name; guarded by mutex.
 	mutex   sync.Mutex
 	answers map[string]exchangetest.Answer
 	byName  map[string]*exchangetest.Server
 	cancel  context.CancelFunc
 	stopped sync.WaitGroup
-	// required is how many shards an answer needs.
+	// required is the number of shards that a request needs.
 	required int
 	claims   *claims
 }
 
-// in runs a test with nodes in virtual time.
-func in(t *testing.T, test func(g *WithT, c *cluster)) {
+// inCluster runs a test with a cluster in virtual time.
+func inCluster(t *testing.T, test func(g *WithT, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -175,13 +175,13 @@
 
 func serverName(shard int, place string) string { return fmt.Sprint(place, shard) }
 
-// addServer puts a server into a shard; each holds one record of its own.
+// addServer adds a server to a shard. The servers of a shard answer with the shard's record.
 func (c *cluster) addServer(shard int, place string) {
 	name := serverName(shard, place)
-	quick := exchangetest.Whole(fmt.Sprintf("record-of-shard%d", shard))
-	quick.Delay = 10 * time.Millisecond
-	quick.Header = map[string]string{"Mark": "mark of " + name}
-	c.answers[name] = quick
+	answer := exchangetest.Whole(fmt.Sprintf("record-of-shard%d", shard))
+	answer.Delay = 10 * time.Millisecond
+	answer.Header = map[string]string{"Mark": "mark of " + name}
+	c.answers[name] = answer
 	c.byName[name] = c.servers.Add(name, func(exchangetest.Request) exchangetest.Answer {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
@@ -189,7 +189,7 @@
 	})
 }
 
-// hang lets a server take requests and never answer.
+// hang makes a server accept requests and never answer them.
 func (c *cluster) hang(name string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -202,12 +202,12 @@
 		transport: c.network.Transport(peer.Address(name)), budget: &budget{}, lost: map[string]int{},
 	}
 	created.fleet = fleet.New(fleet.Settings{
-		Local: fleet.Place{Zone: "z", Region: "r"}, Regions: map[string]string{"z": "r", "y": "q"}, LeaveWithin: time.Second,
+		Local: fleet.Place{Zone: "z", Region: "r"}, Regions: map[string]string{"z": "r", "y": "q"}, LeaveGrace: time.Second,
 		Dialer: c.servers, Random: rand.New(rand.NewPCG(1, uint64(len(c.nodes)))),
 	})
 	connections := map[string]int{}
 	for number, service := range c.services {
-		// Half of the connections are not enough for one of each node.
+		// Scarce: half of a server's connections are not enough for one from each node.
 		connections[service] = 2*nodeCount - 1
 		for place, zone := range map[string]string{"near": "z", "far": "y"} {
 			server := serverName(number, place)
@@ -216,13 +216,13 @@
 	}
 	created.fleet.SetConnections(connections)
 	created.roster = owner.NewRoster(created.Node, map[string]string{"z": "r", "y": "q"}, created.fleet)
-	created.client = owner.NewClient(created.roster, created.transport, loadshed.NewBoard(), created)
+	created.client = owner.NewClient(created.roster, created.transport, loadshed.NewAdmitter(), created)
 	runner := fanout.Runner{
 		Fleet: created.fleet, Budget: created.budget, Dialect: &exchangetest.Dialect, Linger: 350 * time.Millisecond,
-		Sound: func(answer *exchange.Response) bool { return answer.Status == http.StatusOK && answer.Evidence != "" },
+		IsUsable: func(answer *exchange.Response) bool { return answer.Status == http.StatusOK && answer.Evidence != "" },
 	}
 	runner.Quarantine = quarantine.New(quarantine.Options{
-		Ledger: c.claims, LedgerLost: func() bool { return false }, Dialer: c.servers, Events: c.claims,
+		Ledger: c.claims, LedgerUnavailable: func() bool { return false }, Dialer: c.servers, Events: c.claims,
 	})
 	collector := runner
 	runner.Owners = created.client
@@ -230,11 +230,11 @@
 	owner.NewServer(owner.ServerOptions{
 		Transport: created.transport, Runner: &collector, Servers: created.fleet, Draining: func() bool { return created.draining },
 		Policies: func(string, string) (policy.HedgePolicy, float64) { return hedge, 1 }, Recorder: created.record,
-		Regions: func(asked owner.Asked) route.Regions {
+		Regions: func(scope owner.RequestScope) route.Regions {
 			if newer := created.regions.Load(); newer != nil {
 				return *newer
 			}
-			return asked.Regions
+			return scope.Regions
 		},
 	})
 	c.stopped.Go(func() { _ = created.client.Run(ctx) })
@@ -250,24 +250,25 @@
 }()
 
 // ask sends a request through a node.
-func (c *cluster) ask(ctx context.Context, through *node) (fanout.Result, time.Duration) {
-	began := time.Now()
+func (c *cluster) ask(ctx context.Context, via *node) (fanout.Result, time.Duration) {
+	start := time.Now()
 	plan := fanout.Plan{
 		Kind: "k", Services: c.services, Required: c.required, Repeatable: true, MaxAttempts: maxAttempts, TopRecords: 2 * shardCount,
-		Target: began.Add(200 * time.Millisecond), Deadline: began.Add(time.Second), Assumed: 10 * time.Millisecond,
-		Patience: time.Second, Hedge: hedge, ExtraShare: 1,
+		Target: start.Add(200 * time.Millisecond), Deadline: start.Add(time.Second), Assumed: 10 * time.Millisecond,
+		MaxServerWait: time.Second, Hedge: hedge, ExtraShare: 1,
 	}
 	request := &exchange.Request{Method: "GET", Target: "/", ID: "r", Header: http.Header{"Name": {"value"}}}
-	// Attempts that nobody waits for still look at it when the next request is sent.
+	// Attempts that nobody waits for may still call Regions when the next request is sent, so it
+	// uses a copy of c.regions.
 	if bound := c.regions; bound.IsBound() {
 		plan.Regions = func() route.Regions { return bound }
 	}
-	result := through.runner.Run(ctx, plan, request)
-	return result, time.Since(began)
+	result := via.runner.Run(ctx, plan, request)
+	return result, time.Since(start)
 }
 
-// outsider returns a node that owns nothing, and the names of the owners.
-func (c *cluster) outsider() (*node, []string) {
+// nonOwner returns a node that owns nothing, and the names of the owners.
+func (c *cluster) nonOwner() (*node, []string) {
 	c.t.Helper()
 	for _, each := range c.nodes {
 		groups := each.roster.Divide(c.services, route.Regions{})
@@ -281,7 +282,7 @@
 			return each, owners
 		}
 	}
-	c.t.Fatal("every node owns something")
+	c.t.Fatal("no node without shards of its own")
 	return nil, nil
 }
 
@@ -294,12 +295,12 @@
 	return nil
 }
 
-// executions returns the greatest number of servers of a shard that got the request.
-func (c *cluster) executions() int {
-	most := 0
+// maxExecutions returns the highest number of requests that the servers of any one shard received.
+func (c *cluster) maxExecutions() int {
+	highest := 0
 	for number := range shardCount {
 		count := len(c.byName[serverName(number, "near")].Requests()) + len(c.byName[serverName(number, "far")].Requests())
-		most = max(most, count)
+		highest = max(highest, count)
 	}
-	return most
+	return highest
 }
--- a/pkg/policy/build_test.go
+++ b/pkg/policy/build_test.go
@@ -10,7 +10,7 @@
 	"github.com/bramblemast/bramblemast/pkg/policy"
 )
 
-// alwaysFirst is a policy that an embedder brings.
+// alwaysFirst is a custom policy as an embedding program registers it.
 type alwaysFirst struct{}
 
 func (alwaysFirst) Choose(candidates []policy.ReplicaState, _ *rand.Rand) int {
@@ -21,14 +21,14 @@
 	It("fills every empty field with its default", func() {
 		Expect(policy.Validate(policy.Spec{})).To(BeEmpty())
 		Expect(policy.Validate(policy.Defaults())).To(BeEmpty())
-		set := built(policy.Spec{})
+		set := mustBuild(policy.Spec{})
 		Expect(set.ExtraLoad).To(Equal(policy.Defaults().ExtraLoad))
-		for _, made := range []any{set.Replica, set.Hedge, set.Stop, set.Admission, set.Retry} {
-			Expect(made).NotTo(BeNil())
+		for _, builtPolicy := range []any{set.Replica, set.Hedge, set.Stop, set.Admission, set.Retry} {
+			Expect(builtPolicy).NotTo(BeNil())
 		}
 	})
 
-	It("lists every bad field at once, with its path", func() {
+	It("lists all invalid fields in one error, each with its path", func() {
 		_, err := policy.Build(policy.Spec{
 			Replica:   policy.ReplicaSpec{Policy: "best"},
 			Hedge:     policy.HedgeSpec{Policy: "quantile", Quantile: 1.5, Delay: policy.Duration(-time.Second)},
@@ -37,43 +37,43 @@
 			Retry:     policy.RetrySpec{MaxAttempts: 99},
 			ExtraLoad: policy.ExtraLoadSpec{Share: -0.1, Burst: -1},
 		})
-		var wrong policy.FieldErrors
-		Expect(err).To(BeAssignableToTypeOf(wrong))
-		wrong = err.(policy.FieldErrors)
-		paths := make([]string, 0, len(wrong))
-		for _, field := range wrong {
+		var errs policy.FieldErrors
+		Expect(err).To(BeAssignableToTypeOf(errs))
+		errs = err.(policy.FieldErrors)
+		paths := make([]string, 0, len(errs))
+		for _, field := range errs {
 			paths = append(paths, field.Path)
 			Expect(field.Message).NotTo(BeEmpty())
 			Expect(err.Error()).To(ContainSubstring(field.Error()))
 		}
 		Expect(paths).To(ConsistOf("replica.policy", "hedge.quantile", "hedge.delay", "stop.coverage", "stop.grace",
 			"admission.max_queued", "retry.max_attempts", "extra_load.share", "extra_load.burst"))
-		Expect(wrong[0].Message).To(ContainSubstring("least_in_flight, random, two_choices"))
+		Expect(errs[0].Message).To(ContainSubstring("least_in_flight, random, two_choices"))
 	})
 
-	It("wants a delay for a fixed hedge", func() {
-		wrong := policy.Validate(policy.Spec{Hedge: policy.HedgeSpec{Policy: "fixed"}})
-		Expect(wrong).To(HaveLen(1))
-		Expect(wrong[0].Path).To(Equal("hedge.delay"))
+	It("requires a delay for a fixed hedge", func() {
+		errs := policy.Validate(policy.Spec{Hedge: policy.HedgeSpec{Policy: "fixed"}})
+		Expect(errs).To(HaveLen(1))
+		Expect(errs[0].Path).To(Equal("hedge.delay"))
 	})
 
-	It("rejects numbers that are none", func() {
+	It("rejects NaN", func() {
 		nan := 0.0
 		nan /= nan
-		wrong := policy.Validate(policy.Spec{
+		errs := policy.Validate(policy.Spec{
 			Hedge:     policy.HedgeSpec{Quantile: nan},
 			Stop:      policy.StopSpec{Policy: "coverage", Coverage: nan},
 			ExtraLoad: policy.ExtraLoadSpec{Share: nan},
 		})
-		Expect(wrong).To(HaveLen(3))
+		Expect(errs).To(HaveLen(3))
 	})
 
-	It("takes the policies of embedders by name", func() {
+	It("builds registered custom policies by name", func() {
 		policy.RegisterReplica("always_first", func(policy.ReplicaSpec) (policy.ReplicaChooser, policy.FieldErrors) {
 			return alwaysFirst{}, nil
 		})
 		Expect(policy.Names(policy.KindReplica)).To(ContainElement("always_first"))
-		Expect(built(policy.Spec{Replica: policy.ReplicaSpec{Policy: "always_first"}}).Replica).To(Equal(alwaysFirst{}))
+		Expect(mustBuild(policy.Spec{Replica: policy.ReplicaSpec{Policy: "always_first"}}).Replica).To(Equal(alwaysFirst{}))
 		Expect(func() { policy.RegisterReplica("random", nil) }).To(Panic())
 	})
 
@@ -86,7 +86,7 @@
 })
 
 var _ = Describe("Merge", func() {
-	It("replaces a kind as a whole, and only if it is named", func() {
+	It("replaces a kind as a whole, and only if the override sets it", func() {
 		base := policy.Spec{
 			Hedge:     policy.HedgeSpec{Policy: "quantile", Quantile: 0.9, Delay: policy.Duration(time.Millisecond)},
 			Retry:     policy.RetrySpec{Policy: "immediate", MaxAttempts: 2},
--- a/pkg/policy/defaults.go
+++ b/pkg/policy/defaults.go
@@ -16,9 +16,9 @@
 	defaultExtraBurst    = 10
 )
 
-// Defaults returns the specification that stands in for every field that an
-// operator leaves out: each kind's policy, and the parameters of that policy
-// and of the others of its kind. Hedge.Delay has no default for "fixed".
+// Defaults returns the values used for fields that an operator leaves empty: the policy of each
+// kind, and the parameters of that policy and of the other policies of its kind. Hedge.Delay has no
+// default for the "fixed" policy.
 func Defaults() Spec {
 	return Spec{
 		Replica: ReplicaSpec{Policy: ReplicaTwoChoices},
@@ -40,8 +40,8 @@
 	}
 }
 
-// Merge returns base with every kind replaced that override names: a kind is
-// taken as a whole from override if its Policy (for ExtraLoad: Share) is set.
+// Merge returns base with the kinds that override sets. A kind is taken as a whole from override if
+// its Policy (for ExtraLoad: its Share) is set.
 func Merge(base, override Spec) Spec {
 	merged := base
 	if override.Replica.Policy != "" {
@@ -65,35 +65,36 @@
 	return merged
 }
 
-// withDefaults fills every field that is empty.
+// withDefaults returns spec with every empty field set to its default. Hedge.Delay of "fixed" and
+// Stop.Coverage of "first" stay empty.
 func withDefaults(spec Spec) Spec {
 	defaults := Defaults()
-	fill(&spec.Replica.Policy, defaults.Replica.Policy)
-	fill(&spec.Hedge.Policy, defaults.Hedge.Policy)
+	setDefault(&spec.Replica.Policy, defaults.Replica.Policy)
+	setDefault(&spec.Hedge.Policy, defaults.Hedge.Policy)
 	if spec.Hedge.Policy != HedgeFixed {
-		fill(&spec.Hedge.Delay, defaults.Hedge.Delay)
+		setDefault(&spec.Hedge.Delay, defaults.Hedge.Delay)
 	}
-	fill(&spec.Hedge.Quantile, defaults.Hedge.Quantile)
-	fill(&spec.Hedge.Factor, defaults.Hedge.Factor)
-	fill(&spec.Stop.Policy, defaults.Stop.Policy)
+	setDefault(&spec.Hedge.Quantile, defaults.Hedge.Quantile)
+	setDefault(&spec.Hedge.Factor, defaults.Hedge.Factor)
+	setDefault(&spec.Stop.Policy, defaults.Stop.Policy)
 	if spec.Stop.Policy != StopRuleFirst {
-		fill(&spec.Stop.Coverage, defaults.Stop.Coverage)
+		setDefault(&spec.Stop.Coverage, defaults.Stop.Coverage)
 	}
-	fill(&spec.Stop.Grace, defaults.Stop.Grace)
-	fill(&spec.Stop.Records, defaults.Stop.Records)
-	fill(&spec.Admission.Policy, defaults.Admission.Policy)
-	fill(&spec.Admission.MaxQueued, defaults.Admission.MaxQueued)
-	fill(&spec.Retry.Policy, defaults.Retry.Policy)
-	fill(&spec.Retry.MaxAttempts, defaults.Retry.MaxAttempts)
-	fill(&spec.ExtraLoad.Share, defaults.ExtraLoad.Share)
-	fill(&spec.ExtraLoad.Burst, defaults.ExtraLoad.Burst)
+	setDefault(&spec.Stop.Grace, defaults.Stop.Grace)
+	setDefault(&spec.Stop.Records, defaults.Stop.Records)
+	setDefault(&spec.Admission.Policy, defaults.Admission.Policy)
+	setDefault(&spec.Admission.MaxQueued, defaults.Admission.MaxQueued)
+	setDefault(&spec.Retry.Policy, defaults.Retry.Policy)
+	setDefault(&spec.Retry.MaxAttempts, defaults.Retry.MaxAttempts)
+	setDefault(&spec.ExtraLoad.Share, defaults.ExtraLoad.Share)
+	setDefault(&spec.ExtraLoad.Burst, defaults.ExtraLoad.Burst)
 	return spec
 }
 
-// fill sets an empty field to its default.
-func fill[T comparable](field *T, standard T) {
-	var empty T
-	if *field == empty {
-		*field = standard
+// setDefault sets a field that has its zero value to defaultValue.
+func setDefault[T comparable](field *T, defaultValue T) {
+	var zero T
+	if *field == zero {
+		*field = defaultValue
 	}
 }
--- a/pkg/policy/policies_test.go
+++ b/pkg/policy/policies_test.go
@@ -13,16 +13,16 @@
 
 const ms = time.Millisecond
 
-// built returns the policies of a specification that is known to be good.
-func built(spec policy.Spec) policy.Set {
+// mustBuild builds the policies of a specification and fails the test if it is invalid.
+func mustBuild(spec policy.Spec) policy.Set {
 	set, err := policy.Build(spec)
 	Expect(err).NotTo(HaveOccurred())
 	return set
 }
 
-// chosen counts how often each candidate is chosen in 1,000 draws.
-func chosen(name string, candidates []policy.ReplicaState) []int {
-	chooser := built(policy.Spec{Replica: policy.ReplicaSpec{Policy: name}}).Replica
+// countChoices counts how often each candidate is chosen in 1,000 draws.
+func countChoices(name string, candidates []policy.ReplicaState) []int {
+	chooser := mustBuild(policy.Spec{Replica: policy.ReplicaSpec{Policy: name}}).Replica
 	random := rand.New(rand.NewPCG(1, 2))
 	counts := make([]int, len(candidates))
 	for range 1000 {
@@ -31,7 +31,8 @@
 	return counts
 }
 
-func replica(change func(*policy.ReplicaState)) policy.ReplicaState {
+// replicaState returns a warm, idle replica in the local zone after applying change, if it is not nil.
+func replicaState(change func(*policy.ReplicaState)) policy.ReplicaState {
 	state := policy.ReplicaState{Limit: 5, Latency: 5 * ms, Weight: 1, ReportedLoad: -1}
 	if change != nil {
 		change(&state)
@@ -44,32 +45,32 @@
 var _ = Describe("Replica policies", func() {
 	It("return -1 without candidates and 0 with one", func() {
 		for _, name := range builtInReplicas {
-			chooser := built(policy.Spec{Replica: policy.ReplicaSpec{Policy: name}}).Replica
+			chooser := mustBuild(policy.Spec{Replica: policy.ReplicaSpec{Policy: name}}).Replica
 			random := rand.New(rand.NewPCG(1, 2))
 			Expect(chooser.Choose(nil, random)).To(Equal(-1), name)
-			Expect(chooser.Choose([]policy.ReplicaState{replica(nil)}, random)).To(Equal(0), name)
+			Expect(chooser.Choose([]policy.ReplicaState{replicaState(nil)}, random)).To(Equal(0), name)
 		}
 	})
 
 	It("spread equal replicas evenly", func() {
-		equal := []policy.ReplicaState{replica(nil), replica(nil), replica(nil), replica(nil)}
+		equal := []policy.ReplicaState{replicaState(nil), replicaState(nil), replicaState(nil), replicaState(nil)}
 		for _, name := range builtInReplicas {
-			Expect(chosen(name, equal)).To(HaveEach(BeNumerically("~", 250, 60)), name)
+			Expect(countChoices(name, equal)).To(HaveEach(BeNumerically("~", 250, 60)), name)
 		}
 	})
 
-	It("spread equally cold replicas evenly, as after the start of a whole service", func() {
+	It("spread equally cold replicas evenly, as after a start of all servers of a service", func() {
 		cold := func(s *policy.ReplicaState) { s.Weight = 0.05 }
-		equal := []policy.ReplicaState{replica(cold), replica(cold), replica(cold), replica(cold)}
+		equal := []policy.ReplicaState{replicaState(cold), replicaState(cold), replicaState(cold), replicaState(cold)}
 		for _, name := range builtInReplicas {
-			Expect(chosen(name, equal)).To(HaveEach(BeNumerically("~", 250, 60)), name)
+			Expect(countChoices(name, equal)).To(HaveEach(BeNumerically("~", 250, 60)), name)
 		}
 	})
 
 	DescribeTable("prefer the better of two replicas",
 		func(worse func(*policy.ReplicaState), names ...string) {
 			for _, name := range names {
-				counts := chosen(name, []policy.ReplicaState{replica(worse), replica(nil)})
+				counts := countChoices(name, []policy.ReplicaState{replicaState(worse), replicaState(nil)})
 				Expect(counts[0]).To(BeZero(), name)
 			}
 		},
@@ -83,12 +84,12 @@
 
 	DescribeTable("give a cold replica work, but no more than its weight, even if it looks faster",
 		func(weight float64, warm int) {
-			candidates := []policy.ReplicaState{replica(func(s *policy.ReplicaState) { s.Weight, s.Latency = weight, 0 })}
+			candidates := []policy.ReplicaState{replicaState(func(s *policy.ReplicaState) { s.Weight, s.Latency = weight, 0 })}
 			for range warm {
-				candidates = append(candidates, replica(nil))
+				candidates = append(candidates, replicaState(nil))
 			}
 			for _, name := range []string{policy.ReplicaLeastInFlight, policy.ReplicaTwoChoices} {
-				cold := chosen(name, candidates)[0]
+				cold := countChoices(name, candidates)[0]
 				Expect(cold).To(BeNumerically(">", 0), name)
 				Expect(cold).To(BeNumerically("<=", 1.3*weight*1000), name)
 			}
@@ -99,18 +100,18 @@
 		Entry("half warm, three others", 0.5, 3),
 	)
 
-	It("do not let a misleading report outweigh what answers show", func() {
-		misled := replica(func(s *policy.ReplicaState) { s.ReportedLoad = 0; s.Latency = 10 * ms })
-		honest := replica(func(s *policy.ReplicaState) { s.ReportedLoad = 1 })
-		Expect(chosen("two_choices", []policy.ReplicaState{misled, honest})[0]).To(BeZero())
+	It("do not let a misleading load report outweigh the observed latency", func() {
+		misled := replicaState(func(s *policy.ReplicaState) { s.ReportedLoad = 0; s.Latency = 10 * ms })
+		honest := replicaState(func(s *policy.ReplicaState) { s.ReportedLoad = 1 })
+		Expect(countChoices("two_choices", []policy.ReplicaState{misled, honest})[0]).To(BeZero())
 	})
 
 	It("do not send everything to the best of many", func() {
 		many := make([]policy.ReplicaState, 10)
 		for index := range many {
-			many[index] = replica(func(s *policy.ReplicaState) { s.Latency = time.Duration(10+index) * ms })
+			many[index] = replicaState(func(s *policy.ReplicaState) { s.Latency = time.Duration(10+index) * ms })
 		}
-		Expect(chosen("two_choices", many)[0]).To(BeNumerically("~", 200, 50))
+		Expect(countChoices("two_choices", many)[0]).To(BeNumerically("~", 200, 50))
 	})
 })
 
@@ -128,7 +129,7 @@
 	DescribeTable("decide",
 		func(spec policy.HedgeSpec, remaining, wantDelay time.Duration, wantHedge bool) {
 			observed.Remaining = remaining
-			delay, hedge := built(policy.Spec{Hedge: spec}).Hedge.Delay(observed)
+			delay, hedge := mustBuild(policy.Spec{Hedge: spec}).Hedge.Delay(observed)
 			Expect(hedge).To(Equal(wantHedge))
 			if wantHedge {
 				Expect(delay).To(Equal(wantDelay))
@@ -143,24 +144,24 @@
 		Entry("quantile, the median no longer fits", policy.HedgeSpec{Policy: "quantile", Quantile: 0.9}, 22*ms, 0*ms, false),
 	)
 
-	DescribeTable("typical: in time for the server that is asked next",
+	DescribeTable("typical: leave the second server enough time to answer",
 		func(useful, alternative, wantDelay time.Duration) {
-			delay, hedge := built(policy.Spec{Hedge: policy.HedgeSpec{Policy: "typical", Factor: 2.5}}).Hedge.Delay(policy.HedgeObservation{
-				Typical: 10 * ms, Network: 20 * ms, Remaining: time.Second, Useful: useful, Alternative: alternative,
+			delay, hedge := mustBuild(policy.Spec{Hedge: policy.HedgeSpec{Policy: "typical", Factor: 2.5}}).Hedge.Delay(policy.HedgeObservation{
+				Typical: 10 * ms, Network: 20 * ms, Remaining: time.Second, UsefulRemaining: useful, Alternative: alternative,
 			})
 			Expect(hedge).To(BeTrue())
 			Expect(delay).To(Equal(wantDelay))
 		},
 		Entry("there is time", 200*ms, 20*ms, 45*ms),
-		Entry("nothing is known of it", 60*ms, 0*ms, 40*ms),
+		Entry("its time is unknown", 60*ms, 0*ms, 40*ms),
 		Entry("it is far and needs a connection", 110*ms, 60*ms, 40*ms),
 		Entry("it could not answer in time anyway", 60*ms, 2000*ms, 40*ms),
-		Entry("the answer is late already", time.Nanosecond, 20*ms, 10*ms),
+		Entry("the answer is already late", time.Nanosecond, 20*ms, 10*ms),
 	)
 
 	It("send none while too few latencies are known", func() {
 		unknown := policy.HedgeObservation{Quantile: func(float64) time.Duration { return 0 }, Remaining: time.Second}
-		_, hedge := built(policy.Spec{}).Hedge.Delay(unknown)
+		_, hedge := mustBuild(policy.Spec{}).Hedge.Delay(unknown)
 		Expect(hedge).To(BeFalse())
 	})
 })
@@ -169,7 +170,7 @@
 	DescribeTable("decide",
 		func(spec policy.StopSpec, progress policy.Progress, want policy.StopDecision) {
 			progress.TotalWidth = 100
-			got := built(policy.Spec{Stop: spec}).Stop.Decide(progress)
+			got := mustBuild(policy.Spec{Stop: spec}).Stop.Decide(progress)
 			if !want.Stop {
 				got.Reason = ""
 			}
@@ -177,13 +178,13 @@
 		},
 		Entry("all, one missing", policy.StopSpec{Policy: "all"},
 			policy.Progress{CoveredWidth: 99, Records: 1000}, policy.StopDecision{}),
-		Entry("all, whole", policy.StopSpec{Policy: "all"},
+		Entry("all, complete", policy.StopSpec{Policy: "all"},
 			policy.Progress{CoveredWidth: 100}, policy.StopDecision{Stop: true, Reason: policy.StopAllParts}),
 		Entry("coverage, below", policy.StopSpec{Policy: "coverage", Coverage: 0.95, Grace: policy.Duration(5 * ms)},
 			policy.Progress{CoveredWidth: 94, SinceCoverage: time.Hour}, policy.StopDecision{}),
-		Entry("coverage, in its grace", policy.StopSpec{Policy: "coverage", Coverage: 0.95, Grace: policy.Duration(5 * ms)},
+		Entry("coverage, during the grace period", policy.StopSpec{Policy: "coverage", Coverage: 0.95, Grace: policy.Duration(5 * ms)},
 			policy.Progress{CoveredWidth: 95, SinceCoverage: 2 * ms}, policy.StopDecision{Recheck: 3 * ms}),
-		Entry("coverage, after its grace", policy.StopSpec{Policy: "coverage", Coverage: 0.95, Grace: policy.Duration(5 * ms)},
+		Entry("coverage, after the grace period", policy.StopSpec{Policy: "coverage", Coverage: 0.95, Grace: policy.Duration(5 * ms)},
 			policy.Progress{CoveredWidth: 95, SinceCoverage: 5 * ms}, policy.StopDecision{Stop: true, Reason: policy.StopCoverage}),
 		Entry("first, too few records", policy.StopSpec{Policy: "first", Records: 3},
 			policy.Progress{Records: 2}, policy.StopDecision{}),
@@ -193,16 +194,16 @@
 			policy.Progress{Records: 9, CoveredWidth: 49}, policy.StopDecision{}),
 	)
 
-	It("name the share at which the grace starts", func() {
+	It("return the share at which the grace period starts", func() {
 		spec := policy.StopSpec{Policy: "coverage", Coverage: 0.9}
-		Expect(built(policy.Spec{Stop: spec}).Stop.TargetShare()).To(Equal(0.9))
-		Expect(built(policy.Spec{}).Stop.TargetShare()).To(Equal(1.0))
+		Expect(mustBuild(policy.Spec{Stop: spec}).Stop.TargetShare()).To(Equal(0.9))
+		Expect(mustBuild(policy.Spec{}).Stop.TargetShare()).To(Equal(1.0))
 	})
 })
 
 var _ = Describe("Admission policies", func() {
 	busy := policy.AdmissionState{
-		Class: policy.ClassInteractive, InFlight: 10, Limit: 10, Queued: 4, QueuedAhead: 4, QueuedAlike: 4,
+		Class: policy.ClassInteractive, InFlight: 10, Limit: 10, Queued: 4, QueuedAhead: 4, QueuedSameClass: 4,
 		DrainRate: 1000, TypicalService: 10 * ms, SlowService: 20 * ms, Remaining: 88 * ms,
 	}
 
@@ -211,27 +212,27 @@
 			state := busy
 			change(&state)
 			spec := policy.AdmissionSpec{Policy: name, MaxQueued: 5}
-			decision := built(policy.Spec{Admission: spec}).Admission.Decide(state)
+			decision := mustBuild(policy.Spec{Admission: spec}).Admission.Decide(state)
 			Expect(decision.Verdict).To(Equal(want))
-			Expect(decision.RetryAfter > 0).To(Equal(want == policy.Refuse), "when to retry")
+			Expect(decision.RetryAfter > 0).To(Equal(want == policy.Refuse), "retry delay set only for a refusal")
 		},
 		Entry("unlimited", "unlimited", func(s *policy.AdmissionState) { s.Remaining = 0 }, policy.Admit),
-		Entry("bounded, place in the queue", "bounded_queue", func(s *policy.AdmissionState) { s.Remaining = 0 }, policy.Queue),
-		Entry("bounded, queue full", "bounded_queue", func(s *policy.AdmissionState) { s.QueuedAlike = 5 }, policy.Refuse),
-		Entry("bounded, room", "bounded_queue", func(s *policy.AdmissionState) { s.InFlight = 9; s.QueuedAhead = 0 }, policy.Admit),
+		Entry("bounded, room in the queue", "bounded_queue", func(s *policy.AdmissionState) { s.Remaining = 0 }, policy.Queue),
+		Entry("bounded, queue full", "bounded_queue", func(s *policy.AdmissionState) { s.QueuedSameClass = 5 }, policy.Refuse),
+		Entry("bounded, below the limit", "bounded_queue", func(s *policy.AdmissionState) { s.InFlight = 9; s.QueuedAhead = 0 }, policy.Admit),
 		Entry("deadline, the wait fits", "deadline_aware", func(s *policy.AdmissionState) {}, policy.Queue),
 		Entry("deadline, the wait is too long", "deadline_aware", func(s *policy.AdmissionState) { s.DrainRate = 60 }, policy.Refuse),
 		Entry("deadline, no time for a slow request", "deadline_aware", func(s *policy.AdmissionState) { s.Remaining = 22 * ms }, policy.Refuse),
 		Entry("deadline, a burst may wait", "deadline_aware", func(s *policy.AdmissionState) {
-			s.DrainRate, s.Standing = 200, 50*ms
+			s.DrainRate, s.BacklogAge = 200, 50*ms
 		}, policy.Queue),
 		Entry("deadline, a standing queue is kept short", "deadline_aware", func(s *policy.AdmissionState) {
-			s.DrainRate, s.Standing = 200, 200*ms
+			s.DrainRate, s.BacklogAge = 200, 200*ms
 		}, policy.Refuse),
 		Entry("deadline, archive may wait in a standing queue", "deadline_aware", func(s *policy.AdmissionState) {
-			s.DrainRate, s.Standing, s.Class = 200, 200*ms, policy.ClassArchive
+			s.DrainRate, s.BacklogAge, s.Class = 200, 200*ms, policy.ClassArchive
 		}, policy.Queue),
-		Entry("deadline, queue full", "deadline_aware", func(s *policy.AdmissionState) { s.QueuedAlike = 5 }, policy.Refuse),
+		Entry("deadline, queue full", "deadline_aware", func(s *policy.AdmissionState) { s.QueuedSameClass = 5 }, policy.Refuse),
 		Entry("deadline, nothing measured", "deadline_aware", func(s *policy.AdmissionState) { s.DrainRate = 0 }, policy.Queue),
 		Entry("deadline, idle although the service was slow", "deadline_aware", func(s *policy.AdmissionState) {
 			s.InFlight, s.Queued, s.QueuedAhead, s.TypicalService = 0, 0, 0, time.Second
@@ -239,15 +240,15 @@
 		Entry("deadline, room for a ticker", "deadline_aware", func(s *policy.AdmissionState) {
 			s.Class, s.InFlight, s.QueuedAhead = policy.ClassTicker, 9, 0
 		}, policy.Admit),
-		Entry("deadline, archive leaves that room", "deadline_aware", func(s *policy.AdmissionState) {
+		Entry("deadline, archive leaves room for a ticker", "deadline_aware", func(s *policy.AdmissionState) {
 			s.Class, s.InFlight, s.QueuedAhead = policy.ClassArchive, 9, 0
 		}, policy.Queue),
 	)
 
-	It("tell the time until those ahead have been served", func() {
+	It("return the time until the requests ahead have been served", func() {
 		state := busy
 		state.DrainRate = 50
-		decision := built(policy.Spec{}).Admission.Decide(state)
+		decision := mustBuild(policy.Spec{}).Admission.Decide(state)
 		Expect(decision).To(Equal(policy.AdmissionDecision{Verdict: policy.Refuse, RetryAfter: 100 * ms}))
 	})
 })
@@ -263,7 +264,7 @@
 			state := failed
 			change(&state)
 			spec := policy.RetrySpec{Policy: name, MaxAttempts: 4}
-			Expect(built(policy.Spec{Retry: spec}).Retry.Decide(state)).To(Equal(want))
+			Expect(mustBuild(policy.Spec{Retry: spec}).Retry.Decide(state)).To(Equal(want))
 		},
 		Entry("none", "none", func(s *policy.RetryState) {}, policy.RetryDecision{}),
 		Entry("immediate", "immediate", func(s *policy.RetryState) { s.Attempts = 3 }, policy.RetryDecision{Retry: true}),
--- a/pkg/policy/retry.go
+++ b/pkg/policy/retry.go
@@ -19,26 +19,25 @@
 	RetryDeadlineAware: newDeadlineAwareRetry,
 })
 
-// The wait of the deadline-aware policy before the second and later retries.
+// The backoff of the deadline-aware policy before the second and later retries.
 const (
-	// backoffShare is the first wait as a share of the typical latency.
-	backoffShare = 0.5
-	// backoffGrowth multiplies the wait from one retry to the next.
+	// firstBackoffShare is the first backoff as a share of the typical latency.
+	firstBackoffShare = 0.5
+	// backoffGrowth multiplies the backoff from one retry to the next.
 	backoffGrowth = 3
-	// backoffUnknown stands for the first wait while no latency is known.
-	backoffUnknown = time.Millisecond
-	// backoffAtMost bounds the wait.
-	backoffAtMost = 50 * time.Millisecond
+	// defaultFirstBackoff is the first backoff while the typical latency is unknown.
+	defaultFirstBackoff = time.Millisecond
+	maxBackoff          = 50 * time.Millisecond
 )
 
-// noRetry is the baseline.
+// noRetry is the baseline: it never retries.
 type noRetry struct{}
 
 // Decide implements RetryPolicy.
 func (noRetry) Decide(RetryState) RetryDecision { return RetryDecision{} }
 
-// immediateRetry tries again at once, whatever went wrong, until the attempts
-// are used up.
+// immediateRetry retries without delay after any failure, until the attempts are used up or the
+// deadline has passed.
 type immediateRetry struct{ maxAttempts int }
 
 func newImmediateRetry(spec RetrySpec) (RetryPolicy, FieldErrors) {
@@ -50,9 +49,9 @@
 	return RetryDecision{Retry: state.Attempts < r.maxAttempts && state.Remaining > 0}
 }
 
-// deadlineAwareRetry tries again only where that can help: the failure is not
-// the request's own fault, and a typical sub-request fits the time that
-// remains. The first retry goes at once, later ones wait longer each time.
+// deadlineAwareRetry retries only if that can help: another replica could give a different result,
+// and a typical sub-request fits in the remaining time. The first retry is immediate; the backoff
+// grows with each later one.
 type deadlineAwareRetry struct{ maxAttempts int }
 
 func newDeadlineAwareRetry(spec RetrySpec) (RetryPolicy, FieldErrors) {
@@ -71,7 +70,8 @@
 	return RetryDecision{Retry: true, Delay: delay}
 }
 
-// isFinal reports whether another replica would give the same failure.
+// isFinal reports whether a retry is pointless because it would fail for the same reason at any
+// replica.
 func isFinal(reason outcome.Reason) bool {
 	switch reason {
 	case outcome.ReasonInvalid, outcome.ReasonDeadline, outcome.ReasonCancelled, outcome.ReasonDuplicate:
@@ -81,29 +81,29 @@
 	}
 }
 
-// retryDelay returns no wait for the first retry, which goes to a different
-// replica. A part that failed twice is likely to be overloaded at every
-// replica, so the wait then grows with each attempt.
+// retryDelay returns the backoff before the next retry. It is zero for the first retry, which goes to
+// a different replica. A part that failed twice is likely to be overloaded at every replica, so the
+// backoff then grows with each attempt.
 func retryDelay(state RetryState) time.Duration {
 	if state.Attempts <= 1 {
 		return 0
 	}
-	delay := time.Duration(backoffShare * float64(state.TypicalLatency))
+	delay := time.Duration(firstBackoffShare * float64(state.TypicalLatency))
 	if delay <= 0 {
-		delay = backoffUnknown
+		delay = defaultFirstBackoff
 	}
 	for range state.Attempts - 2 {
 		delay *= backoffGrowth
-		if delay >= backoffAtMost {
-			return backoffAtMost
+		if delay >= maxBackoff {
+			return maxBackoff
 		}
 	}
-	return min(delay, backoffAtMost)
+	return min(delay, maxBackoff)
 }
 
 func validateAttempts(spec RetrySpec) FieldErrors {
-	var wrong FieldErrors
-	wrong.checkAtLeast("max_attempts", spec.MaxAttempts, 1)
-	wrong.checkAtMost("max_attempts", spec.MaxAttempts, maxAttempts)
-	return wrong
+	var errs FieldErrors
+	errs.checkMin("max_attempts", spec.MaxAttempts, 1)
+	errs.checkMax("max_attempts", spec.MaxAttempts, maxAttempts)
+	return errs
 }
--- a/pkg/quarantine/bench_test.go
+++ b/pkg/quarantine/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/bramblemast/bramblemast/pkg/quarantine"
 )
 
-// BenchmarkAnAnsweredRequest is what the quarantine costs each request that is answered while
-// no request is suspect.
+// BenchmarkAnAnsweredRequest measures what the quarantine adds to each answered request while no
+// request is suspect.
 func BenchmarkAnAnsweredRequest(b *testing.B) {
 	guard := quarantine.New(quarantine.Options{})
 	request := exchange.Request{
@@ -19,6 +19,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		guard.NoteServed(request.Fingerprint(&exchangetest.Dialect), time.Now())
+		guard.RecordAnswer(request.Fingerprint(&exchangetest.Dialect), time.Now())
 	}
 }
--- a/pkg/query/attempt.go
+++ b/pkg/query/attempt.go
@@ -11,24 +11,24 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// attemptState is the state of a sub-request. Its goroutine moves it from
-// waiting to sent; the event loop moves it from waiting to abandoned, or from
-// sent to one of the states that tell why the answer is no longer wanted.
+// attemptState is the state of a sub-request. The attempt's goroutine moves it from waiting to sent.
+// The event loop moves it from waiting to abandoned, or from sent to one of the states that record
+// why the answer is no longer wanted.
 type attemptState int32
 
 const (
-	// waiting means that nothing was sent yet.
-	waiting attemptState = iota
-	sent
-	// abandoned means that nothing was and nothing will be sent.
-	abandoned
-	// outlasted means that a replica that was asked later answered first.
-	outlasted
-	// stopped means that the query stopped before its deadline, or that a
-	// replica that was asked earlier answered first.
-	stopped
-	// expired means that the query reached its deadline.
-	expired
+	// attemptWaiting means that nothing was sent yet.
+	attemptWaiting attemptState = iota
+	attemptSent
+	// attemptAbandoned means that nothing was sent and nothing will be sent.
+	attemptAbandoned
+	// attemptOvertaken means that a later sub-request for the same part was answered first.
+	attemptOvertaken
+	// attemptStopped means that the query stopped before its deadline, or that an earlier
+	// sub-request for the same part was answered first.
+	attemptStopped
+	// attemptExpired means that the query reached its deadline.
+	attemptExpired
 )
 
 // attempt is one sub-request.
@@ -37,25 +37,25 @@
 	kind    AttemptKind
 	part    int
 	request backend.Request
-	// permit is nil if the goroutine has to wait for one.
+	// permit is nil until the goroutine has acquired one, if none was free at launch.
 	permit Permit
-	// paid is true if the attempt was paid from the extra-load budget.
+	// paid is true if the attempt was charged to the extra-load budget.
 	paid   bool
 	ctx    context.Context
 	cancel context.CancelFunc
 	state  atomic.Int32
 
-	// response and err are written by the goroutine before delivery.
+	// response and err are written by the goroutine before it delivers the attempt to the inbox.
 	response *backend.Response
 	err      error
-	// detached is true once the event loop no longer counts on the attempt.
+	// detached is true once the event loop has stopped waiting for the attempt.
 	detached bool
-	// next links the attempts of an inbox.
+	// next links the finished attempts of an inbox.
 	next *attempt
 }
 
-// run sends the sub-request, waits for its end and delivers the result. It is
-// the body of the attempt's goroutine.
+// run is the body of the attempt's goroutine: it sends the sub-request, waits until it ends and
+// delivers the result to the inbox.
 func (a *attempt) run() {
 	a.response, a.err = a.send()
 	a.cancel()
@@ -74,40 +74,41 @@
 		}
 		a.permit = permit
 	}
-	if !a.move(waiting, sent) {
+	if !a.move(attemptWaiting, attemptSent) {
 		a.permit.Release(limit.Result{Cancelled: true})
-		return nil, notRun(stepAnswer, outcome.ReasonCancelled, errOutlasted)
+		return nil, notRun(stepAnswer, outcome.ReasonCancelled, errOvertaken)
 	}
-	began := time.Now()
+	sentAt := time.Now()
 	response, err := options.Client.Do(a.ctx, &a.request)
 	now := time.Now()
 	a.reportHints(response, err)
 	err = a.check(response, err)
-	a.report(now, now.Sub(began), err)
+	a.report(now, now.Sub(sentAt), err)
 	if err != nil {
 		return nil, err
 	}
 	return response, nil
 }
 
-// check returns the failure of the sub-request, if any. An answer must be of
-// the pinned version and of exactly the range that was asked.
+// check returns the failure of the sub-request, if any. An answer must have the pinned version and
+// exactly the requested range.
 func (a *attempt) check(response *backend.Response, err error) error {
-	asked := &a.request.Target
+	requested := &a.request.Target
 	switch {
 	case err != nil:
-		return typed(err, asked.Server)
+		return asOutcomeError(err, requested.Server)
 	case response == nil:
-		return unknown(stepCheck, asked.Server, outcome.ReasonInternal, errNoAnswer)
-	case response.Version != asked.Version || response.Range != asked.Range:
-		a.observer().CorruptResponse(asked.Service, asked.Server)
-		return unknown(stepCheck, asked.Server, outcome.ReasonCorruptResponse, errMismatch)
+		return unknown(stepCheck, requested.Server, outcome.ReasonInternal, errNoAnswer)
+	case response.Version != requested.Version || response.Range != requested.Range:
+		a.observer().CorruptResponse(requested.Service, requested.Server)
+		return unknown(stepCheck, requested.Server, outcome.ReasonCorruptResponse, errMismatch)
 	default:
 		return nil
 	}
 }
 
-// reportHints passes on what the server said of itself.
+// reportHints reports the server's hints to the catalog. A refusal because the server is draining
+// counts as a hint too.
 func (a *attempt) reportHints(response *backend.Response, err error) {
 	source := a.pass.execution.executor.options.Catalog
 	switch {
@@ -118,58 +119,57 @@
 	}
 }
 
-// report releases the permit and tells the catalog, the latency tracker and
-// the observer how the sub-request ended. The wait for an answer that a hedge
-// outran counts as a latency: if only the answers that came were counted, the
-// slow ones would be missing, the quantiles would fall, and with them the wait
-// before a hedge.
+// report releases the permit and reports the end of the sub-request to the catalog, the latency
+// tracker and the observer. The time spent waiting for an answer that a hedge overtook counts as a
+// latency: if only received answers were counted, the slow ones would be missing, the quantiles
+// would fall, and with them the delay before a hedge.
 func (a *attempt) report(now time.Time, latency time.Duration, err error) {
 	options := &a.pass.execution.executor.options
 	server := a.request.Target.Server
-	ended := a.endedBecause(err)
-	verdict := a.verdict(ended, latency, err)
-	a.permit.Release(resultOf(ended, latency, verdict))
-	if ended == sent || verdict != nil {
-		options.Catalog.ReportResult(server, verdict)
+	endState := a.finalState(err)
+	failure := a.serverFailure(endState, latency, err)
+	a.permit.Release(limitResult(endState, latency, failure))
+	if endState == attemptSent || failure != nil {
+		options.Catalog.ReportResult(server, failure)
 	}
-	if cutShort := ended != sent && verdict != nil; err == nil || cutShort {
+	if cutShort := endState != attemptSent && failure != nil; err == nil || cutShort {
 		options.Latency.Observe(a.request.Target.Service, latency, now)
 	}
 	options.Observer.SubRequestFinished(a.request.Target, a.kind, latency, err)
 }
 
-// endedBecause returns sent if the server's own answer or failure ended the
-// sub-request, and otherwise why this node ended it.
-func (a *attempt) endedBecause(err error) attemptState {
+// finalState returns attemptSent if the server's own answer or failure ended the sub-request.
+// Otherwise it returns the state that records why this node ended it.
+func (a *attempt) finalState(err error) attemptState {
 	state := attemptState(a.state.Load())
 	if err == nil {
-		return sent
+		return attemptSent
 	}
-	if state != sent {
+	if state != attemptSent {
 		return state
 	}
 	switch a.ctx.Err() {
 	case nil:
-		return sent
+		return attemptSent
 	case context.DeadlineExceeded:
-		return expired
+		return attemptExpired
 	default:
-		return stopped
+		return attemptStopped
 	}
 }
 
-// verdict returns the failure that the sub-request says about its server. A
-// server that lost to a hedge, or that let a long wait run into the query's
-// deadline, failed to answer: a frozen server shows in no other way. A
-// sub-request that this node ended for its own reasons says nothing.
-func (a *attempt) verdict(ended attemptState, latency time.Duration, err error) error {
+// serverFailure returns the failure that the catalog should record for the server, or nil. A server
+// that was overtaken by a hedge, or that had not answered for unusually long when the query's
+// deadline came, failed to answer: a frozen server cannot be detected in any other way. A
+// sub-request that this node ended for its own reasons is no evidence about the server.
+func (a *attempt) serverFailure(endState attemptState, latency time.Duration, err error) error {
 	server := a.request.Target.Server
-	switch ended {
-	case sent:
+	switch endState {
+	case attemptSent:
 		return err
-	case outlasted:
-		return unknown(stepAnswer, server, outcome.ReasonDeadline, errOutlasted)
-	case expired:
+	case attemptOvertaken:
+		return unknown(stepAnswer, server, outcome.ReasonDeadline, errOvertaken)
+	case attemptExpired:
 		if typical := a.pass.execution.quantile(stallQuantile); typical > 0 && latency > typical {
 			return unknown(stepAnswer, server, outcome.ReasonDeadline, err)
 		}
@@ -177,21 +177,21 @@
 	return nil
 }
 
-// stallQuantile is the latency quantile above which a sub-request that the
-// query's deadline ended counts as a failure of the server.
+// stallQuantile is the latency quantile above which a sub-request that was ended by the query's
+// deadline counts as a failure of the server.
 const stallQuantile = 0.99
 
-// resultOf returns what the end of a sub-request says about the server's room.
-func resultOf(ended attemptState, latency time.Duration, verdict error) limit.Result {
+// limitResult returns the result that the server's limit learns from when the permit is released.
+func limitResult(endState attemptState, latency time.Duration, failure error) limit.Result {
 	result := limit.Result{Latency: latency}
 	switch {
-	case ended == outlasted || ended == stopped:
+	case endState == attemptOvertaken || endState == attemptStopped:
 		result.Cancelled = true
-	case verdict == nil:
-		result.Cancelled = ended != sent
-	case isShed(verdict):
+	case failure == nil:
+		result.Cancelled = endState != attemptSent
+	case isShed(failure):
 		result.Shed = true
-	case isStalePlan(verdict):
+	case isStalePlan(failure):
 		result.Cancelled = true
 	default:
 		result.Failed = true
@@ -204,31 +204,31 @@
 	return reason == outcome.ReasonShed || reason == outcome.ReasonOverloaded
 }
 
-// end says that the answer is no longer wanted and cancels the sub-request. It
-// reports whether nothing was and nothing will be sent.
-func (a *attempt) end(cause attemptState) bool {
+// discard marks the answer as no longer wanted and cancels the sub-request. It returns true if
+// nothing was sent and nothing will be sent.
+func (a *attempt) discard(state attemptState) bool {
 	a.detached = true
-	unsent := a.move(waiting, abandoned)
+	unsent := a.move(attemptWaiting, attemptAbandoned)
 	if !unsent {
-		a.move(sent, cause)
+		a.move(attemptSent, state)
 	}
 	a.cancel()
 	return unsent
 }
 
-// outran returns the state of another attempt for the same part, after this
-// one gave the answer.
-func (a *attempt) outran(other *attempt) attemptState {
+// endStateOf returns the state in which another attempt for the same part ends after this one was
+// answered.
+func (a *attempt) endStateOf(other *attempt) attemptState {
 	if a.request.Attempt > other.request.Attempt {
-		return outlasted
+		return attemptOvertaken
 	}
-	return stopped
+	return attemptStopped
 }
 
 // wasSent reports whether the sub-request may have reached its server.
 func (a *attempt) wasSent() bool {
 	state := attemptState(a.state.Load())
-	return state != waiting && state != abandoned
+	return state != attemptWaiting && state != attemptAbandoned
 }
 
 func (a *attempt) move(from, to attemptState) bool {
@@ -237,9 +237,8 @@
 
 func (a *attempt) observer() Observer { return a.pass.execution.executor.options.Observer }
 
-// isStalePlan reports whether a server refused, before it ran anything,
-// because the plan no longer fits: it leaves, or it no longer serves the
-// version or the range.
+// isStalePlan reports whether a server refused, before it ran anything, because the plan is out of
+// date: the server is draining, or it no longer serves the version or the range.
 func isStalePlan(err error) bool {
 	if outcome.Of(err) != outcome.NotRun {
 		return false
@@ -252,7 +251,7 @@
 	}
 }
 
-// newTarget names what an attempt is sent to.
+// newTarget returns the target of a sub-request for the part at the server.
 func newTarget(service target.Service, part *plannedPart, server target.ServerID, version target.Version) target.Target {
 	return target.Target{Service: service, Group: part.group, Range: part.keys, Server: server, Version: version}
 }
--- a/pkg/query/executor.go
+++ b/pkg/query/executor.go
@@ -23,35 +23,35 @@
 	DefaultRestartShare    = 0.4
 )
 
-// marginDivisor bounds the answer margin to a share of a short deadline.
+// marginDivisor limits the answer margin to this fraction of the remaining time, so that the margin
+// does not use up a short deadline.
 const marginDivisor = 10
 
-// Options are the parts that an Executor works with.
+// Options configures an Executor.
 type Options struct {
 	// Client and Catalog are required.
 	Client  backend.Client
 	Catalog catalog.Source
-	// Limits bounds the sub-requests at each server; nil for no bound.
+	// Limits bounds the concurrent sub-requests at each server; nil means no bound.
 	Limits Limits
-	// Budgets pays for hedges and retries; nil for none of either.
+	// Budgets pays for hedges and retries; nil means that neither is sent.
 	Budgets Budgets
-	// Latency keeps latency distributions; nil for a new latency.Tracker.
+	// Latency keeps latency distributions; nil means a new latency.Tracker.
 	Latency Latency
-	// Observer is told of events; it may be nil.
+	// Observer receives events; it may be nil.
 	Observer Observer
 	// Seed makes the random choices reproducible.
 	Seed uint64
-	// AnswerMargin is how long before its deadline a query stops, so that the
-	// answer is on its way in time; zero for the default.
+	// AnswerMargin is how long before its deadline a query stops, so that the answer is sent in
+	// time; zero means the default.
 	AnswerMargin time.Duration
-	// PartialInterval is the least time between two partials; zero for the
-	// default.
+	// PartialInterval is the minimum time between two partials; zero means the default.
 	PartialInterval time.Duration
-	// MaxRestarts bounds how often a query starts anew on a newer version;
-	// zero for the default, negative for never.
+	// MaxRestarts is how often a query may restart on a newer version; zero means the default,
+	// a negative value means never.
 	MaxRestarts int
-	// RestartShare is the share of the query's time, 0 to 1, that must be left
-	// for a restart; zero for the default.
+	// RestartShare is the share of the query's total time, 0 to 1, that must remain for a restart;
+	// zero means the default.
 	RestartShare float64
 }
 
@@ -59,7 +59,7 @@
 type Executor struct {
 	options Options
 	layouts layoutCache
-	// queries numbers the queries, for their random streams.
+	// queries counts the queries; the number selects the random stream of a query.
 	queries atomic.Uint64
 }
 
@@ -75,7 +75,7 @@
 		options.Latency = latency.NewTracker()
 	}
 	if options.Observer == nil {
-		options.Observer = IgnoreEvents{}
+		options.Observer = NopObserver{}
 	}
 	if options.AnswerMargin == 0 {
 		options.AnswerMargin = DefaultAnswerMargin
@@ -92,13 +92,13 @@
 	return &Executor{options: options}
 }
 
-// Execute runs one request and returns its answer, at the latest shortly
-// before request.Deadline. It does not wait for sub-requests that it cancels.
-// Cancelling ctx ends it at once.
+// Execute runs one request and returns its answer shortly before request.Deadline at the latest;
+// see Options.AnswerMargin. It does not wait for sub-requests that it cancels. Cancelling ctx ends
+// it at once. The partial function may be nil.
 //
-// The error is an *outcome.Error for a request that was not fanned out, and
-// otherwise a *CoverageError, which wraps one. Its outcome is NotRun only if
-// no back end ran any part of the request, on evidence.
+// The error is an *outcome.Error for a request that was not fanned out, and otherwise a
+// *CoverageError, which wraps one. Its outcome is NotRun only if there is evidence that no back end
+// ran any part of the request.
 func (e *Executor) Execute(ctx context.Context, request *Request, partial PartialFunc) (*Answer, error) {
 	if err := validate(request); err != nil {
 		return nil, err
@@ -107,29 +107,29 @@
 	if view == nil {
 		return nil, notRun("find service", outcome.ReasonNoReplica, errors.Errorf("service %q is unknown", request.Template.Service))
 	}
-	pinned := e.layouts.of(view).pin(request.Key)
+	pinned := e.layouts.get(view).pin(request.Key)
 	if pinned == nil {
 		return nil, notRun("choose index version", outcome.ReasonNoReplica, errors.Errorf("service %q has no usable server", request.Template.Service))
 	}
 	x := e.begin(ctx, request, partial)
 	defer x.cancel()
-	if err := x.work.Err(); err != nil {
-		return nil, notRun("start", typed(err, "").Reason, err)
+	if err := x.workCtx.Err(); err != nil {
+		return nil, notRun("start", asOutcomeError(err, "").Reason, err)
 	}
 	for {
 		p := newPass(x, view, pinned)
-		ended := p.run()
-		p.close(ended)
-		if ended.restart == nil {
-			return p.finish(ended)
+		result := p.run()
+		p.close(result)
+		if result.restart == nil {
+			return p.finish(result)
 		}
 		x.restarts++
-		e.options.Observer.Restarted(request.Template.Service, pinned.version, ended.restart.version)
-		view, pinned = p.view, ended.restart
+		e.options.Observer.Restarted(request.Template.Service, pinned.version, result.restart.version)
+		view, pinned = p.view, result.restart
 	}
 }
 
-// validate rejects a request that the executor cannot run.
+// validate returns an error for a request that the executor cannot run.
 func validate(request *Request) error {
 	policies := request.Policies
 	switch {
@@ -142,26 +142,26 @@
 	}
 }
 
-// execution is the state of one request over all its passes. Only the
-// goroutine of Execute writes it.
+// execution is the state of one request over all its passes. Only the goroutine of Execute writes
+// to it.
 type execution struct {
 	executor *Executor
 	request  *Request
 	partial  PartialFunc
-	// caller is the caller's context; work is that of the sub-requests.
-	caller   context.Context
-	work     context.Context
-	cancel   context.CancelFunc
-	started  time.Time
-	deadline time.Time
-	budget   Budget
-	source   rand.PCG
-	random   *rand.Rand
-	load     ExtraLoad
-	restarts int
-	// attempts numbers the sub-requests of the request.
+	// callerCtx is the caller's context; workCtx is the parent context of the sub-requests.
+	callerCtx context.Context
+	workCtx   context.Context
+	cancel    context.CancelFunc
+	started   time.Time
+	deadline  time.Time
+	budget    Budget
+	generator rand.PCG
+	random    *rand.Rand
+	extraLoad ExtraLoad
+	restarts  int
+	// attempts counts the sub-requests of the request, to number them.
 	attempts uint32
-	// mayHaveRun counts the sub-requests that ran or that may have run.
+	// mayHaveRun counts the sub-requests that ran or may have run.
 	mayHaveRun  int
 	lastFailure error
 	retryAfter  time.Duration
@@ -170,22 +170,23 @@
 func (e *Executor) begin(ctx context.Context, request *Request, partial PartialFunc) *execution {
 	now := time.Now()
 	x := &execution{
-		executor: e,
-		request:  request,
-		partial:  partial,
-		caller:   ctx,
-		started:  now,
-		deadline: e.stopBefore(ctx, request.Deadline, now),
-		budget:   e.options.Budgets.For(request.Template.Key(), request.Arm, request.Policies.ExtraLoad),
-	}
-	x.source.Seed(e.options.Seed, e.queries.Add(1))
-	x.random = rand.New(&x.source)
-	x.work, x.cancel = context.WithDeadline(ctx, x.deadline)
+		executor:  e,
+		request:   request,
+		partial:   partial,
+		callerCtx: ctx,
+		started:   now,
+		deadline:  e.stopTime(ctx, request.Deadline, now),
+		budget:    e.options.Budgets.For(request.Template.Key(), request.Arm, request.Policies.ExtraLoad),
+	}
+	x.generator.Seed(e.options.Seed, e.queries.Add(1))
+	x.random = rand.New(&x.generator)
+	x.workCtx, x.cancel = context.WithDeadline(ctx, x.deadline)
 	return x
 }
 
-// stopBefore returns the moment at which a query stops to wait.
-func (e *Executor) stopBefore(ctx context.Context, deadline time.Time, now time.Time) time.Time {
+// stopTime returns when a query stops waiting for answers: the answer margin before the earlier one
+// of its deadline and the deadline of ctx.
+func (e *Executor) stopTime(ctx context.Context, deadline time.Time, now time.Time) time.Time {
 	if earlier, bounded := ctx.Deadline(); bounded && earlier.Before(deadline) {
 		deadline = earlier
 	}
@@ -193,39 +194,39 @@
 	return deadline.Add(-max(margin, 0))
 }
 
-// quantile is the latency quantile of the request's service.
+// quantile returns a latency quantile of the request's service.
 func (x *execution) quantile(quantile float64) time.Duration {
 	return x.executor.options.Latency.Quantile(x.request.Template.Service, quantile)
 }
 
-// count adds to the sub-requests of a kind. The first sub-requests of a pass
-// after a restart are extra load.
-func (x *execution) count(kind AttemptKind, change int) {
+// countAttempts adds change to the number of sub-requests of a kind. After a restart the primary
+// sub-requests of the new pass are extra load and count as retries.
+func (x *execution) countAttempts(kind AttemptKind, change int) {
 	switch {
 	case kind == Hedge:
-		x.load.Hedges += change
+		x.extraLoad.Hedges += change
 	case kind == Retry || x.restarts > 0:
-		x.load.Retries += change
+		x.extraLoad.Retries += change
 	default:
-		x.load.Primary += change
+		x.extraLoad.Primary += change
 	}
 }
 
-// noteFailure remembers the latest failure and the longest wait asked for.
-func (x *execution) noteFailure(err error) {
+// recordFailure keeps the latest failure and the longest requested delay before a retry.
+func (x *execution) recordFailure(err error) {
 	x.lastFailure = err
-	var typed *outcome.Error
-	if errors.As(err, &typed) {
-		x.retryAfter = max(x.retryAfter, typed.RetryAfter)
+	var failure *outcome.Error
+	if errors.As(err, &failure) {
+		x.retryAfter = max(x.retryAfter, failure.RetryAfter)
 	}
 }
 
-// ending says how a pass ended: with a stop reason, with a failure that ends
-// the request, or with the plan of a restart.
-type ending struct {
+// passResult is how a pass ended: with a stop reason, with a failure that ends the request, or with
+// the layout to restart on.
+type passResult struct {
 	reason  policy.StopReason
 	failure *outcome.Error
 	restart *layout
-	// awaited is the one server whose answer was waited for, if there was one.
-	awaited string
+	// awaitedServer is the server whose answer was still awaited; see soleRunningServer.
+	awaitedServer string
 }
--- a/pkg/query/extra.go
+++ b/pkg/query/extra.go
@@ -7,23 +7,24 @@
 	"github.com/bramblemast/bramblemast/pkg/policy"
 )
 
-// maxHedges bounds the hedges that run for one part at a time. With one only,
-// a wide query often meets a part whose hedge is slow as well.
+// maxHedges is the maximum number of hedges that run for one part at a time. A single hedge is not
+// enough: a query over many parts often has a part whose hedge is slow too.
 const maxHedges = 2
 
-// maxAttempts bounds the sub-requests for one part, whatever the policies say.
+// maxAttempts is the maximum number of sub-requests for one part, whatever the policies allow.
 const maxAttempts = 16
 
-// typicalQuantile is the latency quantile that stands for a typical answer.
+// typicalQuantile is the latency quantile taken as the typical latency.
 const typicalQuantile = 0.5
 
-// hedgeTime returns when a sub-request that is sent now is due for a hedge.
+// hedgeTime returns when to hedge a sub-request that is sent now, as time since the start of the
+// execution. The hedge policy is evaluated once for each clock reading.
 func (p *pass) hedgeTime() time.Duration {
-	if p.hedgeAsked != p.now {
-		p.hedgeAsked = p.now
-		p.hedgeDue = p.computeHedgeTime()
+	if p.hedgeTimeCachedAt != p.now {
+		p.hedgeTimeCachedAt = p.now
+		p.cachedHedgeTime = p.computeHedgeTime()
 	}
-	return p.hedgeDue
+	return p.cachedHedgeTime
 }
 
 func (p *pass) computeHedgeTime() time.Duration {
@@ -39,8 +40,7 @@
 	return p.now + max(delay, 0)
 }
 
-// scheduleHedge sets when the part is due for a hedge, if it has another
-// replica at all.
+// scheduleHedge sets when the part is hedged. A part with fewer than two replicas is never hedged.
 func (p *pass) scheduleHedge(index int, at time.Duration) {
 	part := &p.parts[index]
 	if len(part.plan.candidates) < 2 {
@@ -50,7 +50,7 @@
 	p.nextDue = min(p.nextDue, at)
 }
 
-// scheduleRetry sets when the part is tried again.
+// scheduleRetry schedules a retry of the part after the delay.
 func (p *pass) scheduleRetry(index int, delay time.Duration) {
 	part := &p.parts[index]
 	part.retryAt = p.now + max(delay, 0)
@@ -58,15 +58,15 @@
 	p.nextDue = min(p.nextDue, part.retryAt)
 }
 
-// fireDue sends the hedges and retries that are due.
-func (p *pass) fireDue() {
+// sendDue sends the hedges and retries whose time has come.
+func (p *pass) sendDue() {
 	if p.now < p.nextDue {
 		return
 	}
 	p.nextDue = never
 	for i := range p.parts {
 		part := &p.parts[i]
-		if part.status != open {
+		if part.status != partOpen {
 			continue
 		}
 		if part.retryAt <= p.now {
@@ -79,8 +79,9 @@
 	}
 }
 
-// hedge asks a further replica for a part whose answer is slow, if the budget
-// and a permit allow it, and looks again after as long a wait.
+// hedge sends a part whose answer is slow to a further replica, if the budget allows it and a permit
+// is free. While the part may be hedged further, it schedules the next check, sent or not. A suspect
+// request is not hedged.
 func (p *pass) hedge(index int) {
 	part := &p.parts[index]
 	part.hedgeAt = never
@@ -88,7 +89,7 @@
 	if running == 0 || running > maxHedges || part.attempts >= maxAttempts || !p.hasUntried(part) {
 		return
 	}
-	part.hedgeAt = p.laterHedge()
+	part.hedgeAt = p.nextHedgeTime()
 	if p.isSuspect() {
 		return
 	}
@@ -98,20 +99,20 @@
 	}
 }
 
-// minimumHedgeWait is the least time between two hedges for a part.
-const minimumHedgeWait = time.Millisecond
+// minHedgeInterval is the minimum time between two hedges for a part.
+const minHedgeInterval = time.Millisecond
 
-func (p *pass) laterHedge() time.Duration {
-	return max(p.hedgeTime(), p.now+minimumHedgeWait)
+func (p *pass) nextHedgeTime() time.Duration {
+	return max(p.hedgeTime(), p.now+minHedgeInterval)
 }
 
-// retry sends the sub-request that was scheduled for a part. A part of which
-// nothing was sent so far is not extra load and needs no budget.
+// retry sends the retry that was scheduled for a part. If nothing was sent for the part so far, the
+// sub-request is not extra load and needs no budget.
 func (p *pass) retry(index int) {
 	part := &p.parts[index]
 	part.retryAt = never
 	p.scheduled--
-	if p.keepBack(index) {
+	if p.holdBack(index) {
 		return
 	}
 	if part.sent == 0 {
@@ -119,13 +120,14 @@
 		return
 	}
 	if !p.execution.budget.TrySpend() {
-		part.status = givenUp
+		part.status = partGivenUp
 		return
 	}
 	p.relaunch(index, Retry, true)
 }
 
-// relaunch sends a further sub-request for a part, or gives the part up.
+// relaunch sends a further sub-request for a part, or marks the part as unavailable if no server is
+// left.
 func (p *pass) relaunch(index int, kind AttemptKind, paid bool) {
 	if p.launch(index, kind, paid) {
 		p.scheduleHedge(index, p.hedgeTime())
@@ -134,30 +136,31 @@
 	if paid {
 		p.execution.budget.Refund()
 	}
-	p.strand(index)
-	p.afterStranding()
+	p.markUnavailable(index)
+	p.considerRestart()
 }
 
-// failed decides what follows on a sub-request that gave no answer.
-func (p *pass) failed(finished *attempt) {
+// handleFailure decides what to do after a sub-request that failed: end the request, reroute the
+// part, schedule a retry, or give the part up.
+func (p *pass) handleFailure(finished *attempt) {
 	x := p.execution
-	x.noteFailure(finished.err)
-	p.noteLost(finished.err)
-	p.account(finished)
+	x.recordFailure(finished.err)
+	p.countLostConnection(finished.err)
+	p.countUnanswered(finished)
 	part := &p.parts[finished.part]
-	result := outcome.Of(finished.err)
+	knownOutcome := outcome.Of(finished.err)
 	if !finished.wasSent() {
-		result = outcome.NotRun
+		knownOutcome = outcome.NotRun
 	}
-	if x.request.Template.NotRepeatable && result != outcome.NotRun {
-		p.fatal = typed(finished.err, finished.request.Target.Server)
+	if x.request.Template.NotRepeatable && knownOutcome != outcome.NotRun {
+		p.fatal = asOutcomeError(finished.err, finished.request.Target.Server)
 		return
 	}
 	if p.isOver() {
 		return
 	}
 	if isStalePlan(finished.err) {
-		p.refuse(finished.request.Target, finished.err)
+		p.recordRefusal(finished.request.Target, finished.err)
 		if part.countRunning() == 0 {
 			p.reroute(finished.part)
 		}
@@ -168,13 +171,13 @@
 	}
 	decision := x.request.Policies.Retry.Decide(policy.RetryState{
 		Attempts:       part.attempts,
-		Outcome:        result,
+		Outcome:        knownOutcome,
 		Reason:         outcome.ReasonOf(finished.err),
 		Remaining:      p.remaining(),
 		TypicalLatency: x.quantile(typicalQuantile),
 	})
 	if !decision.Retry || part.attempts >= maxAttempts {
-		part.status = givenUp
+		part.status = partGivenUp
 		return
 	}
 	p.scheduleRetry(finished.part, decision.Delay)
--- a/pkg/query/layout.go
+++ b/pkg/query/layout.go
@@ -10,55 +10,55 @@
 	"github.com/bramblemast/bramblemast/pkg/target"
 )
 
-// maxCandidates bounds the replicas of a part that a query considers.
+// maxCandidates is the maximum number of replicas of a part that a query considers. It is the number
+// of bits in partState.tried.
 const maxCandidates = 64
 
-// layout is the plan of one index version as one view shows it. It is
-// immutable.
+// layout is the plan of one index version, built from one view of the catalog. It is immutable.
 type layout struct {
 	version target.Version
-	// asked is the range that the parts divide.
-	asked keyspace.Range
-	parts []plannedPart
-	// reachable counts the positions that some server can be asked for.
-	reachable uint32
+	// requested is the range that the parts divide.
+	requested keyspace.Range
+	parts     []plannedPart
+	// reachableWidth counts the positions for which there is a candidate.
+	reachableWidth uint32
 }
 
-// skipFunc reports whether a server is not to be asked for a range.
+// skipFunc reports whether a server must not be used for a range.
 type skipFunc func(server target.ServerID, keys keyspace.Range) bool
 
-// newLayout plans the asked range of a version, leaving out what skip (which
-// may be nil) names.
-func newLayout(view *catalog.View, version target.Version, asked keyspace.Range, skip skipFunc) *layout {
-	planned := &layout{version: version, asked: asked}
-	planned.parts = tile(asked, shardsOf(view, version, skip))
+// newLayout plans the requested range of a version, without the servers for which skip returns true.
+// skip may be nil.
+func newLayout(view *catalog.View, version target.Version, requested keyspace.Range, skip skipFunc) *layout {
+	planned := &layout{version: version, requested: requested}
+	planned.parts = tile(requested, shardsOf(view, version, skip))
 	for _, part := range planned.parts {
 		if len(part.candidates) > 0 {
-			planned.reachable += part.keys.Width()
+			planned.reachableWidth += part.keys.Width()
 		}
 	}
 	return planned
 }
 
-// narrow returns a layout of only the part that holds the position.
+// narrow returns a layout of only the part that contains the position.
 func (l *layout) narrow(position uint32) *layout {
 	for i, part := range l.parts {
 		if !part.keys.Contains(position) {
 			continue
 		}
-		narrowed := &layout{version: l.version, asked: part.keys, parts: l.parts[i : i+1]}
+		narrowed := &layout{version: l.version, requested: part.keys, parts: l.parts[i : i+1]}
 		if len(part.candidates) > 0 {
-			narrowed.reachable = part.keys.Width()
+			narrowed.reachableWidth = part.keys.Width()
 		}
 		return narrowed
 	}
 	return &layout{version: l.version}
 }
 
-// shardsOf returns the distinct ranges that servers hold at a version, in an
-// order that depends only on the view.
+// shardsOf returns the distinct ranges that servers hold at a version, in an order that depends only
+// on the view.
 func shardsOf(view *catalog.View, version target.Version, skip skipFunc) []shard {
-	index := make(map[keyspace.Range]int)
+	shardIndex := make(map[keyspace.Range]int)
 	var shards []shard
 	for _, server := range view.Servers {
 		usable := server.State == catalog.Active || server.State == catalog.Ejected
@@ -70,10 +70,10 @@
 				if !part.Range.Valid() {
 					continue
 				}
-				at, known := index[part.Range]
+				at, known := shardIndex[part.Range]
 				if !known {
 					at = len(shards)
-					index[part.Range] = at
+					shardIndex[part.Range] = at
 					shards = append(shards, shard{group: part.Group, keys: part.Range})
 				}
 				if usable && (skip == nil || !skip(server.ID, part.Range)) {
@@ -88,7 +88,8 @@
 	return shards
 }
 
-// newShard orders the candidates: active ones first, then by ID, each once.
+// newShard returns a shard with its candidates sorted, active ones first and then by ID, without
+// duplicates and limited to maxCandidates.
 func newShard(group string, keys keyspace.Range, candidates []*catalog.Server) shard {
 	ordered := slices.Clone(candidates)
 	slices.SortFunc(ordered, func(a, b *catalog.Server) int {
@@ -108,8 +109,8 @@
 	return result
 }
 
-// layouts is the plans of the whole key space for every version that a view
-// shows, newest first. It is immutable.
+// layouts holds the plans of the whole key space for every version in a view, newest first. It is
+// immutable.
 type layouts struct {
 	view     *catalog.View
 	versions []*layout
@@ -134,30 +135,31 @@
 	return result
 }
 
-// pin chooses the version to answer from: the newest that covers the most. A
-// non-empty key narrows the layout to the part that holds it. The result is
-// nil if no server can be asked.
+// pin chooses the version to answer from: the one with the greatest reachable width, the newest of
+// these if there are several. With a non-empty key it chooses the newest version that has a server
+// for the key, and narrows the layout to the part that contains the key. It returns nil if there is
+// no usable server.
 func (l *layouts) pin(key string) *layout {
 	var best *layout
 	for _, candidate := range l.versions {
 		if key != "" {
 			candidate = candidate.narrow(keyspace.Position(key))
 		}
-		if candidate.reachable == 0 {
+		if candidate.reachableWidth == 0 {
 			continue
 		}
 		if key != "" {
 			return candidate
 		}
-		if best == nil || candidate.reachable > best.reachable {
+		if best == nil || candidate.reachableWidth > best.reachableWidth {
 			best = candidate
 		}
 	}
 	return best
 }
 
-// layoutCache keeps the layouts of the last view of each service, because many
-// queries share a view. It is safe for concurrent use.
+// layoutCache keeps the layouts of the latest view of each service, because many queries use the
+// same view. It is safe for concurrent use.
 type layoutCache struct {
 	services sync.Map // target.Service -> *cachedLayouts
 }
@@ -168,7 +170,7 @@
 	layouts *layouts
 }
 
-func (c *layoutCache) of(view *catalog.View) *layouts {
+func (c *layoutCache) get(view *catalog.View) *layouts {
 	found, ok := c.services.Load(view.Service)
 	if !ok {
 		found, _ = c.services.LoadOrStore(view.Service, &cachedLayouts{})
--- a/pkg/query/pass.go
+++ b/pkg/query/pass.go
@@ -13,45 +13,45 @@
 	"github.com/bramblemast/bramblemast/pkg/policy"
 )
 
-// never is a moment after every deadline.
+// never is a time later than every deadline.
 const never = time.Duration(math.MaxInt64)
 
-// usualReplicas is the number of candidates of a part that room is made for.
-const usualReplicas = 8
+// typicalReplicas is the initial capacity of the scratch slices for the choice of a replica.
+const typicalReplicas = 8
 
 // partStatus is the state of one part of a pass.
 type partStatus int
 
 const (
-	// open means that the part is not covered and may yet be.
-	open partStatus = iota
-	covered
-	// stranded means that no server is known to hold the part.
-	stranded
-	// givenUp means that no further sub-request is sent for the part.
-	givenUp
-	// replaced means that other parts stand for the range of this one.
-	replaced
+	// partOpen means that the part is not covered yet but may still be.
+	partOpen partStatus = iota
+	partCovered
+	// partUnavailable means that no usable server is known for the part.
+	partUnavailable
+	// partGivenUp means that no further sub-request is sent for the part.
+	partGivenUp
+	// partReplaced means that newer parts have taken over the range of this one.
+	partReplaced
 )
 
 // partState is one part of a pass.
 type partState struct {
 	plan   *plannedPart
 	status partStatus
-	// running are the attempts without a result: an attempt and its hedges.
+	// running holds the unfinished attempts: an attempt and its hedges.
 	running [1 + maxHedges]*attempt
-	// tried has a bit for each of the plan's candidates that was asked.
+	// tried has a bit set for each of the plan's candidates that was tried.
 	tried uint64
-	// attempts counts all attempts, and sent those that were sent.
+	// attempts counts all attempts; sent leaves out those that ended before they were sent.
 	attempts int
 	sent     int
-	// hedgeAt and retryAt are when a hedge or a retry is due, since the start
-	// of the execution.
+	// hedgeAt and retryAt are when a hedge or a retry is to be sent, as time since the start of the
+	// execution.
 	hedgeAt time.Duration
 	retryAt time.Duration
 }
 
-// countRunning returns the number of attempts without a result.
+// countRunning returns the number of unfinished attempts.
 func (s *partState) countRunning() int {
 	count := 0
 	for _, running := range s.running {
@@ -62,8 +62,8 @@
 	return count
 }
 
-// drop takes an attempt off the running ones.
-func (s *partState) drop(finished *attempt) {
+// removeRunning removes an attempt from the running ones.
+func (s *partState) removeRunning(finished *attempt) {
 	for i := range s.running {
 		if s.running[i] == finished {
 			s.running[i] = nil
@@ -71,8 +71,8 @@
 	}
 }
 
-// keep puts an attempt among the running ones.
-func (s *partState) keep(started *attempt) {
+// addRunning adds an attempt to the running ones.
+func (s *partState) addRunning(started *attempt) {
 	for i := range s.running {
 		if s.running[i] == nil {
 			s.running[i] = started
@@ -81,124 +81,128 @@
 	}
 }
 
-// pass is the work on one request at one index version. All fields but the
-// inbox belong to the goroutine of Execute.
+// pass is the execution of one request at one index version. All fields except the inbox are used by
+// the goroutine of Execute only.
 type pass struct {
 	execution *execution
 	inbox     inbox
 	view      *catalog.View
 	pinned    *layout
 	parts     []partState
-	// slab holds the attempts of the fan-out, to allocate them at once.
+	// slab holds unused attempts for the fan-out, allocated at once.
 	slab []attempt
 
-	covered     keyspace.Set
-	merged      top
-	matches     uint64
-	scoreSum    int64
+	covered  keyspace.Set
+	merged   topRecords
+	matches  uint64
+	scoreSum int64
+	// outstanding counts the attempts that the event loop waits for.
 	outstanding int
-	// scheduled counts the parts with a retry to come.
+	// scheduled counts the parts with a scheduled retry.
 	scheduled int
-	// strandedParts counts the parts that no known server holds.
-	strandedParts int
-	// lost counts the sub-requests whose server broke the connection, and trials those that
-	// were sent although the request was suspect for that; see keepBack.
-	lost   int
-	trials int
-	// refused is what servers said that they do not serve.
-	refused []refusal
+	// unavailableParts counts the parts with status partUnavailable.
+	unavailableParts int
+	// lostConnections counts the sub-requests whose connection was lost. trials counts the
+	// sub-requests that were sent although the request was suspect for that; see holdBack.
+	lostConnections int
+	trials          int
+	// refusals holds which servers refused which ranges because the plan was out of date.
+	refusals []refusal
+	// fatal is a failure that ends the request; restart is the layout to restart on.
 	fatal   *outcome.Error
 	restart *layout
 
 	// now is the time since the start of the execution at the current event.
 	now time.Duration
-	// reachedAt is when the coverage reached the stop rule's target share.
-	reachedAt time.Duration
-	// nextDue is the earliest hedge or retry; recheckAt is when the stop rule
-	// wants to be asked again.
+	// targetReachedAt is when the coverage reached the stop rule's target share.
+	targetReachedAt time.Duration
+	// nextDue is the time of the earliest hedge or retry; recheckAt is when the stop rule is to be
+	// evaluated again.
 	nextDue   time.Duration
 	recheckAt time.Duration
-	// timer wakes the event loop at timerDue.
+	// timer wakes the event loop at timerDue, a time since the start of the execution.
 	timer    *time.Timer
 	timerDue time.Duration
-	// hedgeDue is what hedgeTime returned at hedgeAsked.
-	hedgeDue   time.Duration
-	hedgeAsked time.Duration
-	// fresh is true if parts were covered since the last partial.
-	fresh         bool
-	nextPartialAt time.Duration
-	announced     bool
-
-	// replicas and indices are scratch space for the choice of a replica.
+	// cachedHedgeTime is what hedgeTime returned at hedgeTimeCachedAt.
+	cachedHedgeTime   time.Duration
+	hedgeTimeCachedAt time.Duration
+	// partialPending is true if parts were covered since the last partial; partialSent is true once
+	// this pass has sent a partial.
+	partialPending bool
+	nextPartialAt  time.Duration
+	partialSent    bool
+
+	// replicas and indices are scratch slices for the choice of a replica.
 	replicas []policy.ReplicaState
 	indices  []int
 }
 
 func newPass(x *execution, view *catalog.View, pinned *layout) *pass {
 	return &pass{
-		execution:  x,
-		inbox:      newInbox(),
-		view:       view,
-		pinned:     pinned,
-		merged:     newTop(x.request.Limit),
-		reachedAt:  never,
-		nextDue:    never,
-		recheckAt:  never,
-		hedgeAsked: never,
-		timerDue:   never,
-		replicas:   make([]policy.ReplicaState, 0, usualReplicas),
-		indices:    make([]int, 0, usualReplicas),
+		execution:         x,
+		inbox:             newInbox(),
+		view:              view,
+		pinned:            pinned,
+		merged:            newTopRecords(x.request.Limit),
+		targetReachedAt:   never,
+		nextDue:           never,
+		recheckAt:         never,
+		hedgeTimeCachedAt: never,
+		timerDue:          never,
+		replicas:          make([]policy.ReplicaState, 0, typicalReplicas),
+		indices:           make([]int, 0, typicalReplicas),
 	}
 }
 
 // run fans out and waits until the pass ends.
-func (p *pass) run() ending {
+func (p *pass) run() passResult {
 	p.tick()
 	p.fanOut()
 	p.timer = time.AfterFunc(never, p.inbox.wake)
 	defer p.timer.Stop()
-	defer context.AfterFunc(p.execution.caller, p.inbox.wake)()
+	defer context.AfterFunc(p.execution.callerCtx, p.inbox.wake)()
 	for {
-		if ended, done := p.decide(); done {
-			ended.awaited = p.awaited()
-			return ended
+		if result, done := p.decide(); done {
+			result.awaitedServer = p.soleRunningServer()
+			return result
 		}
 		p.sendPartial()
 		p.wait()
 		p.tick()
-		p.absorb()
-		p.proceed()
+		p.processFinished()
+		p.sendFurther()
 	}
 }
 
-// proceed sends what is due, unless the request is over.
-func (p *pass) proceed() {
+// sendFurther sends due hedges and retries and retries unavailable parts, unless the request is
+// over.
+func (p *pass) sendFurther() {
 	if p.isOver() {
 		return
 	}
-	p.fireDue()
-	p.revisit()
+	p.sendDue()
+	p.retryUnavailable()
 }
 
-// isOver reports whether the deadline has come or the caller has cancelled.
-// Sub-requests that fail because of that are not tried again.
+// isOver reports whether the deadline has passed or the caller's context has ended. Sub-requests
+// that fail because of that are not retried.
 func (p *pass) isOver() bool {
-	return p.remaining() <= 0 || p.execution.caller.Err() != nil
+	return p.remaining() <= 0 || p.execution.callerCtx.Err() != nil
 }
 
-// tick reads the clock.
+// tick updates the current time of the pass.
 func (p *pass) tick() { p.now = time.Since(p.execution.started) }
 
-// total is the time from the start of the execution to its deadline.
-func (x *execution) total() time.Duration { return x.deadline.Sub(x.started) }
+// totalTime returns the time from the start of the execution to its deadline.
+func (x *execution) totalTime() time.Duration { return x.deadline.Sub(x.started) }
 
-// remaining is the time until the deadline.
-func (p *pass) remaining() time.Duration { return p.execution.total() - p.now }
+// remaining returns the time until the deadline.
+func (p *pass) remaining() time.Duration { return p.execution.totalTime() - p.now }
 
-// wait blocks until something happens or is due.
+// wait blocks until an attempt finishes, the caller's context ends, or the next timed action is due.
 func (p *pass) wait() {
-	due := min(p.execution.total(), p.nextDue, p.recheckAt)
-	if p.fresh && p.execution.partial != nil {
+	due := min(p.execution.totalTime(), p.nextDue, p.recheckAt)
+	if p.partialPending && p.execution.partial != nil {
 		due = min(due, p.nextPartialAt)
 	}
 	if due != p.timerDue || due <= p.now {
@@ -206,89 +210,89 @@
 		p.timerDue = due
 	}
 	<-p.inbox.ready
-	// Answers tend to come in bursts: let those that are about to be delivered
-	// come first, so that one look around takes in all of them.
+	// Answers tend to arrive in bursts. Yield once, so that answers that are about to be delivered
+	// are processed in the same iteration.
 	runtime.Gosched()
 }
 
-// decide tells whether the pass has ended, and how.
-func (p *pass) decide() (ending, bool) {
+// decide reports whether the pass has ended, and with which result.
+func (p *pass) decide() (passResult, bool) {
 	x := p.execution
 	switch {
-	case x.caller.Err() != nil && p.covered.Width() < p.pinned.asked.Width():
-		return ending{failure: p.cancelled()}, true
+	case x.callerCtx.Err() != nil && p.covered.Width() < p.pinned.requested.Width():
+		return passResult{failure: p.cancellation()}, true
 	case p.fatal != nil:
-		return ending{failure: p.fatal}, true
-	case p.covered.Width() == p.pinned.asked.Width():
-		return ending{reason: policy.StopAllParts}, true
+		return passResult{failure: p.fatal}, true
+	case p.covered.Width() == p.pinned.requested.Width():
+		return passResult{reason: policy.StopAllParts}, true
 	case p.remaining() <= 0:
-		return ending{reason: policy.StopDeadline}, true
+		return passResult{reason: policy.StopDeadline}, true
 	case p.restart != nil:
-		return ending{restart: p.restart}, true
+		return passResult{restart: p.restart}, true
 	case p.outstanding == 0 && p.scheduled == 0:
-		return ending{reason: policy.StopExhausted}, true
+		return passResult{reason: policy.StopExhausted}, true
 	case x.request.Template.NotRepeatable:
-		return ending{}, false
+		return passResult{}, false
 	}
 	decision := x.request.Policies.Stop.Decide(p.progress())
 	if decision.Stop {
-		return ending{reason: decision.Reason}, true
+		return passResult{reason: decision.Reason}, true
 	}
 	p.recheckAt = never
 	if decision.Recheck > 0 {
 		p.recheckAt = p.now + decision.Recheck
 	}
-	return ending{}, false
+	return passResult{}, false
 }
 
 func (p *pass) progress() policy.Progress {
 	progress := policy.Progress{
 		CoveredWidth: p.covered.Width(),
-		TotalWidth:   p.pinned.asked.Width(),
-		Records:      p.merged.taken,
+		TotalWidth:   p.pinned.requested.Width(),
+		Records:      p.merged.received,
 		Outstanding:  p.outstanding,
 		Elapsed:      p.now,
 		Remaining:    p.remaining(),
 	}
-	if p.reachedAt == never && progress.Share() >= p.execution.request.Policies.Stop.TargetShare() {
-		p.reachedAt = p.now
+	if p.targetReachedAt == never && progress.Share() >= p.execution.request.Policies.Stop.TargetShare() {
+		p.targetReachedAt = p.now
 	}
-	if p.reachedAt != never {
-		progress.SinceCoverage = p.now - p.reachedAt
+	if p.targetReachedAt != never {
+		progress.SinceCoverage = p.now - p.targetReachedAt
 	}
 	return progress
 }
 
-// absorb takes in the attempts that have finished.
-func (p *pass) absorb() {
+// processFinished processes all attempts that have finished.
+func (p *pass) processFinished() {
 	for finished := p.inbox.take(); finished != nil; finished = finished.next {
-		p.settle(finished)
+		p.processAttempt(finished)
 	}
 }
 
-// settle takes in one finished attempt.
-func (p *pass) settle(finished *attempt) {
+// processAttempt processes one finished attempt: it merges the answer or handles the failure.
+func (p *pass) processAttempt(finished *attempt) {
 	if finished.detached {
-		p.dropLate(finished)
+		p.reportLate(finished)
 		return
 	}
 	p.outstanding--
 	part := &p.parts[finished.part]
-	part.drop(finished)
+	part.removeRunning(finished)
 	if finished.err == nil && !p.covered.Add(finished.response.Range) {
 		finished.observer().CorruptResponse(finished.request.Target.Service, finished.request.Target.Server)
-		finished.err = unknown(stepCheck, finished.request.Target.Server, outcome.ReasonCorruptResponse, errRepeated)
+		finished.err = unknown(stepCheck, finished.request.Target.Server, outcome.ReasonCorruptResponse, errAlreadyCovered)
 	}
 	if finished.err != nil {
-		p.failed(finished)
+		p.handleFailure(finished)
 		return
 	}
 	p.execution.mayHaveRun++
 	p.merge(finished.response)
-	part.status = covered
+	part.status = partCovered
 	for _, running := range part.running {
 		if running != nil {
-			p.release(running, finished.outran(running))
+			p.discardRunning(running, finished.endStateOf(running))
 		}
 	}
 }
@@ -298,72 +302,73 @@
 	p.merged.add(response.Records)
 	p.matches += response.Matches
 	p.scoreSum += response.ScoreSum
-	p.fresh = true
+	p.partialPending = true
 }
 
-// release ends an attempt that is no longer wanted.
-func (p *pass) release(running *attempt, cause attemptState) {
+// discardRunning discards an attempt whose answer is no longer wanted.
+func (p *pass) discardRunning(running *attempt, state attemptState) {
 	p.outstanding--
-	p.parts[running.part].drop(running)
-	if running.end(cause) {
-		p.uncount(running)
+	p.parts[running.part].removeRunning(running)
+	if running.discard(state) {
+		p.uncountUnsent(running)
 	} else {
 		p.execution.mayHaveRun++
 	}
 }
 
-// uncount takes back an attempt that was never sent.
-func (p *pass) uncount(unsent *attempt) {
-	p.execution.count(unsent.kind, -1)
+// uncountUnsent removes an attempt that was never sent from the counts, and refunds it if it was
+// paid.
+func (p *pass) uncountUnsent(unsent *attempt) {
+	p.execution.countAttempts(unsent.kind, -1)
 	p.parts[unsent.part].sent--
 	if unsent.paid {
 		p.execution.budget.Refund()
 	}
 }
 
-// dropLate counts an answer that is no longer wanted.
-func (p *pass) dropLate(finished *attempt) {
+// reportLate reports an answer that is no longer wanted to the observer.
+func (p *pass) reportLate(finished *attempt) {
 	if finished.err == nil {
 		finished.observer().LateResponse(finished.request.Target.Service)
 	}
 }
 
-// close ends what still runs. Answers that arrive from now on are dropped by
-// their own goroutines.
-func (p *pass) close(ended ending) {
-	cause := stopped
-	if ended.reason == policy.StopDeadline {
-		cause = expired
+// close discards the attempts that are still running. Answers that arrive from now on are dropped
+// by their own goroutines.
+func (p *pass) close(result passResult) {
+	state := attemptStopped
+	if result.reason == policy.StopDeadline {
+		state = attemptExpired
 	}
 	for finished := p.inbox.close(); finished != nil; finished = finished.next {
-		p.dropLate(finished)
+		p.reportLate(finished)
 		if finished.detached {
 			continue
 		}
 		p.outstanding--
-		p.parts[finished.part].drop(finished)
-		p.account(finished)
+		p.parts[finished.part].removeRunning(finished)
+		p.countUnanswered(finished)
 	}
 	for i := range p.parts {
 		for _, running := range p.parts[i].running {
 			if running != nil {
-				p.release(running, cause)
+				p.discardRunning(running, state)
 			}
 		}
 	}
 }
 
-// account counts the end of an attempt that gave no answer to merge.
-func (p *pass) account(finished *attempt) {
+// countUnanswered counts an attempt that ended without an answer to merge.
+func (p *pass) countUnanswered(finished *attempt) {
 	switch outcome.ReasonOf(finished.err) {
 	case outcome.ReasonShed, outcome.ReasonOverloaded:
-		p.execution.load.Refused++
+		p.execution.extraLoad.Refused++
 	}
 	switch {
 	case !finished.wasSent():
-		p.uncount(finished)
+		p.uncountUnsent(finished)
 	case outcome.Of(finished.err) == outcome.NotRun:
-		p.execution.load.NotRun++
+		p.execution.extraLoad.NotRun++
 	default:
 		p.execution.mayHaveRun++
 	}
--- a/pkg/query/tiling_test.go
+++ b/pkg/query/tiling_test.go
@@ -38,19 +38,19 @@
 	return shards
 }
 
-// bestCost finds the least cost by trying every division at sixteenths.
-func bestCost(asked keyspace.Range, edges []plannedPart) cost {
-	if asked.Width() == 0 {
+// bestCost returns the minimum cost, by trying every division into edges.
+func bestCost(requested keyspace.Range, edges []plannedPart) cost {
+	if requested.Width() == 0 {
 		return cost{}
 	}
 	var best cost
 	found := false
 	for _, edge := range edges {
-		if edge.keys.Start != asked.Start || edge.keys.End > asked.End {
+		if edge.keys.Start != requested.Start || edge.keys.End > requested.End {
 			continue
 		}
-		rest := bestCost(keyspace.Range{Start: edge.keys.End, End: asked.End}, edges)
-		total := cost{}.plus(edge)
+		rest := bestCost(keyspace.Range{Start: edge.keys.End, End: requested.End}, edges)
+		total := cost{}.add(edge)
 		total = cost{missing: total.missing + rest.missing, cut: total.cut + rest.cut, scarcity: total.scarcity + rest.scarcity, parts: total.parts + rest.parts}
 		if !found || total.less(best) {
 			best, found = total, true
@@ -59,36 +59,38 @@
 	return best
 }
 
+// TestTilingIsExactAndCheapest guards against tilings with gaps, overlaps or candidates that do not
+// hold their part, and against tilings that are not of minimum cost, over random overlapping shards.
 func TestTilingIsExactAndCheapest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := drawShards(t)
 		start := rapid.Uint32Range(0, 15).Draw(t, "asked start")
-		asked := sixteenths(start, rapid.Uint32Range(start+1, 16).Draw(t, "asked end"))
-		parts := tile(asked, shards)
-		next := asked.Start
+		requested := sixteenths(start, rapid.Uint32Range(start+1, 16).Draw(t, "asked end"))
+		parts := tile(requested, shards)
+		next := requested.Start
 		var total cost
 		for _, part := range parts {
 			if part.keys.Start != next || !part.keys.Valid() {
-				t.Fatalf("%v does not divide %s", parts, asked)
+				t.Fatalf("the parts %v have a gap, an overlap or an empty range in %s", parts, requested)
 			}
 			next = part.keys.End
-			total = total.plus(part)
-			checkHolders(t, part, shards)
+			total = total.add(part)
+			checkCandidates(t, part, shards)
 		}
-		if next != asked.End {
-			t.Fatalf("%v does not reach the end of %s", parts, asked)
+		if next != requested.End {
+			t.Fatalf("the parts %v do not reach the end of %s", parts, requested)
 		}
-		checkReach(t, parts, shards)
-		edges := clipTo(asked, shards)
-		edges = append(edges, pieces(boundaries(asked, edges), edges)...)
-		if best := bestCost(asked, edges); best.less(total) {
-			t.Fatalf("cost %+v, but %+v is possible", total, best)
+		checkReachability(t, parts, shards)
+		edges := clipTo(requested, shards)
+		edges = append(edges, pieces(boundaries(requested, edges), edges)...)
+		if best := bestCost(requested, edges); best.less(total) {
+			t.Fatalf("the tiling costs %+v, but %+v is possible", total, best)
 		}
 	})
 }
 
-// checkHolders checks that each candidate holds the part as a whole.
-func checkHolders(t *rapid.T, part plannedPart, shards []shard) {
+// checkCandidates checks that each candidate holds the whole range of the part.
+func checkCandidates(t *rapid.T, part plannedPart, shards []shard) {
 	for _, candidate := range part.candidates {
 		holds := false
 		for _, held := range shards {
@@ -97,24 +99,25 @@
 			}
 		}
 		if !holds {
-			t.Fatalf("%s does not hold %s", candidate.ID, part.keys)
+			t.Fatalf("candidate %s does not hold %s", candidate.ID, part.keys)
 		}
 	}
 }
 
-// checkReach checks that every position that some server holds can be asked.
-func checkReach(t *rapid.T, parts []plannedPart, shards []shard) {
+// checkReachability checks that every position that some server holds is in a part with candidates.
+func checkReachability(t *rapid.T, parts []plannedPart, shards []shard) {
 	for _, part := range parts {
 		for _, held := range shards {
 			if len(part.candidates) == 0 && len(held.candidates) > 0 && held.keys.Overlaps(part.keys) {
-				t.Fatalf("%s is missing, but %s is held", part.keys, held.keys)
+				t.Fatalf("%s has no candidate, but a server holds %s", part.keys, held.keys)
 			}
 		}
 	}
 }
 
-// TestAShardWithoutServersHidesNoLargerOne: two halves are split from larger shards that overlap, and have no servers
-// yet. Their parts are asked of the larger ones.
+// TestAShardWithoutServersHidesNoLargerOne guards against a part without candidates although a
+// larger shard holds its range. Two shards without servers are split from larger, overlapping shards
+// that have servers; their ranges must be queried from the larger ones.
 func TestAShardWithoutServersHidesNoLargerOne(t *testing.T) {
 	held := func(name string) []*catalog.Server { return []*catalog.Server{{ID: target.ServerID(name)}} }
 	parts := tile(sixteenths(0, 3), []shard{
@@ -123,11 +126,13 @@
 	})
 	for _, part := range parts {
 		if len(part.candidates) == 0 {
-			t.Errorf("%s is missing, but a larger shard holds it", part.keys)
+			t.Errorf("%s has no candidate, but a larger shard holds it", part.keys)
 		}
 	}
 }
 
+// TestTilingPrefersMoreReplicas checks the choice between a parent shard and its children, which
+// exist at the same time during a repartition: the ones with more replicas are used.
 func TestTilingPrefersMoreReplicas(t *testing.T) {
 	replicas := func(names ...string) (servers []*catalog.Server) {
 		for _, name := range names {
@@ -147,7 +152,7 @@
 	}
 }
 
-// BenchmarkLayouts gives the cost of a new view of a service with 880 servers.
+// BenchmarkLayouts measures the cost of planning a new view of a service with 880 servers.
 func BenchmarkLayouts(b *testing.B) {
 	view := &catalog.View{Service: "service"}
 	for i, keys := range keyspace.Split(220) {
--- a/pkg/quota/coordinators.go
+++ b/pkg/quota/coordinators.go
@@ -11,31 +11,34 @@
 	"github.com/bramblemast/bramblemast/pkg/rendezvous"
 )
 
-// Number and choice of the coordinators of a deployment, and how long its lists of nodes may differ.
+// Number and choice of the coordinators of a deployment, and how long node lists may differ.
 const (
-	// leastCoordinators is the least number of nodes that coordinate limits.
-	leastCoordinators = 4
-	// rankedCoordinators is the number of coordinators of the whole deployment that a node
-	// turns to for one tenant. The next is one of its own zone, so that a zone that is cut off
-	// holds its part of the limit together.
+	// minCoordinators is the minimum number of nodes that coordinate limits.
+	minCoordinators = 4
+	// rankedCoordinators is the number of coordinators of the whole deployment that a node uses for
+	// one tenant. The next one is a coordinator of its own zone, so that a zone that is cut off
+	// shares its part of the limit.
 	rankedCoordinators = 2
 	// zoneCoordinatorCount is the number of nodes of a zone that coordinate limits within it.
 	zoneCoordinatorCount = 4
-	// coordinatorsKey is what the coordinators are ranked by.
+	// coordinatorsKey is the rendezvous key that ranks the coordinators.
 	coordinatorsKey = "quota"
-	// assumedNodes stands for the number of nodes until the list of nodes is known. It is large, so
-	// that a node's equal part of a limit is small until then.
+	// assumedNodes is the number of nodes assumed until the node list is known. It is large, so
+	// that the node's equal part of a limit is small until then.
 	assumedNodes = 100
-	// goneSpan is for how long a node that has left the list of nodes counts as cut off rather than
-	// ended. A node that is cut off leaves the list some seconds later and may still admit requests
-	// at its entitlement; if it has ended, its part of limits stays unused for goneSpan.
-	goneSpan = 20 * time.Second
-	// listSpan is for how long after its start a process that the list did not hold before takes the lists of
-	// nodes to be incomplete, as after a loss of power in which the entries of all nodes lapsed.
-	listSpan = 10 * time.Second
-	// settleSpan is for how long, within listSpan, the coordinators must stay the same before they are relied
-	// on: until then several nodes may take themselves for the first coordinator of a tenant.
-	settleSpan = 2 * time.Second
+	// departedSpan is how long a node that has left the node list counts as cut off and not as
+	// stopped. A node that is cut off leaves the list some seconds later and may still admit
+	// requests by its entitlement. If its process has stopped, its part of the limits is unused for
+	// departedSpan.
+	departedSpan = 20 * time.Second
+	// listFillSpan is how long after its start a process that was not in the node list before
+	// regards node lists as incomplete, as after a power loss in which the entries of all nodes
+	// expired.
+	listFillSpan = 10 * time.Second
+	// coordinatorSettleSpan is how long, within listFillSpan, the set of coordinators must be
+	// unchanged before it is relied on. Until then several nodes may regard themselves as the first
+	// coordinator of a tenant.
+	coordinatorSettleSpan = 2 * time.Second
 )
 
 // Node is one node of the deployment.
@@ -45,7 +48,7 @@
 	Address peer.Address
 }
 
-// SetNodes takes the nodes of the deployment, this one included. Nodes without an address are left
+// SetNodes sets the nodes of the deployment, including this one. Nodes without an address are left
 // out, since nothing can be sent to them.
 func (l *Limiter) SetNodes(nodes []Node) {
 	now := time.Now()
@@ -62,71 +65,74 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	before := l.addresses
+	previous := l.addresses
 	l.addresses = addresses
 	slices.Sort(names)
 	l.rank = max(0, slices.Index(names, l.options.Local))
 	l.chooseCoordinators(names, inZone, now)
-	l.noteGone(before, addresses, now)
+	l.recordDeparted(previous, addresses, now)
 	l.openLinks(now)
-	for tenant, held := range l.meters {
-		held.meter.SetNodes(l.nodeCount())
-		held.meter.SetPlace(l.place(tenant))
-		held.ranked = l.ranked(tenant)
-		held.meter.SetStanding(l.standing(held.ranked), now)
+	for tenant, entry := range l.meters {
+		entry.meter.SetNodes(l.nodeCount())
+		entry.meter.SetRoundingOffset(l.roundingOffset(tenant))
+		entry.ranked = l.ranked(tenant)
+		entry.meter.SetMode(l.mode(entry.ranked), now)
 	}
 	l.requestReport()
 }
 
-// chooseCoordinators ranks the coordinators of the deployment and those of this node's zone. The caller
-// holds the mutex.
+// chooseCoordinators ranks the coordinators of the deployment and those of this node's zone. The
+// caller holds the mutex.
 func (l *Limiter) chooseCoordinators(names, inZone []string, now time.Time) {
-	known := l.coordinators.Top(coordinatorsKey, l.coordinators.Len())
-	found := rendezvous.Top(coordinatorsKey, names, coordinatorCount(len(names)))
-	if !slices.Equal(known, found) {
-		l.coordinators, l.coordinatorsSince, l.isCoordinator = rendezvous.NewSet(found), now, make(map[string]bool, len(found))
-		for _, name := range found {
+	current := l.coordinators.Top(coordinatorsKey, l.coordinators.Len())
+	chosen := rendezvous.Top(coordinatorsKey, names, coordinatorCount(len(names)))
+	if !slices.Equal(current, chosen) {
+		l.coordinators, l.coordinatorsSince, l.isCoordinator = rendezvous.NewSet(chosen), now, make(map[string]bool, len(chosen))
+		for _, name := range chosen {
 			l.isCoordinator[name] = true
 		}
 	}
 	l.zoneCoordinators = rendezvous.NewSet(rendezvous.Top(coordinatorsKey, inZone, zoneCoordinatorCount))
 }
 
-// noteGone compares the list of nodes with the one before it. A node that has left it may be cut off
-// and still admit requests at its entitlement, so that it counts as silent for goneSpan. One that is
-// listed again counts as silent until it reports or answers. The caller holds the mutex.
-func (l *Limiter) noteGone(before, after map[string]peer.Address, now time.Time) {
+// recordDeparted compares the node list with the previous one. A node that has left the list may be
+// cut off and still admit requests by its entitlement, so it counts as silent for departedSpan. A
+// node that is listed again counts as silent until it reports or answers. The caller holds the
+// mutex.
+func (l *Limiter) recordDeparted(before, after map[string]peer.Address, now time.Time) {
 	for name := range before {
 		if after[name] == "" && name != l.options.Local {
 			l.silent[name] = true
-			l.gone[name] = now.Add(goneSpan)
+			l.departed[name] = now.Add(departedSpan)
 		}
 	}
 	for name := range after {
-		delete(l.gone, name)
+		delete(l.departed, name)
 	}
 }
 
-// forgetGone forgets nodes that left the list more than goneSpan ago. The caller holds the mutex.
-func (l *Limiter) forgetGone(now time.Time) {
-	for name, until := range l.gone {
+// forgetDeparted removes nodes that left the list more than departedSpan ago. The caller holds the
+// mutex.
+func (l *Limiter) forgetDeparted(now time.Time) {
+	for name, until := range l.departed {
 		if now.After(until) {
-			delete(l.gone, name)
+			delete(l.departed, name)
 			delete(l.silent, name)
 		}
 	}
 }
 
-// isSettling reports whether other nodes may have another list of nodes than this one. The caller holds the mutex.
+// isSettling reports whether other nodes may have a different node list. The caller holds the
+// mutex.
 func (l *Limiter) isSettling(now time.Time) bool {
-	return now.Sub(l.startedAt) < listSpan && now.Sub(l.coordinatorsSince) < settleSpan && l.options.WasListed != nil && !l.options.WasListed()
+	return now.Sub(l.startedAt) < listFillSpan && now.Sub(l.coordinatorsSince) < coordinatorSettleSpan && l.options.WasListed != nil && !l.options.WasListed()
 }
 
-// coordinatorCount returns how many of a number of nodes coordinate limits. It grows with the square
-// root of that number, so that each node has few connections to coordinators, and
-// a coordinator few to the others.
+// coordinatorCount returns how many of the given number of nodes coordinate limits. It grows with
+// the square root of that number, so that each node has few connections to coordinators and a
+// coordinator has few to the others.
 func coordinatorCount(nodes int) int {
-	count := leastCoordinators
+	count := minCoordinators
 	for count*count < nodes {
 		count++
 	}
@@ -136,25 +142,27 @@
 // ranked returns the coordinators of a tenant for this node, best first. The caller holds the
 // mutex.
 func (l *Limiter) ranked(tenant string) []string {
-	found := l.coordinators.Top(tenant, rankedCoordinators)
+	names := l.coordinators.Top(tenant, rankedCoordinators)
 	for _, name := range l.zoneCoordinators.Top(tenant, 1) {
-		if !slices.Contains(found, name) {
-			found = append(found, name)
+		if !slices.Contains(names, name) {
+			names = append(names, name)
 		}
 	}
-	return found
+	return names
 }
 
-// place returns this node's place for a tenant (see Meter.SetPlace), 0 to below 1. Multiples of the golden
-// ratio, taken by rank, spread any number of nodes evenly; an offset by the hash of the tenant's name
-// keeps one node from being first for all tenants. The caller holds the mutex.
-func (l *Limiter) place(tenant string) float64 {
-	offset := float64(xxhash.Sum64String(tenant)>>11) / (1 << 53)
-	_, place := math.Modf(offset + float64(l.rank)/math.Phi)
-	return place
+// roundingOffset returns this node's offset for a tenant (see Meter.SetRoundingOffset), from 0 to
+// below 1. Multiples of the golden ratio, taken by rank, spread any number of nodes evenly;
+// starting at a hash of the tenant's name prevents one node from being preferred for all tenants.
+// The caller holds the mutex.
+func (l *Limiter) roundingOffset(tenant string) float64 {
+	start := float64(xxhash.Sum64String(tenant)>>11) / (1 << 53)
+	_, offset := math.Modf(start + float64(l.rank)/math.Phi)
+	return offset
 }
 
-// nodeCount returns the number of nodes. The caller holds the mutex.
+// nodeCount returns the number of nodes, or assumedNodes while it is unknown. The caller holds the
+// mutex.
 func (l *Limiter) nodeCount() int {
 	if len(l.addresses) == 0 {
 		return assumedNodes
--- a/pkg/quota/links.go
+++ b/pkg/quota/links.go
@@ -7,61 +7,62 @@
 	"github.com/bramblemast/bramblemast/pkg/quota/quotapb"
 )
 
-// coordinatorInterval is how often coordinators ask each other whether they answer: one that is
-// cut off must know of it also while no tenant is at its limit, since others stand in for it.
+// coordinatorInterval is how often coordinators check whether the others answer. A coordinator that
+// is cut off must detect it even while no tenant is at its limit, since others stand in for it.
 const coordinatorInterval = 500 * time.Millisecond
 
-// contactInterval is after how long without an answer of any coordinator a node asks one. What the
-// node admits until it knows that it is cut off comes beside the part of limits that it has alone.
+// contactInterval is the time without an answer of any coordinator after which a node calls one.
+// What the node admits until it detects that it is cut off adds to its entitlement while isolated.
 const contactInterval = 450 * time.Millisecond
 
-// lateAnswer is after how long a call is late: more than the way to a far region and back.
-const lateAnswer = 90 * time.Millisecond
+// lateCallAge is the age at which a call counts as late: more than the round trip to a distant
+// region.
+const lateCallAge = 90 * time.Millisecond
 
-// heardSpan is for how long a report of another node shows that this one stands in for a
-// coordinator. Other coordinators ask it several times in it.
-const heardSpan = 1500 * time.Millisecond
+// reportingSpan is how long a report of another node proves that this node stands in for a
+// coordinator. Other coordinators call it several times in that span.
+const reportingSpan = 1500 * time.Millisecond
 
-// Waits between the questions whether a silent coordinator answers again.
+// Backoff between probes of a silent coordinator.
 const (
-	firstProbeWait    = 500 * time.Millisecond
-	greatestProbeWait = 2 * time.Second
+	firstProbeWait = 500 * time.Millisecond
+	maxProbeWait   = 2 * time.Second
 )
 
-// link is what a node knows of a coordinator.
+// link is the state of the connection to one coordinator.
 type link struct {
 	isLocal bool
-	// answers says that the last call was answered.
+	// answers is set if the last call was answered.
 	answers bool
-	// calling says that a call is under way.
-	calling   bool
+	// isCalling is set while a call is in progress.
+	isCalling bool
 	wait      time.Duration
 	nextProbe time.Time
-	// calledAt is when the last call began.
+	// calledAt is when the last call started.
 	calledAt time.Time
-	// checkedAt is when it was last asked because another one stands in for it.
+	// checkedAt is when the coordinator was last checked because another one stands in for it.
 	checkedAt time.Time
-	// lost says that Events was told of its loss and not yet of its return.
-	lost bool
+	// isReportedLost is set between the CoordinatorLost and CoordinatorRegained events.
+	isReportedLost bool
 }
 
-// lose notes that the coordinator did not answer.
-func (k *link) lose(now time.Time) {
+// markFailed records that the coordinator did not answer.
+func (k *link) markFailed(now time.Time) {
 	if k.isLocal {
 		return
 	}
 	k.answers = false
-	k.wait = min(max(2*k.wait, firstProbeWait), greatestProbeWait)
+	k.wait = min(max(2*k.wait, firstProbeWait), maxProbeWait)
 	k.nextProbe = now.Add(k.wait)
 }
 
-// hasFailed reports whether the coordinator did not answer when it was last called.
+// hasFailed reports whether the coordinator did not answer the last call.
 func (k *link) hasFailed() bool { return k.wait > 0 }
 
-// regain notes that the coordinator answered.
-func (k *link) regain() { k.answers, k.wait = true, 0 }
+// markAnswered records that the coordinator answered.
+func (k *link) markAnswered() { k.answers, k.wait = true, 0 }
 
-// openLinks keeps a link to each coordinator. The caller holds the mutex.
+// openLinks keeps one link for each coordinator. The caller holds the mutex.
 func (l *Limiter) openLinks(now time.Time) {
 	links := make(map[string]*link, l.coordinators.Len())
 	names := append(l.coordinators.Top(coordinatorsKey, l.coordinators.Len()), l.zoneCoordinators.Top(coordinatorsKey, l.zoneCoordinators.Len())...)
@@ -78,126 +79,126 @@
 	l.links = links
 }
 
-// standing returns how the node stands to some coordinators. The caller holds the mutex.
-func (l *Limiter) standing(ranked []string) Standing {
+// mode returns the node's mode for a tenant with the given coordinators. The caller holds the
+// mutex.
+func (l *Limiter) mode(ranked []string) Mode {
 	switch l.coordinator(ranked) {
 	case "":
-		return Alone
+		return Isolated
 	case ranked[0]:
 		return WithFirst
 	}
 	return WithStandIn
 }
 
-// coordinator returns the best coordinator that answers; empty if none does. The caller holds
-// the mutex.
+// coordinator returns the best coordinator that answers; empty if none does. The caller holds the
+// mutex.
 func (l *Limiter) coordinator(ranked []string) string {
 	for _, name := range ranked {
-		// A node to which no other turns is no stand-in, but alone; and so is a first coordinator that has
-		// not been in touch with any other since its start.
-		isUnheard := name == l.options.Local && !l.isHeard && (name != ranked[0] || !l.wasInTouch && l.coordinators.Len() > 1)
-		if found := l.links[name]; found != nil && found.answers && !isUnheard {
+		// A node to which no other node reports is not a stand-in, but isolated; so is a first
+		// coordinator that has had no contact with any other coordinator since its start.
+		hasNoReporters := name == l.options.Local && !l.receivesReports && (name != ranked[0] || !l.hasHadContact && l.coordinators.Len() > 1)
+		if peerLink := l.links[name]; peerLink != nil && peerLink.answers && !hasNoReporters {
 			return name
 		}
 	}
 	return ""
 }
 
-// noteHeard follows whether other nodes report to this one. The caller holds the mutex.
-func (l *Limiter) noteHeard(now time.Time) {
-	isHeard := !l.heardAt.IsZero() && now.Sub(l.heardAt) <= heardSpan
-	if isHeard != l.isHeard {
-		l.isHeard = isHeard
-		l.setStandings(now)
+// updateReceivesReports updates whether other nodes report to this one. The caller holds the mutex.
+func (l *Limiter) updateReceivesReports(now time.Time) {
+	receivesReports := !l.lastReportAt.IsZero() && now.Sub(l.lastReportAt) <= reportingSpan
+	if receivesReports != l.receivesReports {
+		l.receivesReports = receivesReports
+		l.updateModes(now)
 	}
 }
 
-// setStandings tells the meters which coordinators answer. The caller holds the mutex.
-func (l *Limiter) setStandings(now time.Time) {
-	for _, held := range l.meters {
-		standing := l.standing(held.ranked)
-		held.meter.SetStanding(standing, now)
-		hinted := held.standIn
-		if standing == WithStandIn && l.coordinator(held.ranked) == hinted.from && now.Sub(hinted.at) < shareAge {
-			held.meter.Tell(hinted.verdict, now)
+// updateModes sets the mode of all meters by which coordinators answer. The caller holds the mutex.
+func (l *Limiter) updateModes(now time.Time) {
+	for _, entry := range l.meters {
+		mode := l.mode(entry.ranked)
+		entry.meter.SetMode(mode, now)
+		received := entry.standInVerdict
+		if mode == WithStandIn && l.coordinator(entry.ranked) == received.from && now.Sub(received.at) < maxShareAge {
+			entry.meter.ApplyVerdict(received.verdict, now)
 		}
 	}
 }
 
-// checkInterval is how often a coordinator that seems to answer is asked because another one
+// checkInterval is how often a coordinator that seems to answer is called because another one
 // stands in for it.
 const checkInterval = time.Second
 
-// checkCoordinator asks the coordinator to which this node turns whether it answers, since
-// another one stands in for it at other nodes: a node with few requests would not notice until
-// its next.
-// The caller holds the mutex.
+// checkCoordinator calls the coordinator that this node reports to because another one stands in
+// for it at other nodes. A node with few requests would otherwise not detect the failure until its
+// next request. The caller holds the mutex.
 func (l *Limiter) checkCoordinator(ctx context.Context, name string, now time.Time) {
-	found := l.links[name]
-	if found == nil || found.isLocal || found.calling || now.Sub(found.checkedAt) < checkInterval {
+	peerLink := l.links[name]
+	if peerLink == nil || peerLink.isLocal || peerLink.isCalling || now.Sub(peerLink.checkedAt) < checkInterval {
 		return
 	}
-	found.checkedAt = now
-	l.call(ctx, name, &quotapb.Report{Start: l.options.Start}, nil)
+	peerLink.checkedAt = now
+	l.call(ctx, name, &quotapb.Report{Start: l.options.Incarnation}, nil)
 }
 
-// probeLinks asks coordinators that did not answer whether they do.
+// probeLinks calls coordinators that did not answer.
 func (l *Limiter) probeLinks(ctx context.Context, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.keepInTouch(ctx, now)
-	for name, found := range l.links {
-		isDue := !found.answers && !now.Before(found.nextProbe)
-		if !isDue && found.answers && !found.isLocal && l.coordinates(l.options.Local) && l.coordinates(name) {
-			isDue = now.Sub(found.calledAt) >= coordinatorInterval
+	l.keepContact(ctx, now)
+	for name, peerLink := range l.links {
+		isDue := !peerLink.answers && !now.Before(peerLink.nextProbe)
+		if !isDue && peerLink.answers && !peerLink.isLocal && l.coordinates(l.options.Local) && l.coordinates(name) {
+			isDue = now.Sub(peerLink.calledAt) >= coordinatorInterval
 		}
-		if isDue && !found.calling {
-			l.call(ctx, name, &quotapb.Report{Start: l.options.Start}, nil)
+		if isDue && !peerLink.isCalling {
+			l.call(ctx, name, &quotapb.Report{Start: l.options.Incarnation}, nil)
 		}
 	}
 }
 
-// seekContact asks the coordinators at once, not with the next tick, if none has answered since the start: until
-// then the node admits next to nothing.
-func (l *Limiter) seekContact(ctx context.Context, now time.Time) {
+// seekFirstContact calls the coordinators at once, without waiting for the next tick, if none has
+// answered since the start: until then the node admits next to nothing.
+func (l *Limiter) seekFirstContact(ctx context.Context, now time.Time) {
 	l.mutex.Lock()
-	wasInTouch := l.wasInTouch
+	hasHadContact := l.hasHadContact
 	l.mutex.Unlock()
-	if !wasInTouch && l.options.IsNeeded() {
+	if !hasHadContact && l.options.KnowsTenants() {
 		l.probeLinks(ctx, now)
 	}
 }
 
-// keepInTouch asks a coordinator whether it answers if none has lately, so that a node that is cut
-// off knows of it before its next request; and another one while a call is late, so that one
-// silent coordinator leaves no doubt. In doubt it asks those of its zone too. The caller holds
-// the mutex.
-func (l *Limiter) keepInTouch(ctx context.Context, now time.Time) {
-	if !l.isInDoubt && !l.waitsForAnswer(now) && now.Sub(l.answeredAt) < contactInterval {
+// keepContact calls a coordinator if none has answered recently, so that a node that is cut off
+// detects it before its next request. While a call is late it calls another one, so that a single
+// silent coordinator leaves no doubt. In doubt it also calls the coordinators of its zone. The
+// caller holds the mutex.
+func (l *Limiter) keepContact(ctx context.Context, now time.Time) {
+	if !l.isInDoubt && !l.hasLateCall(now) && now.Sub(l.answeredAt) < contactInterval {
 		return
 	}
-	asked := make([]string, 0, 1+zoneCoordinatorCount)
+	contacted := make([]string, 0, 1+zoneCoordinatorCount)
 	if names := l.coordinators.Top(coordinatorsKey, l.coordinators.Len()); len(names) > 0 {
-		// Nodes begin with different ones, so that no coordinator is asked by all at once.
-		l.asked++
-		asked = append(asked, names[(l.rank+l.asked)%len(names)])
+		// Nodes start with different coordinators, so that none is called by all nodes at once.
+		l.contactAttempts++
+		contacted = append(contacted, names[(l.rank+l.contactAttempts)%len(names)])
 	}
 	if l.isInDoubt {
-		asked = append(asked, l.zoneCoordinators.Top(coordinatorsKey, l.zoneCoordinators.Len())...)
+		contacted = append(contacted, l.zoneCoordinators.Top(coordinatorsKey, l.zoneCoordinators.Len())...)
 	}
-	for _, name := range asked {
-		found := l.links[name]
-		if !found.isLocal && found.answers && !found.calling {
-			l.call(ctx, name, &quotapb.Report{Start: l.options.Start}, nil)
+	for _, name := range contacted {
+		peerLink := l.links[name]
+		if !peerLink.isLocal && peerLink.answers && !peerLink.isCalling {
+			l.call(ctx, name, &quotapb.Report{Start: l.options.Incarnation}, nil)
 		}
 	}
 }
 
-// waitsForAnswer reports whether a coordinator lets this node wait for longer than others take,
-// and none has answered since. The caller holds the mutex.
-func (l *Limiter) waitsForAnswer(now time.Time) bool {
-	for _, found := range l.links {
-		if found.calling && now.Sub(found.calledAt) >= lateAnswer && l.answeredAt.Before(found.calledAt) {
+// hasLateCall reports whether a call to a coordinator is late and none has answered since it
+// started. The caller holds the mutex.
+func (l *Limiter) hasLateCall(now time.Time) bool {
+	for _, peerLink := range l.links {
+		if peerLink.isCalling && now.Sub(peerLink.calledAt) >= lateCallAge && l.answeredAt.Before(peerLink.calledAt) {
 			return true
 		}
 	}
@@ -211,44 +212,44 @@
 }
 
 // missesCoordinator reports whether this node coordinates limits and another coordinator does not
-// answer, so that nodes may be out of touch. The caller holds the mutex.
+// answer, so that nodes may be isolated. The caller holds the mutex.
 func (l *Limiter) missesCoordinator() bool {
 	if !l.coordinates(l.options.Local) {
 		return false
 	}
-	for name, found := range l.links {
-		if !found.answers && l.coordinates(name) {
+	for name, peerLink := range l.links {
+		if !peerLink.answers && l.coordinates(name) {
 			return true
 		}
 	}
 	return false
 }
 
-// noteAnswer notes whether a coordinator answered a call. The caller holds the mutex.
-func (l *Limiter) noteAnswer(name string, err error, now time.Time) {
-	found := l.links[name]
-	if found == nil {
+// recordAnswer records whether a coordinator answered a call. The caller holds the mutex.
+func (l *Limiter) recordAnswer(name string, err error, now time.Time) {
+	peerLink := l.links[name]
+	if peerLink == nil {
 		return
 	}
-	found.calling = false
-	did := found.answers
+	peerLink.isCalling = false
+	wasAnswering := peerLink.answers
 	if err != nil {
-		found.lose(now)
-		l.isInDoubt = l.isInDoubt || !l.answeredAt.After(found.calledAt)
+		peerLink.markFailed(now)
+		l.isInDoubt = l.isInDoubt || !l.answeredAt.After(peerLink.calledAt)
 	} else {
-		found.regain()
-		l.wasInTouch, l.answeredAt, l.isInDoubt = true, now, false
+		peerLink.markAnswered()
+		l.hasHadContact, l.answeredAt, l.isInDoubt = true, now, false
 	}
-	if did != found.answers {
-		l.setStandings(now)
+	if wasAnswering != peerLink.answers {
+		l.updateModes(now)
 		l.requestReport()
 	}
-	if did && err != nil {
-		found.lost = true
+	if wasAnswering && err != nil {
+		peerLink.isReportedLost = true
 		l.options.Events.CoordinatorLost(name, err)
 	}
-	if found.lost && err == nil {
-		found.lost = false
+	if peerLink.isReportedLost && err == nil {
+		peerLink.isReportedLost = false
 		l.options.Events.CoordinatorRegained(name)
 	}
 }
--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -10,394 +10,411 @@
 
 // Constants of a node's decisions.
 const (
-	// recentSpan is the span of the estimate of what a node admitted lately. Clients keep
-	// their connections, so that it holds for a while when the node is cut off.
-	recentSpan = 5 * time.Second
-	// shareAge is how old a share below 1 may be: coordinators repeat it several times in it.
-	shareAge = 1500 * time.Millisecond
-	// unacknowledgedPart of a tenant's burst and of a second's rate may be admitted by one
-	// node before its coordinator has acknowledged it, a tenth of a second later as a rule:
-	// so much is lost to the sum when the node is cut off.
-	unacknowledgedPart = 0.2
-	// refusedKept is the number of refused requests that are remembered, so that those that
+	// recentRateSpan is the averaging span of the rate that a node admitted recently. Clients keep
+	// their connections, so the rate stays valid for a while when the node becomes isolated.
+	recentRateSpan = 5 * time.Second
+	// maxShareAge is the maximum age of a share below 1; coordinators repeat it several times in
+	// that time.
+	maxShareAge = 1500 * time.Millisecond
+	// unacknowledgedFraction is the part of a tenant's burst and of a second's rate that one node
+	// may admit before its coordinator has acknowledged it, usually a tenth of a second later. The
+	// coordinator does not see that much if the node is cut off.
+	unacknowledgedFraction = 0.2
+	// refusedDrawCount is the number of refused requests that are remembered, so that requests that
 	// are repeated at once count once.
-	refusedKept = 32
-	// aloneSpan is the span of its entitlement that a node out of touch may save up while the
-	// tenant is at its limit, since requests come unevenly.
-	aloneSpan = 1500 * time.Millisecond
-	// greatestAloneWait bounds the wait that is told by a node out of touch, which lasts for
-	// seconds mostly, while other nodes are in touch.
-	greatestAloneWait = 2 * time.Second
-	// startingWait is the wait that is told by a process that has just started and is out of touch. Callers come
-	// back once or twice: after a loss of all power the coordinators have started by then.
-	startingWait = time.Second
+	refusedDrawCount = 32
+	// isolatedSavingSpan is the span of its entitlement that an isolated node may save up while the
+	// tenant is at its limit, since requests arrive unevenly.
+	isolatedSavingSpan = 1500 * time.Millisecond
+	// maxIsolatedWait bounds the retry delay that an isolated node returns: isolation mostly lasts
+	// for seconds, and other nodes are in contact meanwhile.
+	maxIsolatedWait = 2 * time.Second
+	// startupWait is the retry delay returned by a process that has just started and is isolated.
+	// Callers retry once or twice; after a power loss of the whole deployment the coordinators have
+	// started by then.
+	startupWait = time.Second
 )
 
-// awaitSpan is for how long a node that was alone waits for a share at most: by then the coordinators have heard of
-// all nodes that returned with it.
-const awaitSpan = 2 * time.Second
+// maxShareWait is how long a node that was isolated waits for a share: by then the coordinators
+// have received reports of all nodes that reconnected with it.
+const maxShareWait = 2 * time.Second
 
-// Standing is how a node stands to a tenant's coordinators.
-type Standing int
+// Mode states which coordinator of a tenant a node decides with.
+type Mode int
 
-// Standings, from a node's start on.
+// Modes of a node for one tenant, from the node's start on.
 const (
-	// Alone: no coordinator answers, or none was reached yet.
-	Alone Standing = iota
-	// WithStandIn: the first coordinator does not answer, another one does.
+	// Isolated means that no coordinator answers, or that none was reached yet.
+	Isolated Mode = iota
+	// WithStandIn means that the first coordinator does not answer, but another one does.
 	WithStandIn
-	// WithFirst: the first coordinator answers.
+	// WithFirst means that the first coordinator answers.
 	WithFirst
 )
 
-// String returns the word for logs.
-func (s Standing) String() string {
-	return [...]string{Alone: "alone", WithStandIn: "stand-in", WithFirst: "first"}[s]
+// String returns the name used in logs and messages.
+func (m Mode) String() string {
+	return [...]string{Isolated: "alone", WithStandIn: "stand-in", WithFirst: "first"}[m]
 }
 
-// Decision is what a node decided about a request.
+// Decision is a node's decision about one request.
 type Decision struct {
 	IsAdmitted bool
-	// Refusal is why the request was refused.
+	// Refusal is the reason if the request was refused.
 	Refusal Refusal
-	// RetryAfter is when the tenant's next request is expected to be within its limit.
+	// RetryAfter is the time until the tenant's next request is expected to be within its limit.
 	RetryAfter time.Duration
-	// Share is the admitted share by which it was decided, and Age the time since it was
-	// told; zero if it was never told.
+	// Share is the share in force at the decision, ShareAge its age; zero if none was received yet.
 	Share    float64
-	Age      time.Duration
-	Standing Standing
+	ShareAge time.Duration
+	Mode     Mode
 }
 
-// Meter is a node's view of one tenant.
+// Meter is a node's state of one tenant. It is not safe for concurrent use.
 type Meter struct {
 	tenant string
 	limit  route.RateLimit
 	bounds Bounds
 	// nodes is the number of nodes of the deployment.
-	nodes    int
-	standing Standing
+	nodes int
+	mode  Mode
 
-	asked    uint64
+	requests uint64
 	admitted int64
-	// acknowledgedAsked and acknowledgedAdmitted are what a coordinator has counted.
-	acknowledgedAsked    uint64
+	// acknowledgedRequests and acknowledgedAdmitted are the counts that a coordinator has
+	// acknowledged.
+	acknowledgedRequests uint64
 	acknowledgedAdmitted int64
-	// owned is the part of what is not acknowledged that the node admitted by its entitlement.
-	owned int64
-	// askedAlone is the part of what is not acknowledged that was asked while the node was out of
-	// touch: it says nothing of what is asked now.
-	askedAlone uint64
-	// recent is the rate that coordinators acknowledged: what was admitted in the moment of a
-	// failure entitles to nothing.
-	recent movingRate
-	// begunAt is since when the node counts.
-	begunAt time.Time
-
-	// share is the part of the requests to admit as it was told last, at toldAt; 1 if it never was.
-	share  float64
-	toldAt time.Time
-	// limitedAt is when a share below 1 was told last: the tenant was at its limit.
+	// admittedByEntitlement is the part of the unacknowledged requests that the node admitted by
+	// its entitlement.
+	admittedByEntitlement int64
+	// isolatedRequests is the part of the unacknowledged requests that arrived while the node was
+	// isolated. It says nothing about the current demand.
+	isolatedRequests uint64
+	// acknowledgedRate is the rate of admitted requests that coordinators acknowledged. Requests
+	// admitted at the time of a failure do not raise the entitlement.
+	acknowledgedRate movingRate
+	// countingSince is when the node started to count the tenant.
+	countingSince time.Time
+
+	// share is the part of the requests to admit, as received last at verdictAt; 1 if none was
+	// received.
+	share     float64
+	verdictAt time.Time
+	// limitedAt is when a share below 1 was last received: the tenant was at its limit then.
 	limitedAt time.Time
 	wait      time.Duration
-	spare     float64
-	// isInDoubt says that a coordinator, of this tenant or of another one, has fallen silent and
-	// none has answered since.
+	extraRate float64
+	// isInDoubt is set when a coordinator, of this tenant or of another one, has stopped answering
+	// and none has answered since.
 	isInDoubt bool
-	// awaitsShare says that a coordinator answers again since returnedAt and has not told a share that holds: the
-	// tenant may have come to its limit meanwhile, and a stand-in must hear first of all nodes that return at once.
-	awaitsShare bool
-	returnedAt  time.Time
-	// hasSpare says that the first coordinator has told spare.
-	hasSpare bool
-	// entitled is the rate while out of touch with the first coordinator.
-	entitled float64
-	// wasInTouch says that the node has been in touch with coordinators since its start, so
-	// that other nodes cannot all have begun with it.
-	wasInTouch bool
-	// unknownUntil is until when the window may hold what an earlier process of the node admitted.
-	unknownUntil time.Time
-	// alone is the bucket while there is no coordinator or its word is too old.
-	alone bucket
-	// lately are the requests that were admitted in the last window.
-	lately windowCount
-	// place is where the node stands among all, 0 to below 1: which part of a request it
-	// needs so that it may admit a whole one.
-	place float64
-	// refused are the lots of the last refused requests, a ring; it is made at the first.
-	refused     []uint64
-	nextRefused int
+	// awaitsShare is set when a coordinator answers again, since reconnectedAt, and has not sent a
+	// reliable share yet: the tenant may have reached its limit meanwhile, and a stand-in must
+	// first receive reports of all nodes that reconnect at the same time.
+	awaitsShare   bool
+	reconnectedAt time.Time
+	// hasExtraRate is set once the first coordinator has sent extraRate.
+	hasExtraRate bool
+	// frozenEntitlement is the entitlement at the time when contact with the first coordinator was
+	// lost.
+	frozenEntitlement float64
+	// hasHadContact is set if the node has been in contact with coordinators since its start. Not
+	// all nodes can then have started together with it.
+	hasHadContact bool
+	// startupUntil is until when the window may contain requests that an earlier process of the
+	// node admitted.
+	startupUntil time.Time
+	// ownBucket is used while no coordinator answers, or while its share is too old or awaited.
+	ownBucket tokenBucket
+	// admittedInWindow counts the requests that were admitted in the last window.
+	admittedInWindow windowCount
+	// roundingOffset decides which nodes may admit a whole request where each one may admit only a
+	// part of it; 0 to below 1.
+	roundingOffset float64
+	// refusedDraws is a ring of the draws of the last refused requests, allocated with the first
+	// one.
+	refusedDraws    []uint64
+	nextRefusedDraw int
 }
 
-// NewMeter returns the view of a node that has heard nothing of a tenant; wasInTouch says that
-// it has heard of others since its start.
-func NewMeter(tenant string, limit route.RateLimit, bounds Bounds, nodes int, wasInTouch bool, now time.Time) *Meter {
+// NewMeter returns the meter of a node that has received no verdict about a tenant. hasHadContact
+// tells whether any coordinator has answered the node since its start.
+func NewMeter(tenant string, limit route.RateLimit, bounds Bounds, nodes int, hasHadContact bool, now time.Time) *Meter {
 	meter := &Meter{
-		tenant: tenant, limit: limit, bounds: bounds, nodes: nodes, wasInTouch: wasInTouch,
-		recent: movingRate{span: recentSpan}, begunAt: now, share: 1, lately: newWindowCount(bounds.Window, now),
+		tenant: tenant, limit: limit, bounds: bounds, nodes: nodes, hasHadContact: hasHadContact,
+		acknowledgedRate: movingRate{span: recentRateSpan}, countingSince: now, share: 1, admittedInWindow: newWindowCount(bounds.Window, now),
 	}
-	meter.goAlone(now)
+	meter.enterIsolation(now)
 	return meter
 }
 
 // SetLimit puts a limit into force.
 func (m *Meter) SetLimit(limit route.RateLimit) { m.limit = limit }
 
-// SetNodes takes the number of nodes of the deployment.
+// SetNodes sets the number of nodes of the deployment.
 func (m *Meter) SetNodes(nodes int) { m.nodes = nodes }
 
-// SetPlace takes where the node stands among all nodes for this tenant, 0 to below 1. The places
-// of all nodes are spread evenly, so that together they admit no more whole requests than there
-// are parts of one.
-func (m *Meter) SetPlace(place float64) { m.place = place }
+// SetRoundingOffset sets the offset, from 0 to below 1, that is added before the number of allowed
+// requests is rounded down. The offsets of all nodes are spread evenly, so that together they admit
+// no more whole requests than their fractions add up to.
+func (m *Meter) SetRoundingOffset(offset float64) { m.roundingOffset = offset }
 
-// SetStart takes when the node's process began. What an earlier one admitted in the window before is
-// not known, and it may have been all that the node may admit in a window: until that has passed
-// the node admits nothing while it is out of touch.
-func (m *Meter) SetStart(startedAt time.Time) { m.unknownUntil = startedAt.Add(m.bounds.Window) }
+// SetProcessStart sets when the node's process started. What an earlier process admitted in the
+// window before is unknown and may be all that the node may admit in a window. The node therefore
+// admits nothing while isolated until a window has passed.
+func (m *Meter) SetProcessStart(startedAt time.Time) { m.startupUntil = startedAt.Add(m.bounds.Window) }
 
-// SetDoubt takes whether the node may be cut off and has not found out yet.
-func (m *Meter) SetDoubt(isInDoubt bool) { m.isInDoubt = isInDoubt }
+// SetInDoubt sets whether the node may be cut off without having detected it yet.
+func (m *Meter) SetInDoubt(isInDoubt bool) { m.isInDoubt = isInDoubt }
 
-// SetStanding takes which coordinator answers from now on.
-func (m *Meter) SetStanding(standing Standing, now time.Time) {
-	if standing == m.standing {
+// SetMode sets which coordinator answers from now on.
+func (m *Meter) SetMode(mode Mode, now time.Time) {
+	if mode == m.mode {
 		return
 	}
-	if m.standing == WithFirst {
-		m.entitled = m.entitlement(now)
+	if m.mode == WithFirst {
+		m.frozenEntitlement = m.entitlement(now)
 	}
-	if isReturning := m.wasInTouch || !m.toldAt.IsZero(); isReturning && m.standing == Alone && now.After(m.begunAt) {
-		m.awaitsShare, m.returnedAt = true, now
+	if isReconnecting := m.hasHadContact || !m.verdictAt.IsZero(); isReconnecting && m.mode == Isolated && now.After(m.countingSince) {
+		m.awaitsShare, m.reconnectedAt = true, now
 	}
-	m.standing = standing
-	if standing == Alone {
-		m.goAlone(now)
+	m.mode = mode
+	if mode == Isolated {
+		m.enterIsolation(now)
 	}
 }
 
-// goAlone begins to decide without a coordinator.
-func (m *Meter) goAlone(now time.Time) {
+// enterIsolation starts to decide without a coordinator.
+func (m *Meter) enterIsolation(now time.Time) {
 	rate := m.entitlement(now)
-	m.alone = bucket{rate: rate, cap: m.savedAlone(rate, now), at: now}
+	m.ownBucket = tokenBucket{rate: rate, cap: m.isolatedCapacity(rate, now), at: now}
 	switch {
-	case m.toldAt.IsZero() && !m.wasInTouch:
-		// All nodes may have started together, after one burst was spent already.
-		m.alone.level = min(1, (m.limit.Burst+m.bounds.room(m.limit)/2)/float64(max(1, m.nodes)))
+	case m.verdictAt.IsZero() && !m.hasHadContact:
+		// All nodes may have started together, after one burst was already spent.
+		m.ownBucket.level = min(1, (m.limit.Burst+m.bounds.tolerance(m.limit)/2)/float64(max(1, m.nodes)))
 	case m.isWithinLimit(now):
-		// A node that has counted for a part of a window has that part of what it may save up.
-		age := now.Sub(m.begunAt).Seconds() / m.bounds.Window.Seconds()
-		m.alone.level = min(m.alone.cap, 1+m.alone.cap*age)
+		// A node that has counted for a part of a window may have saved up that part of its
+		// capacity.
+		age := now.Sub(m.countingSince).Seconds() / m.bounds.Window.Seconds()
+		m.ownBucket.level = min(m.ownBucket.cap, 1+m.ownBucket.cap*age)
 	}
-	// What no coordinator has counted counts here.
-	unacknowledged := m.admitted - m.acknowledgedAdmitted - m.owned
-	m.owned += unacknowledged
-	m.askedAlone = m.asked - m.acknowledgedAsked
-	m.alone.level = max(m.alone.level-float64(unacknowledged), -rate*m.bounds.Window.Seconds())
+	// Requests that no coordinator has counted are charged to the node's own bucket.
+	unacknowledged := m.admitted - m.acknowledgedAdmitted - m.admittedByEntitlement
+	m.admittedByEntitlement += unacknowledged
+	m.isolatedRequests = m.requests - m.acknowledgedRequests
+	m.ownBucket.level = max(m.ownBucket.level-float64(unacknowledged), -rate*m.bounds.Window.Seconds())
 }
 
-// recentRate returns the rate that was admitted lately. A node that counts for a few seconds only
-// has seen a part of what it would count by then; for less than recentSpan it is not made up for
-// fully, since chance weighs too much.
+// recentRate returns the rate that was admitted recently. A node that has counted for a few seconds
+// only has seen only a part of its traffic, which is scaled up. For less than recentRateSpan it is
+// not scaled up fully, since chance would have too much weight.
 func (m *Meter) recentRate(now time.Time) float64 {
-	age := max(now.Sub(m.begunAt), recentSpan)
-	return m.recent.read(now) / (1 - math.Exp(-age.Seconds()/recentSpan.Seconds()))
+	age := max(now.Sub(m.countingSince), recentRateSpan)
+	return m.acknowledgedRate.read(now) / (1 - math.Exp(-age.Seconds()/recentRateSpan.Seconds()))
 }
 
-// savedAlone returns how many requests the node may save up at a rate while it is out of touch. Within
-// the limit it is what a window allows: nobody has spent the burst.
-func (m *Meter) savedAlone(rate float64, now time.Time) float64 {
+// isolatedCapacity returns how many requests the node may save up at a rate while isolated. Within
+// the limit it is the allowance of a window, since the burst has not been spent.
+func (m *Meter) isolatedCapacity(rate float64, now time.Time) float64 {
 	if !m.isWithinLimit(now) {
-		return max(1, rate*aloneSpan.Seconds())
+		return max(1, rate*isolatedSavingSpan.Seconds())
 	}
-	return max(1, m.windowAlone(rate, now))
+	return max(1, m.isolatedWindowAllowance(rate, now))
 }
 
-// isWithinLimit reports whether the tenant has been within its limit for a window: before that
-// nodes may have spent the burst and the room in the same window. A coordinator that has just
-// taken over may say so too early, since few nodes have reported to it.
+// isWithinLimit reports whether the tenant has been within its limit for a whole window. Before
+// that, nodes may have spent the burst and the tolerance in the same window. A coordinator that has
+// just taken over may report the tenant as within its limit too early, since few nodes have
+// reported to it.
 func (m *Meter) isWithinLimit(now time.Time) bool {
 	return m.share >= 1 && (m.limitedAt.IsZero() || now.Sub(m.limitedAt) > m.bounds.Window)
 }
 
-// windowAlone returns how many requests the node may admit in a window while it is out of touch. All
-// nodes together stay within the bound then, also if each of them is alone.
-func (m *Meter) windowAlone(rate float64, now time.Time) float64 {
+// isolatedWindowAllowance returns how many requests the node may admit in a window while isolated.
+// All nodes together then stay within the bound, even if each of them is isolated.
+func (m *Meter) isolatedWindowAllowance(rate float64, now time.Time) float64 {
 	allowed := rate * m.bounds.Window.Seconds()
 	if m.isWithinLimit(now) {
-		allowed += m.bounds.aloneExtra(m.limit, m.nodes)
+		allowed += m.bounds.isolatedAllowance(m.limit, m.nodes)
 	}
 	return allowed
 }
 
-// mostAlone returns the whole requests of windowAlone, by the node's place.
-func (m *Meter) mostAlone(rate float64, now time.Time) int {
-	return int(m.windowAlone(rate, now) + m.place)
+// maxIsolatedRequests returns isolatedWindowAllowance as a number of whole requests, rounded with
+// the node's rounding offset.
+func (m *Meter) maxIsolatedRequests(rate float64, now time.Time) int {
+	return int(m.isolatedWindowAllowance(rate, now) + m.roundingOffset)
 }
 
-// hasRoomAlone reports whether one more request is within windowAlone.
-func (m *Meter) hasRoomAlone(rate float64, now time.Time) bool {
-	return m.lately.read(now)+1 <= float64(m.mostAlone(rate, now))
+// hasIsolatedAllowance reports whether one more request is within isolatedWindowAllowance.
+func (m *Meter) hasIsolatedAllowance(rate float64, now time.Time) bool {
+	return m.admittedInWindow.read(now)+1 <= float64(m.maxIsolatedRequests(rate, now))
 }
 
-// entitlement returns the rate that the node may admit without the first coordinator.
+// entitlement returns the rate, in requests a second, that the node may admit without the first
+// coordinator.
 func (m *Meter) entitlement(now time.Time) float64 {
-	if !m.hasSpare {
+	if !m.hasExtraRate {
 		return m.limit.PerSecond / float64(max(1, m.nodes))
 	}
-	if m.standing != WithFirst {
-		return min(m.entitled, m.limit.PerSecond)
+	if m.mode != WithFirst {
+		return min(m.frozenEntitlement, m.limit.PerSecond)
 	}
-	return min(m.recentRate(now)+m.spare, m.limit.PerSecond)
+	return min(m.recentRate(now)+m.extraRate, m.limit.PerSecond)
 }
 
-// Admit decides about one request.
+// Admit decides about one request and counts it.
 func (m *Meter) Admit(requestID string, now time.Time) Decision {
-	drawn := drawLot(m.tenant, requestID, now)
-	decision := Decision{Share: m.share, Standing: m.standing}
-	if !m.toldAt.IsZero() {
-		decision.Age = now.Sub(m.toldAt)
+	drawn := drawFor(m.tenant, requestID, now)
+	decision := Decision{Share: m.share, Mode: m.mode}
+	if !m.verdictAt.IsZero() {
+		decision.ShareAge = now.Sub(m.verdictAt)
 	}
-	isAlone := m.standing == Alone || m.isAwaitingShare(now) || m.share < 1 && decision.Age > shareAge
+	isByEntitlement := m.mode == Isolated || m.isAwaitingShare(now) || m.share < 1 && decision.ShareAge > maxShareAge
 	switch {
-	case isAlone:
-		decision.IsAdmitted, decision.RetryAfter = m.admitAlone(now)
+	case isByEntitlement:
+		decision.IsAdmitted, decision.RetryAfter = m.admitByEntitlement(now)
 		if !decision.IsAdmitted {
-			decision.Refusal = m.refusalAlone(now)
+			decision.Refusal = m.refusalByEntitlement(now)
 		}
 	case !drawn.isWithin(m.share):
-		decision.Refusal, decision.RetryAfter = BeyondShare, max(drawn.ends, m.wait)
-	case float64(m.admitted-m.acknowledgedAdmitted-m.owned) >= greatestUnacknowledged(m.limit):
+		decision.Refusal, decision.RetryAfter = BeyondShare, max(drawn.expiresIn, m.wait)
+	case float64(m.admitted-m.acknowledgedAdmitted-m.admittedByEntitlement) >= maxUnacknowledged(m.limit):
 		decision.Refusal, decision.RetryAfter = Unacknowledged, max(reportDelay, m.wait)
-	case m.isInDoubt && !m.hasRoomAlone(m.entitlement(now), now):
+	case m.isInDoubt && !m.hasIsolatedAllowance(m.entitlement(now), now):
 		decision.Refusal, decision.RetryAfter = InDoubt, max(reportDelay, m.wait)
 	default:
 		decision.IsAdmitted = true
 	}
 	if decision.IsAdmitted {
 		m.admitted++
-		m.lately.add(1, now)
-		if isAlone {
-			m.owned++
+		m.admittedInWindow.add(1, now)
+		if isByEntitlement {
+			m.admittedByEntitlement++
 		}
 	}
 	if decision.IsAdmitted || m.isNewRefusal(drawn.hash) {
-		m.asked++
-		if isAlone {
-			m.askedAlone++
+		m.requests++
+		if isByEntitlement {
+			m.isolatedRequests++
 		}
 	}
 	return decision
 }
 
-// isAwaitingShare reports whether the node has returned a moment ago and has not been told a share that holds. It ends
-// by itself: of a tenant that is asked for seldom nothing is told until its next request.
+// isAwaitingShare reports whether the node has reconnected a moment ago and has not received a
+// reliable share yet. It ends by itself, since nothing is sent about a tenant with few requests
+// until its next request.
 func (m *Meter) isAwaitingShare(now time.Time) bool {
-	return m.awaitsShare && now.Sub(m.returnedAt) < awaitSpan
+	return m.awaitsShare && now.Sub(m.reconnectedAt) < maxShareWait
 }
 
-// refusalAlone returns why admitAlone refuses.
-func (m *Meter) refusalAlone(now time.Time) Refusal {
+// refusalByEntitlement returns why admitByEntitlement refuses a request.
+func (m *Meter) refusalByEntitlement(now time.Time) Refusal {
 	switch {
-	case now.Before(m.unknownUntil):
+	case now.Before(m.startupUntil):
 		return JustStarted
-	case m.standing == Alone:
-		return BeyondOwnPart
+	case m.mode == Isolated:
+		return BeyondEntitlement
 	}
 	return ShareTooOld
 }
 
-// admitAlone takes a token of the node's own bucket, if its window has room.
-func (m *Meter) admitAlone(now time.Time) (bool, time.Duration) {
-	if now.Before(m.unknownUntil) {
-		return false, min(startingWait, m.unknownUntil.Sub(now))
+// admitByEntitlement takes a token of the node's own bucket if the window allows it. Otherwise it
+// returns the time until the next attempt.
+func (m *Meter) admitByEntitlement(now time.Time) (bool, time.Duration) {
+	if now.Before(m.startupUntil) {
+		return false, min(startupWait, m.startupUntil.Sub(now))
 	}
-	if m.standing != Alone {
-		m.alone.rate = m.entitlement(now)
-		m.alone.cap = m.savedAlone(m.alone.rate, now)
+	if m.mode != Isolated {
+		m.ownBucket.rate = m.entitlement(now)
+		m.ownBucket.cap = m.isolatedCapacity(m.ownBucket.rate, now)
 	}
-	m.alone.settle(now)
-	if !m.hasRoomAlone(m.alone.rate, now) {
-		return false, min(greatestAloneWait, m.lately.until(m.mostAlone(m.alone.rate, now), now))
+	m.ownBucket.settle(now)
+	if !m.hasIsolatedAllowance(m.ownBucket.rate, now) {
+		return false, min(maxIsolatedWait, m.admittedInWindow.timeUntilBelow(m.maxIsolatedRequests(m.ownBucket.rate, now), now))
 	}
-	if m.alone.level >= 1 {
-		m.alone.level--
+	if m.ownBucket.level >= 1 {
+		m.ownBucket.level--
 		return true, 0
 	}
-	wait := greatestAloneWait
-	if m.alone.rate > 0 {
-		wait = min(wait, time.Duration((1-m.alone.level)/m.alone.rate*float64(time.Second)))
+	wait := maxIsolatedWait
+	if m.ownBucket.rate > 0 {
+		wait = min(wait, time.Duration((1-m.ownBucket.level)/m.ownBucket.rate*float64(time.Second)))
 	}
 	return false, wait
 }
 
-// isNewRefusal reports whether a request was not refused a moment ago, and notes it: one that
-// is repeated at once is no further demand, and must not lower the share of others.
+// isNewRefusal reports whether a request was not among the last refused ones, and records it. A
+// request that is repeated at once is not additional demand and must not lower the share of others.
 func (m *Meter) isNewRefusal(hash uint64) bool {
-	if slices.Contains(m.refused, hash) {
+	if slices.Contains(m.refusedDraws, hash) {
 		return false
 	}
-	if len(m.refused) < refusedKept {
-		m.refused = append(m.refused, hash)
+	if len(m.refusedDraws) < refusedDrawCount {
+		m.refusedDraws = append(m.refusedDraws, hash)
 		return true
 	}
-	m.refused[m.nextRefused] = hash
-	m.nextRefused = (m.nextRefused + 1) % refusedKept
+	m.refusedDraws[m.nextRefusedDraw] = hash
+	m.nextRefusedDraw = (m.nextRefusedDraw + 1) % refusedDrawCount
 	return true
 }
 
 // Refund takes back a request that was admitted and did not run.
 func (m *Meter) Refund(now time.Time) {
 	m.admitted--
-	m.lately.add(-1, now)
+	m.admittedInWindow.add(-1, now)
 }
 
-// Report returns what is to be told to a coordinator, and whether there is anything new.
-func (m *Meter) Report(start uint64, now time.Time) (Use, bool) {
-	use := Use{
-		Start: start, Asked: m.asked, Admitted: m.admitted,
-		NewAsked: m.asked - m.acknowledgedAsked - m.askedAlone, NewAdmitted: m.admitted - m.acknowledgedAdmitted - m.owned,
-		Recent: m.recentRate(now), Entitled: m.entitlement(now), Share: m.share,
+// Report returns the usage to report to a coordinator and whether any of it is new.
+func (m *Meter) Report(incarnation uint64, now time.Time) (Usage, bool) {
+	usage := Usage{
+		Incarnation: incarnation, Requests: m.requests, Admitted: m.admitted,
+		NewRequests: m.requests - m.acknowledgedRequests - m.isolatedRequests, NewAdmitted: m.admitted - m.acknowledgedAdmitted - m.admittedByEntitlement,
+		RecentRate: m.recentRate(now), EntitledRate: m.entitlement(now), Share: m.share,
 	}
-	if now.Before(m.unknownUntil) {
-		// Coordinators follow each other while processes start: each counts what is new to it.
-		use.NewAdmitted = m.admitted
+	if now.Before(m.startupUntil) {
+		// Coordinators may replace each other while processes start: each one counts what is new to
+		// it.
+		usage.NewAdmitted = m.admitted
 	}
-	return use, m.asked != m.acknowledgedAsked || m.admitted != m.acknowledgedAdmitted
+	return usage, m.requests != m.acknowledgedRequests || m.admitted != m.acknowledgedAdmitted
 }
 
-// Acknowledge takes the answer to a report.
-func (m *Meter) Acknowledge(use Use, verdict Verdict, now time.Time) {
-	if use.Asked >= m.acknowledgedAsked {
-		m.recent.add(float64(max(0, use.Admitted-m.acknowledgedAdmitted)), now)
-		// Of a process that has just started NewAdmitted may hold what was acknowledged before.
-		m.owned -= min(m.owned, max(0, use.Admitted-m.acknowledgedAdmitted-use.NewAdmitted))
-		m.askedAlone -= min(m.askedAlone, use.Asked-m.acknowledgedAsked-use.NewAsked)
-		m.acknowledgedAsked, m.acknowledgedAdmitted = use.Asked, use.Admitted
-		// The node may have gone out of touch since it reported, and counted all of this as its own.
-		m.owned = min(m.owned, max(0, m.admitted-m.acknowledgedAdmitted))
-		m.askedAlone = min(m.askedAlone, m.asked-m.acknowledgedAsked)
+// Acknowledge applies the answer to a report.
+func (m *Meter) Acknowledge(usage Usage, verdict Verdict, now time.Time) {
+	if usage.Requests >= m.acknowledgedRequests {
+		m.acknowledgedRate.add(float64(max(0, usage.Admitted-m.acknowledgedAdmitted)), now)
+		// For a process that has just started, NewAdmitted may contain requests that were
+		// acknowledged before.
+		m.admittedByEntitlement -= min(m.admittedByEntitlement, max(0, usage.Admitted-m.acknowledgedAdmitted-usage.NewAdmitted))
+		m.isolatedRequests -= min(m.isolatedRequests, usage.Requests-m.acknowledgedRequests-usage.NewRequests)
+		m.acknowledgedRequests, m.acknowledgedAdmitted = usage.Requests, usage.Admitted
+		// The node may have become isolated since it reported and counted all of this as admitted
+		// by its entitlement.
+		m.admittedByEntitlement = min(m.admittedByEntitlement, max(0, m.admitted-m.acknowledgedAdmitted))
+		m.isolatedRequests = min(m.isolatedRequests, m.requests-m.acknowledgedRequests)
 	}
-	m.Tell(verdict, now)
+	m.ApplyVerdict(verdict, now)
 }
 
-// Tell takes what the coordinator says.
-func (m *Meter) Tell(verdict Verdict, now time.Time) {
-	m.share, m.wait, m.toldAt = verdict.Share, verdict.Wait, now
-	if verdict.IsFirst || now.Sub(m.returnedAt) >= cautiousSpan {
+// ApplyVerdict applies a verdict of the coordinator.
+func (m *Meter) ApplyVerdict(verdict Verdict, now time.Time) {
+	m.share, m.wait, m.verdictAt = verdict.Share, verdict.Wait, now
+	if verdict.IsFirst || now.Sub(m.reconnectedAt) >= inheritedShareSpan {
 		m.awaitsShare = false
 	}
 	if verdict.Share < 1 {
 		m.limitedAt = now
 	}
 	if verdict.IsFirst {
-		m.spare, m.hasSpare = verdict.Spare, true
+		m.extraRate, m.hasExtraRate = verdict.ExtraRate, true
 	}
 }
 
-// Forget treats what coordinators told as out of date, as after a suspension of the machine: the
-// node is alone until one answers, and has no saved tokens.
-func (m *Meter) Forget(now time.Time) {
-	m.SetStanding(Alone, now)
-	m.alone.level = min(m.alone.level, 0)
+// InvalidateVerdicts treats all verdicts as outdated, as after a suspension of the machine: the
+// node is isolated until a coordinator answers, and has no saved tokens.
+func (m *Meter) InvalidateVerdicts(now time.Time) {
+	m.SetMode(Isolated, now)
+	m.ownBucket.level = min(m.ownBucket.level, 0)
 }
--- a/pkg/quota/meter_test.go
+++ b/pkg/quota/meter_test.go
@@ -14,19 +14,20 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// inTouch returns a meter whose first coordinator told a share.
-func inTouch(limit route.RateLimit, share, spare float64) *quota.Meter {
+// meterWithShare returns a meter that has received the given share from the first coordinator.
+func meterWithShare(limit route.RateLimit, share, extraRate float64) *quota.Meter {
 	meter := quota.NewMeter("caller", limit, bounds, 67, false, start)
-	meter.SetStanding(quota.WithFirst, start)
-	meter.Tell(quota.Verdict{Share: share, Spare: spare, IsFirst: true, Wait: 20 * time.Millisecond}, start)
+	meter.SetMode(quota.WithFirst, start)
+	meter.ApplyVerdict(quota.Verdict{Share: share, ExtraRate: extraRate, IsFirst: true, Wait: 20 * time.Millisecond}, start)
 	return meter
 }
 
-// TestARequestThatIsRepeatedAtOnceGetsNoFurther, while one that comes back when it was told to
-// has a new chance.
-func TestARequestThatIsRepeatedAtOnceGetsNoFurther(t *testing.T) {
+// TestARequestRepeatedAtOnceIsRefusedAgain guards against clients that gain by repeating a refused
+// request at once, or whose repetitions count as demand. A request that is retried after the
+// returned delay has a new chance.
+func TestARequestRepeatedAtOnceIsRefusedAgain(t *testing.T) {
 	g := NewWithT(t)
-	meter := inTouch(route.RateLimit{PerSecond: 50, Burst: 50}, 0.2, 0)
+	meter := meterWithShare(route.RateLimit{PerSecond: 50, Burst: 50}, 0.2, 0)
 	id, wait := "", time.Duration(0)
 	for number := 0; id == ""; number++ {
 		if decision := meter.Admit(fmt.Sprint(number), start); !decision.IsAdmitted {
@@ -38,7 +39,7 @@
 		g.Expect(meter.Admit(id, start.Add(repeated)).IsAdmitted).To(BeFalse())
 	}
 	after, _ := meter.Report(1, start)
-	g.Expect(after.Asked).To(Equal(before.Asked), "repeated requests are no further demand")
+	g.Expect(after.Requests).To(Equal(before.Requests), "repeated requests must not count as demand")
 	chances := 0
 	for number := range 2000 {
 		other := fmt.Sprint("other", number)
@@ -49,11 +50,11 @@
 	g.Expect(chances).To(BeNumerically(">", 0))
 }
 
-// TestAllNodesDrawAlike: asking another node does not help.
-func TestAllNodesDrawAlike(t *testing.T) {
+// TestAllNodesDecideAlikeAboutARequest guards against clients that gain by trying another node.
+func TestAllNodesDecideAlikeAboutARequest(t *testing.T) {
 	g := NewWithT(t)
 	limit := route.RateLimit{PerSecond: 5000, Burst: 5000}
-	one, other := inTouch(limit, 0.4, 0), inTouch(limit, 0.4, 0)
+	one, other := meterWithShare(limit, 0.4, 0), meterWithShare(limit, 0.4, 0)
 	admitted := 0
 	for number := range 5000 {
 		at := start.Add(time.Duration(number) * 100 * time.Microsecond)
@@ -66,35 +67,36 @@
 	g.Expect(admitted).To(BeNumerically("~", 2000, 120))
 }
 
-// TestANodeCutOffGoesOnWithWhatItHadLately: in five seconds it admits what it admitted before
-// and its part of what nobody used.
-func TestANodeCutOffGoesOnWithWhatItHadLately(t *testing.T) {
+// TestAnIsolatedNodeKeepsItsRecentRate guards against losing traffic within the limit when a node
+// is cut off: in five seconds it admits its recent rate plus its part of the unused limit.
+func TestAnIsolatedNodeKeepsItsRecentRate(t *testing.T) {
 	g := NewWithT(t)
-	meter := inTouch(route.RateLimit{PerSecond: 63, Burst: 63}, 1, 0.3)
+	meter := meterWithShare(route.RateLimit{PerSecond: 63, Burst: 63}, 1, 0.3)
 	now := start
-	ask := func(span time.Duration, perSecond int) (admitted int) {
+	request := func(span time.Duration, perSecond int) (admitted int) {
 		for end := now.Add(span); now.Before(end); now = now.Add(time.Second / time.Duration(perSecond)) {
 			if meter.Admit(fmt.Sprint(now.UnixNano()), now).IsAdmitted {
 				admitted++
 			}
-			if use, _ := meter.Report(1, now); use.Entitled > 0 {
-				meter.Acknowledge(use, quota.Verdict{Share: 1, Spare: 0.3, IsFirst: true}, now)
+			if usage, _ := meter.Report(1, now); usage.EntitledRate > 0 {
+				meter.Acknowledge(usage, quota.Verdict{Share: 1, ExtraRate: 0.3, IsFirst: true}, now)
 			}
 		}
 		return admitted
 	}
-	g.Expect(ask(20*time.Second, 2)).To(Equal(40))
-	meter.SetStanding(quota.Alone, now)
-	alone := 0
+	g.Expect(request(20*time.Second, 2)).To(Equal(40))
+	meter.SetMode(quota.Isolated, now)
+	admittedIsolated := 0
 	for end := now.Add(5 * time.Second); now.Before(end); now = now.Add(50 * time.Millisecond) {
 		if meter.Admit(fmt.Sprint(now.UnixNano()), now).IsAdmitted {
-			alone++
+			admittedIsolated++
 		}
 	}
-	g.Expect(alone).To(BeNumerically("~", 5*2.3+1, 2))
+	g.Expect(admittedIsolated).To(BeNumerically("~", 5*2.3+1, 2))
 }
 
-// TestNodesThatStartTogetherAdmitTogetherNoMoreThanTheLimit: nobody has told them anything.
+// TestNodesThatStartTogetherAdmitTogetherNoMoreThanTheLimit guards against nodes that exceed the
+// limit together before they have received any verdict.
 func TestNodesThatStartTogetherAdmitTogetherNoMoreThanTheLimit(t *testing.T) {
 	g := NewWithT(t)
 	for _, limit := range tenants() {
@@ -107,14 +109,15 @@
 				}
 			}
 		}
-		g.Expect(float64(admitted)).To(BeNumerically("<=", limitOf(limit)))
+		g.Expect(float64(admitted)).To(BeNumerically("<=", allowedInWindow(limit)))
 	}
 }
 
-// TestAShareThatIsTooOldIsNotGoneBy: the coordinator repeats it, so that it has been lost.
-func TestAShareThatIsTooOldIsNotGoneBy(t *testing.T) {
+// TestAStaleShareIsNotApplied guards against applying an old share: coordinators repeat a share
+// below 1, so the repetitions were lost.
+func TestAStaleShareIsNotApplied(t *testing.T) {
 	g := NewWithT(t)
-	meter := inTouch(route.RateLimit{PerSecond: 63, Burst: 63}, 0.9, 0.2)
+	meter := meterWithShare(route.RateLimit{PerSecond: 63, Burst: 63}, 0.9, 0.2)
 	later, admitted := start.Add(2*time.Second), 0
 	for number := range 100 {
 		if meter.Admit(fmt.Sprint(number), later).IsAdmitted {
@@ -124,11 +127,11 @@
 	g.Expect(admitted).To(BeNumerically("<=", 1))
 }
 
-// TestWhatIsNotAcknowledgedIsBound: a node that asks much while its coordinator has just fallen
-// silent admits a burst.
-func TestWhatIsNotAcknowledgedIsBound(t *testing.T) {
+// TestUnacknowledgedRequestsAreBounded guards against a node that keeps admitting all requests
+// while its coordinator has just stopped answering: it may admit about a burst.
+func TestUnacknowledgedRequestsAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	meter := inTouch(route.RateLimit{PerSecond: 10, Burst: 10}, 1, 0)
+	meter := meterWithShare(route.RateLimit{PerSecond: 10, Burst: 10}, 1, 0)
 	admitted := 0
 	for number := range 1000 {
 		if meter.Admit(fmt.Sprint(number), start.Add(time.Duration(number)*100*time.Microsecond)).IsAdmitted {
@@ -138,17 +141,18 @@
 	g.Expect(admitted).To(BeNumerically("<=", 13))
 }
 
-// TestNodesAreAloneAtDifferentPlaces: where each node may admit a part of a request, as many admit
-// a whole one as there are parts of it, also long after they were cut off.
-func TestNodesAreAloneAtDifferentPlaces(t *testing.T) {
+// TestIsolatedNodesHaveDifferentRoundingOffsets guards against rounding errors of many nodes that
+// add up: where each node may admit only a fraction of a request, as many nodes admit a whole one
+// as the fractions add up to, also long after they were cut off.
+func TestIsolatedNodesHaveDifferentRoundingOffsets(t *testing.T) {
 	g := NewWithT(t)
 	limit := route.RateLimit{PerSecond: 5, Burst: 5}
 	for _, nodes := range []int{67, 300, 5400} {
 		admitted := 0
 		for node := range nodes {
 			meter := quota.NewMeter("caller", limit, bounds, nodes, true, start)
-			_, place := math.Modf(float64(node) / math.Phi)
-			meter.SetPlace(place)
+			_, offset := math.Modf(float64(node) / math.Phi)
+			meter.SetRoundingOffset(offset)
 			later := start.Add(time.Hour)
 			for step := range 250 {
 				if meter.Admit(fmt.Sprint(node, step), later.Add(time.Duration(step)*20*time.Millisecond)).IsAdmitted {
@@ -156,17 +160,17 @@
 				}
 			}
 		}
-		g.Expect(float64(admitted)).To(And(BeNumerically("<=", limitOf(limit)), BeNumerically(">=", limit.PerSecond*bounds.Window.Seconds())), fmt.Sprint(nodes))
+		g.Expect(float64(admitted)).To(And(BeNumerically("<=", allowedInWindow(limit)), BeNumerically(">=", limit.PerSecond*bounds.Window.Seconds())), fmt.Sprint(nodes))
 	}
 }
 
-// TestANodeInDoubtAdmitsNoMoreThanAlone: a coordinator has fallen silent, and whether others answer
-// is not known yet.
-func TestANodeInDoubtAdmitsNoMoreThanAlone(t *testing.T) {
+// TestANodeInDoubtAdmitsNoMoreThanAnIsolatedOne guards against a node that admits too much after a
+// coordinator has stopped answering and before it is known whether others answer.
+func TestANodeInDoubtAdmitsNoMoreThanAnIsolatedOne(t *testing.T) {
 	g := NewWithT(t)
-	ask := func(isInDoubt bool) (admitted int) {
-		meter := inTouch(route.RateLimit{PerSecond: 17, Burst: 17}, 1, 0.1)
-		meter.SetDoubt(isInDoubt)
+	request := func(isInDoubt bool) (admitted int) {
+		meter := meterWithShare(route.RateLimit{PerSecond: 17, Burst: 17}, 1, 0.1)
+		meter.SetInDoubt(isInDoubt)
 		for number := range 100 {
 			if meter.Admit(fmt.Sprint(number), start.Add(time.Duration(number)*time.Millisecond)).IsAdmitted {
 				admitted++
@@ -174,13 +178,13 @@
 		}
 		return admitted
 	}
-	g.Expect(ask(false)).To(Equal(8))
-	g.Expect(ask(true)).To(BeNumerically("<=", 1))
+	g.Expect(request(false)).To(Equal(8))
+	g.Expect(request(true)).To(BeNumerically("<=", 1))
 }
 
-// TestANodeThatIsBackInTouchRefusesNothingWithinTheLimit: what it admitted alone was within its
-// own part, and does not count as unacknowledged.
-func TestANodeThatIsBackInTouchRefusesNothingWithinTheLimit(t *testing.T) {
+// TestAReconnectedNodeRefusesNothingWithinTheLimit guards against counting requests that a node
+// admitted by its entitlement as unacknowledged.
+func TestAReconnectedNodeRefusesNothingWithinTheLimit(t *testing.T) {
 	g := NewWithT(t)
 	meter := quota.NewMeter("caller", route.RateLimit{PerSecond: 10, Burst: 10}, bounds, 2, true, start)
 	now, admitted := start, 0
@@ -191,20 +195,21 @@
 		}
 	}
 	g.Expect(admitted).To(Equal(60))
-	meter.SetStanding(quota.WithFirst, now)
+	meter.SetMode(quota.WithFirst, now)
 	g.Expect(meter.Admit("back", now).IsAdmitted).To(BeTrue())
 }
 
-// TestANewMeterBeginsAloneWithOneRequest: what it admitted in its run before, a moment
-// ago, is not known. One that has been there for a window may use what the window has left.
-func TestANewMeterBeginsAloneWithOneRequest(t *testing.T) {
+// TestANewIsolatedMeterAdmitsOneRequest guards against a restarted node that admits its part again:
+// what it admitted a moment ago, in the run before, is unknown. A node that has counted for a whole
+// window may use what the window has left.
+func TestANewIsolatedMeterAdmitsOneRequest(t *testing.T) {
 	g := NewWithT(t)
-	admittedAlone := func(age time.Duration) (admitted int) {
+	admittedIsolated := func(age time.Duration) (admitted int) {
 		meter := quota.NewMeter("caller", route.RateLimit{PerSecond: 63, Burst: 63}, bounds, 6, true, start)
-		meter.SetStanding(quota.WithFirst, start)
-		meter.Tell(quota.Verdict{Share: 1, Spare: 5, IsFirst: true}, start)
+		meter.SetMode(quota.WithFirst, start)
+		meter.ApplyVerdict(quota.Verdict{Share: 1, ExtraRate: 5, IsFirst: true}, start)
 		now := start.Add(age)
-		meter.SetStanding(quota.Alone, now)
+		meter.SetMode(quota.Isolated, now)
 		for number := range 100 {
 			if meter.Admit(fmt.Sprint(number), now).IsAdmitted {
 				admitted++
@@ -212,24 +217,26 @@
 		}
 		return admitted
 	}
-	g.Expect(admittedAlone(10 * time.Millisecond)).To(Equal(1))
-	g.Expect(admittedAlone(bounds.Window)).To(BeNumerically(">", 25))
+	g.Expect(admittedIsolated(10 * time.Millisecond)).To(Equal(1))
+	g.Expect(admittedIsolated(bounds.Window)).To(BeNumerically(">", 25))
 }
 
-// TestANodeAloneSpendsNoBurstThatOthersMayHaveSpent: the tenant was at its limit a moment ago, and a
-// coordinator that has just taken over does not know of it.
-func TestANodeAloneSpendsNoBurstThatOthersMayHaveSpent(t *testing.T) {
+// TestAnIsolatedNodeSpendsNoBurstThatOthersMayHaveSpent guards against spending a burst twice: the
+// tenant was at its limit a moment ago, and a coordinator that has just taken over does not know of
+// it.
+func TestAnIsolatedNodeSpendsNoBurstThatOthersMayHaveSpent(t *testing.T) {
 	g := NewWithT(t)
 	limit := route.RateLimit{PerSecond: 10, Burst: 10}
-	// admittedAlone returns what a node of six admits in a window, alone for a second after it was told that the
-	// tenant is within its limit again, which it had been for a span.
-	admittedAlone := func(span time.Duration) (admitted int) {
+	// admittedIsolated returns what one of six nodes admits in a window while isolated. Isolation
+	// starts when it receives a share of 1 again, the given span after the tenant was at its
+	// limit.
+	admittedIsolated := func(span time.Duration) (admitted int) {
 		meter := quota.NewMeter("caller", limit, bounds, 6, true, start)
-		meter.SetStanding(quota.WithFirst, start)
-		meter.Tell(quota.Verdict{Share: 0.25, Spare: 0, IsFirst: true}, start.Add(time.Minute))
+		meter.SetMode(quota.WithFirst, start)
+		meter.ApplyVerdict(quota.Verdict{Share: 0.25, ExtraRate: 0, IsFirst: true}, start.Add(time.Minute))
 		now := start.Add(time.Minute + span)
-		meter.Tell(quota.Verdict{Share: 1, Spare: limit.PerSecond / 6, IsFirst: true}, now)
-		meter.SetStanding(quota.Alone, now)
+		meter.ApplyVerdict(quota.Verdict{Share: 1, ExtraRate: limit.PerSecond / 6, IsFirst: true}, now)
+		meter.SetMode(quota.Isolated, now)
 		for range 250 {
 			if meter.Admit(now.String(), now).IsAdmitted {
 				admitted++
@@ -238,30 +245,31 @@
 		}
 		return admitted
 	}
-	g.Expect(admittedAlone(time.Second)).To(BeNumerically("<=", 9), "its entitlement of a window")
-	g.Expect(admittedAlone(10 * time.Second)).To(BeNumerically(">", 9))
+	g.Expect(admittedIsolated(time.Second)).To(BeNumerically("<=", 9), "must admit no more than its entitlement for a window")
+	g.Expect(admittedIsolated(10 * time.Second)).To(BeNumerically(">", 9))
 }
 
-// TestAReportAnsweredOutOfTouchLeavesNothingOwed: the node has gone out of touch while its report was under way, and the answer
-// comes all the same.
+// TestAReportAnsweredOutOfTouchLeavesNothingOwed guards against counters that underflow when a node
+// becomes isolated while its report is in progress and the answer still arrives.
 func TestAReportAnsweredOutOfTouchLeavesNothingOwed(t *testing.T) {
 	g := NewWithT(t)
-	meter := inTouch(route.RateLimit{PerSecond: 63, Burst: 63}, 0.5, 0.3)
+	meter := meterWithShare(route.RateLimit{PerSecond: 63, Burst: 63}, 0.5, 0.3)
 	for number := range 20 {
 		meter.Admit(fmt.Sprint(number), start)
 	}
-	use, _ := meter.Report(1, start)
-	g.Expect(use.NewAsked).To(BeEquivalentTo(20))
-	meter.SetStanding(quota.Alone, start)
-	meter.Acknowledge(use, quota.Verdict{Share: 1}, start)
+	usage, _ := meter.Report(1, start)
+	g.Expect(usage.NewRequests).To(BeEquivalentTo(20))
+	meter.SetMode(quota.Isolated, start)
+	meter.Acknowledge(usage, quota.Verdict{Share: 1}, start)
 	after, isNew := meter.Report(1, start)
 	g.Expect(isNew).To(BeFalse())
-	g.Expect(after.NewAsked).To(BeZero())
+	g.Expect(after.NewRequests).To(BeZero())
 	g.Expect(after.NewAdmitted).To(BeZero())
 }
 
-// TestANodeThatReturnsAwaitsAShareThatHolds: many nodes that were each alone return at once, and what each was told
-// before says nothing of what is asked now.
+// TestANodeThatReturnsAwaitsAShareThatHolds guards against many isolated nodes that reconnect at
+// the same time and admit by outdated shares: what each received before says nothing about the
+// current demand.
 func TestANodeThatReturnsAwaitsAShareThatHolds(t *testing.T) {
 	limit := route.RateLimit{PerSecond: 17, Burst: 17}
 	admittedAt := func(meter *quota.Meter, name string, now time.Time) int {
@@ -274,22 +282,22 @@
 		return admitted
 	}
 	for name, meter := range map[string]*quota.Meter{
-		"told before":        inTouch(limit, 1, 0),
-		"never asked so far": quota.NewMeter("caller", limit, bounds, 67, true, start),
+		"with an earlier verdict": meterWithShare(limit, 1, 0),
+		"without any verdict":     quota.NewMeter("caller", limit, bounds, 67, true, start),
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			meter.SetStanding(quota.Alone, start)
+			meter.SetMode(quota.Isolated, start)
 			late := start.Add(10 * time.Second)
-			alone := admittedAt(meter, "alone", late)
-			g.Expect(alone).To(BeNumerically("<=", 2))
-			meter.SetStanding(quota.WithStandIn, late)
-			g.Expect(admittedAt(meter, "returned", late)).To(BeZero(), "what it may admit alone was used up")
-			meter.Tell(quota.Verdict{Share: 1}, late)
-			g.Expect(admittedAt(meter, "stand-in", late)).To(BeZero(), "a stand-in has not heard of all that return")
-			unasked := *meter
-			g.Expect(admittedAt(&unasked, "later", late.Add(3*time.Second))).To(BeNumerically(">", 2), "nothing is told of a tenant until it is asked for")
-			meter.Tell(quota.Verdict{Share: 1, IsFirst: true}, late)
+			admittedIsolated := admittedAt(meter, "alone", late)
+			g.Expect(admittedIsolated).To(BeNumerically("<=", 2))
+			meter.SetMode(quota.WithStandIn, late)
+			g.Expect(admittedAt(meter, "returned", late)).To(BeZero(), "its entitlement is used up and it has no share yet")
+			meter.ApplyVerdict(quota.Verdict{Share: 1}, late)
+			g.Expect(admittedAt(meter, "stand-in", late)).To(BeZero(), "a stand-in has not received reports of all reconnected nodes")
+			withoutVerdict := *meter
+			g.Expect(admittedAt(&withoutVerdict, "later", late.Add(3*time.Second))).To(BeNumerically(">", 2), "the wait for a share must end without a verdict")
+			meter.ApplyVerdict(quota.Verdict{Share: 1, IsFirst: true}, late)
 			g.Expect(admittedAt(meter, "first", late)).To(BeNumerically(">", 2))
 		})
 	}
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -15,158 +15,161 @@
 // kindReport is the message by which a node reports to a coordinator.
 const kindReport peer.Kind = "quota.report"
 
-// usedMuchTold is the number of tenants of which an answer to an empty report tells: every node sends one
-// every half second or so, and the accounts are locked while it is answered. Which ones varies.
-const usedMuchTold = 16
+// maxHighUsageVerdicts is the maximum number of tenants in the answer to an empty report. It is
+// small because every node sends such a report about every half second, and the accounts are locked
+// while it is answered. Which tenants are included varies.
+const maxHighUsageVerdicts = 16
 
-// report tells each coordinator what is new for it.
+// report sends each coordinator the usage that is new to it.
 func (l *Limiter) report(ctx context.Context, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	uses := make(map[string]map[string]Use)
-	for tenant, held := range l.meters {
-		name := l.coordinator(held.ranked)
-		if name == "" || l.links[name].calling {
-			// What is not told now is told by the next report: at the end of the call, or
-			// when a coordinator answers.
+	usages := make(map[string]map[string]Usage)
+	for tenant, entry := range l.meters {
+		name := l.coordinator(entry.ranked)
+		if name == "" || l.links[name].isCalling {
+			// Usage that is not reported now is in the next report: at the end of the call, or when
+			// a coordinator answers.
 			continue
 		}
-		use, isNew := held.meter.Report(l.options.Start, now)
+		usage, isNew := entry.meter.Report(l.options.Incarnation, now)
 		if !isNew {
 			continue
 		}
-		if uses[name] == nil {
-			uses[name] = make(map[string]Use)
+		if usages[name] == nil {
+			usages[name] = make(map[string]Usage)
 		}
-		uses[name][tenant] = use
+		usages[name][tenant] = usage
 	}
-	for name, told := range uses {
+	for name, reported := range usages {
 		if name == l.options.Local {
-			l.acknowledge(told, l.take(name, told, now), now)
+			l.acknowledge(reported, l.recordReport(name, reported, now), now)
 			continue
 		}
-		l.call(ctx, name, encodeReport(l.options.Start, told), told)
+		l.call(ctx, name, encodeReport(l.options.Incarnation, reported), reported)
 	}
 }
 
-// call sends a report to a coordinator and takes the answer; told is what the report holds, empty if it
-// only asks whether the coordinator answers. The caller holds the mutex.
-func (l *Limiter) call(ctx context.Context, name string, message *quotapb.Report, told map[string]Use) {
+// call sends a report to a coordinator and applies the answer. reported is the content of the
+// report, empty if the call only checks whether the coordinator answers. The caller holds the
+// mutex.
+func (l *Limiter) call(ctx context.Context, name string, message *quotapb.Report, reported map[string]Usage) {
 	if l.isStopped {
 		return
 	}
 	address := l.addresses[name]
-	l.links[name].calling, l.links[name].calledAt = true, time.Now()
-	l.sent.Reports++
+	l.links[name].isCalling, l.links[name].calledAt = true, time.Now()
+	l.messagesSent.Reports++
 	l.group.Go(func() {
-		limited, cancel := context.WithTimeout(ctx, callTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		answer := &quotapb.Verdicts{}
-		err := l.options.Transport.Call(limited, address, kindReport, message, answer)
+		err := l.options.Transport.Call(callCtx, address, kindReport, message, answer)
 		if ctx.Err() != nil {
-			// The call ended because this node stops: it tells nothing of the coordinator.
+			// The call ended because this node stops, which says nothing about the coordinator.
 			return
 		}
 		now := time.Now()
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
-		l.noteAnswer(name, err, now)
-		if err == nil && len(told) > 0 {
-			l.acknowledge(told, decodeVerdicts(answer), now)
+		l.recordAnswer(name, err, now)
+		if err == nil && len(reported) > 0 {
+			l.acknowledge(reported, decodeVerdicts(answer), now)
 		} else if err == nil {
-			l.takeTold(ctx, name, decodeVerdicts(answer), now)
+			l.applyVerdicts(ctx, name, decodeVerdicts(answer), now)
 		}
-		// Requests may have come while the call was under way, also while it only asked whether
-		// the coordinator answers.
+		// Requests may have arrived during the call, also during one that only checks the
+		// coordinator.
 		l.requestReport()
 	})
 }
 
-// acknowledge takes the answer to a report. The caller holds the mutex.
-func (l *Limiter) acknowledge(told map[string]Use, verdicts map[string]Verdict, now time.Time) {
-	for tenant, use := range told {
-		held := l.meters[tenant]
+// acknowledge applies the answer to a report. The caller holds the mutex.
+func (l *Limiter) acknowledge(reported map[string]Usage, verdicts map[string]Verdict, now time.Time) {
+	for tenant, usage := range reported {
+		entry := l.meters[tenant]
 		verdict, isAnswered := verdicts[tenant]
-		if held != nil && isAnswered {
-			held.meter.Acknowledge(use, verdict, now)
+		if entry != nil && isAnswered {
+			entry.meter.Acknowledge(usage, verdict, now)
 		}
 	}
 }
 
-// takeReport answers the report of another node.
-func (l *Limiter) takeReport(_ context.Context, from target.NodeID, body []byte) (proto.Message, error) {
+// handleReport answers the report of another node.
+func (l *Limiter) handleReport(_ context.Context, from target.NodeID, body []byte) (proto.Message, error) {
 	message := &quotapb.Report{}
 	if err := message.UnmarshalVT(body); err != nil {
 		return nil, errors.Wrap(err, "decode report")
 	}
-	if !l.options.IsNeeded() {
+	if !l.options.KnowsTenants() {
 		return nil, errNoLimitsKnown
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.noteContact(string(from))
-	l.heardAt = time.Now()
-	l.noteHeard(l.heardAt)
+	l.recordContact(string(from))
+	l.lastReportAt = time.Now()
+	l.updateReceivesReports(l.lastReportAt)
 	if len(message.Uses) == 0 {
-		return encodeVerdicts(l.usedMuch(l.heardAt)), nil
+		return encodeVerdicts(l.highUsageVerdicts(l.lastReportAt)), nil
 	}
-	return encodeVerdicts(l.take(string(from), decodeUses(message), l.heardAt)), nil
+	return encodeVerdicts(l.recordReport(string(from), decodeUsages(message), l.lastReportAt)), nil
 }
 
-// errNoLimitsKnown answers a node that takes this one for a coordinator: it has just started, or its
-// configuration has no tenants, so that it would tell a share of 1 whatever is asked.
+// errNoLimitsKnown answers a node that regards this one as a coordinator: this node has just
+// started, or its configuration has no tenants, so that it would answer with a share of 1 whatever
+// the demand.
 var errNoLimitsKnown = errors.New("no configuration with tenants is known here")
 
-// usedMuch returns the verdicts on some tenants that use much of their limits, for a node that asks
+// highUsageVerdicts returns the verdicts on some tenants with a high usage, for a node that checks
 // whether this one answers. The caller holds the mutex.
-func (l *Limiter) usedMuch(now time.Time) map[string]Verdict {
+func (l *Limiter) highUsageVerdicts(now time.Time) map[string]Verdict {
 	verdicts := make(map[string]Verdict)
-	for tenant, kept := range l.accounts {
-		if len(verdicts) < usedMuchTold && l.isFirst(tenant) && kept.account.isUsedMuch(now) {
-			kept.isFirst = true
-			verdicts[tenant] = kept.account.Verdict(l.contact(kept), now)
+	for tenant, entry := range l.accounts {
+		if len(verdicts) < maxHighUsageVerdicts && l.isFirst(tenant) && entry.account.isHighUsage(now) {
+			entry.isFirst = true
+			verdicts[tenant] = entry.account.Verdict(l.deploymentView(entry), now)
 		}
 	}
 	return verdicts
 }
 
-// noteContact notes that a node is in touch. The caller holds the mutex.
-func (l *Limiter) noteContact(name string) {
+// recordContact records that a node is in contact. The caller holds the mutex.
+func (l *Limiter) recordContact(name string) {
 	delete(l.silent, name)
-	delete(l.gone, name)
+	delete(l.departed, name)
 }
 
-// take counts the report of a node and returns the verdicts on its tenants. The caller holds
-// the mutex.
-func (l *Limiter) take(from string, uses map[string]Use, now time.Time) map[string]Verdict {
-	verdicts := make(map[string]Verdict, len(uses))
-	for tenant, use := range uses {
+// recordReport counts the report of a node and returns the verdicts on its tenants. The caller
+// holds the mutex.
+func (l *Limiter) recordReport(from string, usages map[string]Usage, now time.Time) map[string]Verdict {
+	verdicts := make(map[string]Verdict, len(usages))
+	for tenant, usage := range usages {
 		limit, isKnown := l.options.LimitOf(tenant)
 		if !isKnown || !limit.IsBound() {
-			// The reporting node has another configuration, and holds the tenant to the limit in that.
+			// The reporting node has a different configuration and applies the limit in that one.
 			verdicts[tenant] = Verdict{Share: 1}
 			continue
 		}
-		kept := l.accounts[tenant]
+		entry := l.accounts[tenant]
 		isFirst := l.isFirst(tenant)
-		if kept == nil {
+		if entry == nil {
 			since := now
 			if isFirst {
 				since = l.coordinatorsSince
 			}
-			kept = &coordinated{account: NewAccount(limit, l.options.Bounds, since, now), told: 1}
+			entry = &tenantAccount{account: NewAccount(limit, l.options.Bounds, since, now), sentShare: 1}
 			if now.Sub(l.startedAt) < l.options.Bounds.Window {
-				kept.account.SetStart(l.startedAt)
+				entry.account.SetProcessStart(l.startedAt)
 			}
-			l.accounts[tenant] = kept
+			l.accounts[tenant] = entry
 		}
-		kept.isFirst = isFirst
-		contact := l.contact(kept)
-		kept.account.SetLimit(limit)
-		kept.account.Take(from, use, contact, now)
-		verdicts[tenant] = kept.account.Verdict(contact, now)
-		l.noteLimit(tenant, kept, verdicts[tenant], now)
-		if verdicts[tenant].Share < fallingShare*kept.told {
+		entry.isFirst = isFirst
+		view := l.deploymentView(entry)
+		entry.account.SetLimit(limit)
+		entry.account.AddReport(from, usage, view, now)
+		verdicts[tenant] = entry.account.Verdict(view, now)
+		l.trackLimit(tenant, entry, verdicts[tenant], now)
+		if verdicts[tenant].Share < urgentShareRatio*entry.sentShare {
 			signal(l.urgent)
 		}
 	}
@@ -180,46 +183,47 @@
 	return len(top) > 0 && top[0] == l.options.Local
 }
 
-// contact returns what this node knows of the others. The caller holds the mutex.
-func (l *Limiter) contact(kept *coordinated) Contact {
-	return Contact{IsFirst: kept.isFirst, IsSettling: l.isSettling(time.Now()), Nodes: l.nodeCount() + len(l.gone), Silent: l.silent}
+// deploymentView returns what this node knows about the other nodes. The caller holds the mutex.
+func (l *Limiter) deploymentView(entry *tenantAccount) DeploymentView {
+	return DeploymentView{IsFirst: entry.isFirst, IsSettling: l.isSettling(time.Now()), Nodes: l.nodeCount() + len(l.departed), Silent: l.silent}
 }
 
-// noteLimit follows whether a tenant is at its limit, and tells when it has come to it. The caller holds the mutex.
-func (l *Limiter) noteLimit(tenant string, kept *coordinated, verdict Verdict, now time.Time) {
+// trackLimit records whether a tenant is at its limit and sends an event when it has reached it.
+// The caller holds the mutex.
+func (l *Limiter) trackLimit(tenant string, entry *tenantAccount, verdict Verdict, now time.Time) {
 	if verdict.Share < 1 {
-		kept.fullAt = time.Time{}
-		if kept.limitedAt.IsZero() {
-			kept.limitedAt = now
-			l.options.Events.AtLimit(tenant, verdict, kept.account.Figures(now))
+		entry.withinLimitSince = time.Time{}
+		if entry.limitedAt.IsZero() {
+			entry.limitedAt = now
+			l.options.Events.AtLimit(tenant, verdict, entry.account.Stats(now))
 		}
 		return
 	}
-	if !kept.limitedAt.IsZero() && kept.fullAt.IsZero() {
-		kept.fullAt = now
+	if !entry.limitedAt.IsZero() && entry.withinLimitSince.IsZero() {
+		entry.withinLimitSince = now
 	}
 }
 
-// encodeReport returns the message for what a node had of its tenants.
-func encodeReport(start uint64, uses map[string]Use) *quotapb.Report {
-	message := &quotapb.Report{Start: start, Uses: make([]*quotapb.Use, 0, len(uses))}
-	for tenant, use := range uses {
+// encodeReport returns the message that reports a node's usage of its tenants.
+func encodeReport(incarnation uint64, usages map[string]Usage) *quotapb.Report {
+	message := &quotapb.Report{Start: incarnation, Uses: make([]*quotapb.Use, 0, len(usages))}
+	for tenant, use := range usages {
 		message.Uses = append(message.Uses, &quotapb.Use{
-			Tenant: tenant, Asked: use.Asked, Admitted: use.Admitted, NewAsked: use.NewAsked, NewAdmitted: use.NewAdmitted,
-			Recent: use.Recent, Entitled: use.Entitled, Share: use.Share,
+			Tenant: tenant, Asked: use.Requests, Admitted: use.Admitted, NewAsked: use.NewRequests, NewAdmitted: use.NewAdmitted,
+			Recent: use.RecentRate, Entitled: use.EntitledRate, Share: use.Share,
 		})
 	}
 	return message
 }
 
-// decodeUses reverses encodeReport.
-func decodeUses(message *quotapb.Report) map[string]Use {
-	uses := make(map[string]Use, len(message.Uses))
+// decodeUsages reverses encodeReport.
+func decodeUsages(message *quotapb.Report) map[string]Usage {
+	usages := make(map[string]Usage, len(message.Uses))
 	for _, use := range message.Uses {
-		uses[use.Tenant] = Use{
-			Start: message.Start, Asked: use.Asked, Admitted: use.Admitted, NewAsked: use.NewAsked, NewAdmitted: use.NewAdmitted,
-			Recent: use.Recent, Entitled: use.Entitled, Share: use.Share,
+		usages[use.Tenant] = Usage{
+			Incarnation: message.Start, Requests: use.Asked, Admitted: use.Admitted, NewRequests: use.NewAsked, NewAdmitted: use.NewAdmitted,
+			RecentRate: use.Recent, EntitledRate: use.Entitled, Share: use.Share,
 		}
 	}
-	return uses
+	return usages
 }
