--- a/pkg/quota/resume_test.go
+++ b/pkg/quota/resume_test.go
@@ -11,31 +11,33 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// TestAMachineThatWasSuspendedIsOutOfTouch until a coordinator has answered: what it was told is
-// as old as the suspension was long, which its steady clock does not show.
-func TestAMachineThatWasSuspendedIsOutOfTouch(t *testing.T) {
+// TestASuspendedMachineIsIsolatedUntilACoordinatorAnswers guards against applying outdated verdicts
+// after a suspension. They are as old as the suspension was long, which the machine's monotonic
+// clock does not show.
+func TestASuspendedMachineIsIsolatedUntilACoordinatorAnswers(t *testing.T) {
 	atOnce, later := 0, 0
 	simulate(t, 12, tenants(), func(d *deployment) {
 		d.run(2*time.Second, d.even("large", 10))
-		ask := func() (admitted int) {
+		request := func() (admitted int) {
 			for range 60 {
-				if d.ask(0, "large", fmt.Sprint(d.random.Uint64())) {
+				if d.request(0, "large", fmt.Sprint(d.random.Uint64())) {
 					admitted++
 				}
 			}
 			return admitted
 		}
 		d.nodes[0].limiter.Resumed()
-		atOnce = ask()
+		atOnce = request()
 		time.Sleep(2 * time.Second)
-		later = ask()
+		later = request()
 	})
 	g := NewWithT(t)
 	g.Expect(atOnce).To(BeNumerically("<=", 1))
 	g.Expect(later).To(BeNumerically(">=", 20))
 }
 
-// TestIdleTenantsAreForgotten: memory holds those that were asked for lately.
+// TestIdleTenantsAreForgotten guards against memory that grows with the number of tenants ever
+// seen.
 func TestIdleTenantsAreForgotten(t *testing.T) {
 	before, after := 0, 0
 	limits := make(map[string]route.RateLimit)
@@ -44,22 +46,22 @@
 	}
 	simulate(t, 4, limits, func(d *deployment) {
 		for tenant := range limits {
-			d.ask(0, tenant, "request")
+			d.request(0, tenant, "request")
 		}
 		time.Sleep(time.Second)
-		before = d.nodes[0].limiter.Tenants()
+		before = d.nodes[0].limiter.TenantCount()
 		time.Sleep(2 * time.Minute)
-		after = d.nodes[0].limiter.Tenants()
+		after = d.nodes[0].limiter.TenantCount()
 	})
 	g := NewWithT(t)
 	g.Expect(before).To(Equal(500))
 	g.Expect(after).To(BeZero())
 }
 
-// BenchmarkAdmit is what a request with a limit costs.
+// BenchmarkAdmit measures the cost of deciding about one request.
 func BenchmarkAdmit(b *testing.B) {
 	meter := quota.NewMeter("caller", route.RateLimit{PerSecond: 1e9, Burst: 1e9}, bounds, 67, true, start)
-	meter.SetStanding(quota.WithFirst, start)
+	meter.SetMode(quota.WithFirst, start)
 	b.ReportAllocs()
 	for b.Loop() {
 		meter.Admit("0123456789abcdef", start)
--- a/pkg/quota/unlimited_test.go
+++ b/pkg/quota/unlimited_test.go
@@ -15,17 +15,18 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// counted counts what is told of tenants.
-type counted struct {
-	quiet
+// countingEvents counts the events of tenants.
+type countingEvents struct {
+	ignoredEvents
 	atLimit, belowLimit atomic.Int64
 }
 
-func (c *counted) AtLimit(string, quota.Verdict, quota.Figures) { c.atLimit.Add(1) }
+func (c *countingEvents) AtLimit(string, quota.Verdict, quota.AccountStats) { c.atLimit.Add(1) }
 
-func (c *counted) BelowLimit(string, quota.Figures, time.Duration) { c.belowLimit.Add(1) }
+func (c *countingEvents) BelowLimit(string, quota.AccountStats, time.Duration) { c.belowLimit.Add(1) }
 
-// TestATenantThatLosesItsLimitIsNoLongerAtIt: what was told to begin is told to end.
+// TestATenantThatLosesItsLimitIsNoLongerAtIt guards against tenants that are shown at their limit
+// forever: each AtLimit event must be followed by a BelowLimit event.
 func TestATenantThatLosesItsLimitIsNoLongerAtIt(t *testing.T) {
 	for name, after := range map[string]struct {
 		limit   route.RateLimit
@@ -35,20 +36,20 @@
 		"no longer a tenant": {route.RateLimit{}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			events := &counted{}
+			events := &countingEvents{}
 			synctest.Test(t, func(t *testing.T) {
 				limit := route.RateLimit{PerSecond: 5, Burst: 5}
 				var isOver atomic.Bool
 				limiter := quota.New(quota.Options{
-					Local: "node-0", Zone: "zone", Bounds: bounds, Events: events, Start: 1,
-					Transport: &answering{handlers: make(map[peer.Kind]peer.Handler)},
+					Local: "node-0", Zone: "zone", Bounds: bounds, Events: events, Incarnation: 1,
+					Transport: &countingTransport{handlers: make(map[peer.Kind]peer.Handler)},
 					LimitOf: func(string) (route.RateLimit, bool) {
 						if isOver.Load() {
 							return after.limit, after.isKnown
 						}
 						return limit, true
 					},
-					IsNeeded: func() bool { return true },
+					KnowsTenants: func() bool { return true },
 				})
 				limiter.SetNodes([]quota.Node{{Name: "node-0", Zone: "zone", Address: "node-0"}})
 				ctx, stop := context.WithCancel(t.Context())
--- a/pkg/quota/unreported_test.go
+++ b/pkg/quota/unreported_test.go
@@ -10,8 +10,9 @@
 	"github.com/bramblemast/bramblemast/pkg/route"
 )
 
-// TestTheLastRequestBeforeAPauseIsReported, also if its report fell into a question whether the
-// coordinator answers: meters whose counts were not told are not forgotten.
+// TestTheLastRequestBeforeAPauseIsReported guards against counts that are never reported because
+// their report was due during a call that only checked the coordinator. Meters with unreported
+// counts are not removed.
 func TestTheLastRequestBeforeAPauseIsReported(t *testing.T) {
 	const rounds = 30
 	limits := make(map[string]route.RateLimit)
@@ -22,12 +23,12 @@
 	simulate(t, 4, limits, func(d *deployment) {
 		for round := range rounds {
 			for index := range d.nodes {
-				d.ask(index, fmt.Sprint("tenant-", round), fmt.Sprint("request ", round, index))
+				d.request(index, fmt.Sprint("tenant-", round), fmt.Sprint("request ", round, index))
 				time.Sleep(7 * time.Millisecond)
 			}
 			time.Sleep(100*time.Second + time.Duration(round)*17*time.Millisecond)
 			for _, node := range d.nodes {
-				kept += node.limiter.Tenants()
+				kept += node.limiter.TenantCount()
 			}
 		}
 	})
--- a/pkg/rhythm/periods.go
+++ b/pkg/rhythm/periods.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// Bounds of what servers have in common.
+// Constants for the period that servers share.
 const (
-	// intervalCount is how many intervals between pauses are kept to compare others with.
-	intervalCount = 16
-	// greatestTimes is how many periods the longer of two intervals may have: a pause that meets
-	// no request is not seen.
-	greatestTimes = 2
-	// periodMemory is for how many periods one is used for further servers after it was
-	// last seen.
-	periodMemory = 10
+	// maxIntervals is how many intervals between pauses are kept for comparison with new ones.
+	maxIntervals = 16
+	// maxMultiple is how many periods the longer of two compared intervals may span: a pause during
+	// which no request is sent is not seen.
+	maxMultiple = 2
+	// periodLifetime is for how many periods a shared period or an interval is used after it was
+	// last confirmed.
+	periodLifetime = 10
 )
 
-// Periods is what the servers that a node asks have in common: servers of one program
-// have one period, each with a phase of its own. The zero value knows nothing.
-type Periods struct {
-	intervals [intervalCount]interval
+// SharedPeriod learns the period of pauses that the servers of a node have in common: servers of
+// one program pause with the same period, each with a phase of its own. The zero value has no
+// period. It is not safe for concurrent use.
+type SharedPeriod struct {
+	intervals [maxIntervals]interval
 	next      int
-	// servers counts those that have shown an interval; a server's number is its place among them.
-	servers int
-	// period is the one that was confirmed last, at confirmedAt; zero if none was.
+	// serverCount counts the servers that have shown an interval; they are numbered from 1 in the
+	// order of their first interval.
+	serverCount int
+	// period is the period that was last confirmed, at confirmedAt; zero if there is none.
 	period      time.Duration
 	confirmedAt time.Time
-	// length is how long pauses last.
-	length time.Duration
+	// pauseLength is the expected length of a pause.
+	pauseLength time.Duration
 }
 
 // interval is the time between two pauses of a server.
@@ -35,57 +37,59 @@
 	seenAt time.Time
 }
 
-// note keeps an interval.
-func (p *Periods) note(server *Server, length time.Duration, now time.Time) {
+// addInterval stores an interval, in place of the oldest one.
+func (p *SharedPeriod) addInterval(server *Server, length time.Duration, now time.Time) {
 	if server.number == 0 {
-		p.servers++
-		server.number = p.servers
+		p.serverCount++
+		server.number = p.serverCount
 	}
 	p.intervals[p.next] = interval{server: server.number, length: length, seenAt: now}
-	p.next = (p.next + 1) % intervalCount
+	p.next = (p.next + 1) % maxIntervals
 }
 
-// sharedWith returns the period that an interval has in common with one of another server.
-func (p *Periods) sharedWith(server *Server, length time.Duration, now time.Time) (time.Duration, bool) {
+// periodWith returns the period that an interval has in common with a recent interval of another
+// server, and whether there is one.
+func (p *SharedPeriod) periodWith(server *Server, length time.Duration, now time.Time) (time.Duration, bool) {
 	for _, each := range p.intervals {
-		if each.server == 0 || each.server == server.number || now.Sub(each.seenAt) > periodMemory*each.length {
+		if each.server == 0 || each.server == server.number || now.Sub(each.seenAt) > periodLifetime*each.length {
 			continue
 		}
-		if period, ok := common(length, each.length); ok {
+		if period, ok := commonPeriod(length, each.length); ok {
 			return period, true
 		}
 	}
 	return 0, false
 }
 
-// confirm takes a period that two intervals or a pause that came in time have shown.
-func (p *Periods) confirm(period time.Duration, now time.Time) {
+// confirm stores a period that was shown by two intervals or by a pause at the predicted time.
+func (p *SharedPeriod) confirm(period time.Duration, now time.Time) {
 	p.period, p.confirmedAt = period, now
 }
 
-// current returns the period in common; zero if there is none.
-func (p *Periods) current(now time.Time) time.Duration {
-	if p.period == 0 || now.Sub(p.confirmedAt) > periodMemory*p.period {
+// current returns the shared period, or zero if there is none or it was not confirmed recently.
+func (p *SharedPeriod) current(now time.Time) time.Duration {
+	if p.period == 0 || now.Sub(p.confirmedAt) > periodLifetime*p.period {
 		return 0
 	}
 	return p.period
 }
 
-// common returns the period that two intervals share, if the longer is a small multiple of
-// the shorter: the mean of the shorter and of the period by which the longer is that multiple.
-func common(one, other time.Duration) (time.Duration, bool) {
+// commonPeriod returns the period of two intervals if the longer one is a multiple of the shorter
+// one, up to maxMultiple. It is the mean of the shorter interval and of the longer one divided by
+// the multiple.
+func commonPeriod(one, other time.Duration) (time.Duration, bool) {
 	shorter, longer := min(one, other), max(one, other)
-	if shorter < leastPeriod {
+	if shorter < minPeriod {
 		return 0, false
 	}
-	times, rest, ok := multiple(longer, shorter)
-	return shorter + rest/time.Duration(2*max(times, 1)), ok && times <= greatestTimes
+	count, remainder, ok := nearestMultiple(longer, shorter)
+	return shorter + remainder/time.Duration(2*max(count, 1)), ok && count <= maxMultiple
 }
 
-// multiple returns how many periods an interval has and the rest, which may be below zero. It
-// reports false if that is none, or if the rest is more than the tolerance.
-func multiple(elapsed, period time.Duration) (int, time.Duration, bool) {
-	times := int((elapsed + period/2) / period)
-	rest := elapsed - time.Duration(times)*period
-	return times, rest, times >= 1 && rest.Abs() <= tolerance
+// nearestMultiple returns the nearest number of periods in elapsed and the remainder, which may be
+// negative. It reports false if the number is zero or the remainder exceeds the tolerance.
+func nearestMultiple(elapsed, period time.Duration) (int, time.Duration, bool) {
+	count := int((elapsed + period/2) / period)
+	remainder := elapsed - time.Duration(count)*period
+	return count, remainder, count >= 1 && remainder.Abs() <= tolerance
 }
