--- a/pkg/directory/follower.go
+++ b/pkg/directory/follower.go
@@ -37,8 +37,8 @@
 	// maxInitialRetry bounds the wait until the store has been read once, since a node with an
 	// empty replica serves nothing.
 	maxInitialRetry = 250 * time.Millisecond
-	// minPollerRetry and maxPollerRetry bound the wait of a PeerPoller. Its readers notice the
-	// return of the store within maxRetry and report it.
+	// minPollerRetry and maxPollerRetry bound the wait of a PeerPoller after a failed call. Its
+	// readers notice the return of the store within maxRetry and report it.
 	minPollerRetry = 3 * time.Second
 	maxPollerRetry = 5 * time.Second
 	// confirmTimeout is how long a node that has read a copy of the store, which may be seconds
@@ -206,7 +206,8 @@
 func (f *Follower) stalenessBound() time.Duration { return time.Duration(f.stalenessNanos.Load()) }
 
 // readerPause returns how old a reader's own replica may be for the nodes that poll it to stay
-// within the staleness bound. A reader waits that long after a change, or for one.
+// within the staleness bound. A reader pauses that long after a change, and its watches wait for a
+// change until its replica is that old.
 func (f *Follower) readerPause() time.Duration {
 	return time.Duration(readerShare * float64(f.stalenessBound()))
 }
--- a/pkg/owner/client.go
+++ b/pkg/owner/client.go
@@ -66,7 +66,7 @@
 	peer.Stream
 	client *Client
 	node   directory.Node
-	// sentAt is when the question was asked.
+	// sentAt is when the question was sent.
 	sentAt time.Time
 	// leeway is the time allowed for the round trip and the delays of both processes.
 	leeway time.Duration
--- a/pkg/owner/server.go
+++ b/pkg/owner/server.go
@@ -239,8 +239,8 @@
 	report.Sent, report.Hedges = uint32(result.Sent), uint32(result.Hedges)
 	report.Retries, report.Denied = uint32(result.Retries), uint32(result.Denied)
 	for _, each := range result.CrashedServers {
-		ended := &ownerpb.Incarnation{Id: each.ID, Start: int64(each.Start)}
-		report.EndedIncarnations = append(report.EndedIncarnations, ended)
+		crashed := &ownerpb.Incarnation{Id: each.ID, Start: int64(each.Start)}
+		report.EndedIncarnations = append(report.EndedIncarnations, crashed)
 	}
 	for index, answer := range result.Parts {
 		if answer != nil {
