--- a/pkg/query/attempt.go
+++ b/pkg/query/attempt.go
@@ -170,7 +170,7 @@
 	case attemptOvertaken:
 		return unknown(stepAnswer, server, outcome.ReasonDeadline, errOvertaken)
 	case attemptExpired:
-		if typical := a.pass.execution.quantile(stallQuantile); typical > 0 && latency > typical {
+		if stallLatency := a.pass.execution.quantile(stallQuantile); stallLatency > 0 && latency > stallLatency {
 			return unknown(stepAnswer, server, outcome.ReasonDeadline, err)
 		}
 	}
--- a/pkg/query/extra.go
+++ b/pkg/query/extra.go
@@ -80,8 +80,8 @@
 }
 
 // hedge sends a part whose answer is slow to a further replica, if the budget allows it and a permit
-// is free. While the part may be hedged further, it schedules the next check, sent or not. A suspect
-// request is not hedged.
+// is free. While the part may be hedged further, it schedules the next check, whether or not a hedge
+// was sent. A suspect request is not hedged.
 func (p *pass) hedge(index int) {
 	part := &p.parts[index]
 	part.hedgeAt = never
--- a/pkg/query/interfaces.go
+++ b/pkg/query/interfaces.go
@@ -15,8 +15,8 @@
 type Limits interface {
 	// TryAcquire returns a permit if one is free for the server now.
 	TryAcquire(server target.ServerID) (Permit, bool)
-	// Acquire waits for a permit, for a bounded time. Its error is an
-	// *outcome.Error with outcome NotRun.
+	// Acquire waits for a permit, for a bounded time. Its error is an *outcome.Error with outcome
+	// NotRun.
 	Acquire(ctx context.Context, server target.ServerID) (Permit, error)
 	// Observe returns the load state of a server, for the choice of a replica.
 	Observe(server target.ServerID) limit.Observation
@@ -69,8 +69,8 @@
 // Observer receives events for metrics. Implementations must be safe for concurrent use and return
 // quickly.
 type Observer interface {
-	// SubRequestFinished is called for each sub-request that was sent; err is
-	// nil or an *outcome.Error.
+	// SubRequestFinished is called for each sub-request that was sent; err is nil or an
+	// *outcome.Error.
 	SubRequestFinished(destination target.Target, kind AttemptKind, latency time.Duration, err error)
 	// LateResponse is called for an answer that was dropped, because it arrived after its query had
 	// stopped or after its part was covered.
--- a/pkg/query/pass.go
+++ b/pkg/query/pass.go
@@ -103,7 +103,7 @@
 	// unavailableParts counts the parts with status partUnavailable.
 	unavailableParts int
 	// lostConnections counts the sub-requests whose connection was lost. trials counts the
-	// sub-requests that were sent although the request was suspect for that; see holdBack.
+	// sub-requests that were sent while lost connections made the request suspect; see holdBack.
 	lostConnections int
 	trials          int
 	// refusals holds which servers refused which ranges because the plan was out of date.
--- a/pkg/query/suspect.go
+++ b/pkg/query/suspect.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// isSuspect reports whether the request may be what crashes servers: several connections were lost
-// while their servers had it, and no server has answered it.
+// isSuspect reports whether the request may be what crashes servers: at least suspectAfter of its
+// sub-requests lost their connections, and no server has answered it.
 func (p *pass) isSuspect() bool { return p.lostConnections >= suspectAfter && p.covered.Width() == 0 }
 
 // holdBack reports whether a further sub-request of a part is held back because the request is
