--- a/pkg/loadshed/loadshed.go
+++ b/pkg/loadshed/loadshed.go
@@ -3,9 +3,10 @@
 //
 // A Meter runs on the node where the requests for a service come together. It measures the work
 // that the servers do and the work that is requested of them, and divides the capacity among the
-// requests: by priority first, and fairly among tenants within a priority. The result are Shares,
+// requests: by priority first, and fairly among tenants within a priority. The results are Shares,
 // which are small enough to be sent to all nodes. An Admitter holds the shares that a node has
-// received and admits requests by them. All nodes decide alike, without a message per request.
+// received and admits requests by them. All nodes make the same decisions, without a message per
+// request.
 //
 // Results depend only on what was recorded and on the times that are passed in; nothing here opens
 // a connection or starts a goroutine. Meters, Admitter and Sampler are safe for concurrent use;
--- a/pkg/loadshed/meter.go
+++ b/pkg/loadshed/meter.go
@@ -47,9 +47,9 @@
 	// drainPart is the part of the estimated capacity that is admitted while the queue is overlong,
 	// so that the queue drains.
 	drainPart = 0.8
-	// minRetainedPart is the least part of the estimated capacity that remains after one
-	// evaluation: when a server is lost, the answers that it still owed come from the other servers
-	// a little later, so that less work is done for a moment.
+	// minRetainedPart is the minimum part of the estimated capacity that remains after one
+	// evaluation: when a server is lost, the answers still expected from it come from the other
+	// servers a little later, so that less work is done for a moment.
 	minRetainedPart = 0.9
 	// usedPart is the part of the estimated capacity that has to be in use before the estimate
 	// grows: with less, other services hold the requests back, and the load shows nothing about the
@@ -68,7 +68,7 @@
 	// mostly returned from an outage.
 	starvedPart = 0.25
 	// minAdmittedShare is the part of the demand that is always admitted, so that returned capacity
-	// is noticed. minCountedShare is the least share by which the work of a request is divided to
+	// is noticed. minCountedShare is the minimum share by which the work of a request is divided to
 	// get the demand: less urgent requests may have this share.
 	minAdmittedShare = 0.05
 	minCountedShare  = minAdmittedShare * guaranteedPart
--- a/pkg/loadshed/meters.go
+++ b/pkg/loadshed/meters.go
@@ -8,9 +8,9 @@
 // Constants for the messages to all nodes.
 const (
 	// significantChange is the relative change of a share that is published without waiting for
-	// republishInterval: a service can bear smaller differences for a moment.
+	// republishInterval: a service can tolerate smaller differences for a moment.
 	significantChange = 0.2
-	// minPublishInterval is the least time between two messages to all nodes, so that their number
+	// minPublishInterval is the minimum time between two messages to all nodes, so that their number
 	// does not grow with the load. republishInterval is how often shares are repeated while a load
 	// is limited.
 	minPublishInterval = 200 * time.Millisecond
--- a/pkg/loadshed/sampler.go
+++ b/pkg/loadshed/sampler.go
@@ -15,8 +15,8 @@
 	// maxTries is how many requests with the same content count as tries of one client within a
 	// sampleSpan at one node.
 	maxTries = 2
-	// minSlots is the least number of one-byte counters: 1 KiB, since small nodes have few requests
-	// and little memory. maxSlots bounds them at 64 KiB.
+	// minSlots is the minimum number of one-byte counters: 1 KiB, since small nodes have few
+	// requests and little memory. maxSlots bounds them at 64 KiB.
 	minSlots = 1 << 10
 	maxSlots = 1 << 16
 	// slotGrowth is the factor by which the number of counters grows. It is large, since each step
