--- a/pkg/rhythm/periods.go
+++ b/pkg/rhythm/periods.go
@@ -9,8 +9,8 @@
 	// maxMultiple is how many periods the longer of two compared intervals may span: a pause during
 	// which no request is sent is not seen.
 	maxMultiple = 2
-	// periodLifetime is for how many periods a shared period or an interval is used after it was
-	// last confirmed.
+	// periodLifetime is the number of periods for which a shared period or an interval is used after
+	// it was last confirmed.
 	periodLifetime = 10
 )
 
--- a/pkg/rhythm/server.go
+++ b/pkg/rhythm/server.go
@@ -29,15 +29,15 @@
 	// tolerance is how far the end of a pause may be from the predicted time: the first answer
 	// after a pause comes only when the work for it is done.
 	tolerance = 75 * time.Millisecond
-	// maxUnseenPeriods is for how many periods after the last seen pause further ones are
-	// predicted: the error of the period adds up.
+	// maxUnseenPeriods is the number of periods after the last seen pause for which further pauses
+	// are predicted: the error of the period adds up over them.
 	maxUnseenPeriods = 6
 	// lengthRiseDivisor and lengthFallDivisor set how quickly the expected length of pauses follows
 	// a longer or a shorter one: it changes by the difference divided by them.
 	lengthRiseDivisor = 2
 	lengthFallDivisor = 16
-	// probeEvery is in which of the predicted pauses since the last seen one a probe is sent, which
-	// is a normal request that shows whether the server still pauses: in every second one.
+	// A probe is a normal request that is sent during a predicted pause to show whether the server
+	// still pauses. It is sent in every probeEvery-th predicted pause since the last seen one.
 	probeEvery = 2
 	// A probe is sent after the first 1/probeAfterDivisor of the predicted pause and while at least
 	// 1/probeBeforeDivisor of it is left, so that its answer shows the end of the pause. An answer
@@ -46,8 +46,9 @@
 	probeAfterDivisor   = 4
 	probeBeforeDivisor  = 2
 	answerMarginDivisor = 4
-	// togetherFactor is how many times longer the requests of a silence must have been sent apart
-	// than they were answered apart, if a pause has delayed them.
+	// togetherFactor separates pauses from slow answers: a silence counts as a pause if the time
+	// over which its requests were sent is more than togetherFactor times the time over which they
+	// were answered.
 	togetherFactor = 2
 )
 
