--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -17,8 +17,8 @@
 	// that time.
 	maxShareAge = 1500 * time.Millisecond
 	// unacknowledgedFraction is the part of a tenant's burst and of a second's rate that one node
-	// may admit before its coordinator has acknowledged it, usually a tenth of a second later. The
-	// coordinator does not see that much if the node is cut off.
+	// may admit before its coordinator has acknowledged it, usually a tenth of a second later. If
+	// the node is cut off, up to that many requests are missing from the coordinator's count.
 	unacknowledgedFraction = 0.2
 	// refusedDrawCount is the number of refused requests that are remembered, so that requests that
 	// are repeated at once count once.
