--- a/pkg/directory/era_retained.go
+++ b/pkg/directory/era_retained.go
@@ -89,8 +89,8 @@
 func (s retainedState) historyContains(entry Entry) bool {
 	document, err := stored.Decode(s.entry.Template.Template.Key(), s.entry.Value)
 	if err != nil {
-		// It was decoded when it was read, so the history itself is unreadable: the template that
-		// the store holds now decides.
+		// The value was decoded when it was read, so only its history can be unreadable: the
+		// template that the store holds now decides.
 		return false
 	}
 	_, found := document.Find(entry.Template.Template.ChangeID)
--- a/pkg/directory/fuzz_test.go
+++ b/pkg/directory/fuzz_test.go
@@ -62,7 +62,7 @@
 }
 
 // Bounds of the total memory allocated to read a message. An empty item takes two bytes on the
-// wire, and an entry in several lists here.
+// wire and, once decoded, becomes an entry in several lists.
 const (
 	baseFuzzMemory    = 256 << 10
 	fuzzMemoryPerByte = 1 << 10
--- a/pkg/directory/peers.go
+++ b/pkg/directory/peers.go
@@ -182,8 +182,8 @@
 // ejected; otherwise all nodes would begin to read the store.
 var errReaderStale = errors.New("reader's replica of the store is older than the staleness bound")
 
-// awaitNext waits until it is time to ask a node, and returns the node that is known to know more
-// if that is the reason.
+// awaitNext waits until it is time to ask a node. If the wait ends because a node was found to know
+// more than this one, it returns that node.
 func (p *Peers) awaitNext(ctx context.Context) target.NodeID {
 	began := time.Now()
 	for time.Since(began) < p.interval() {
@@ -316,8 +316,8 @@
 	return "", false
 }
 
-// others returns the other nodes in ring order, starting behind this one, so that the nodes ask
-// different ones at a time.
+// others returns the other nodes in ring order, starting behind this one, so that at any time
+// the nodes ask different ones.
 func (p *Peers) others() []Node {
 	var others []Node
 	for _, node := range p.nodes() {
