--- a/pkg/fleet/choose.go
+++ b/pkg/fleet/choose.go
@@ -9,7 +9,7 @@
 
 // Constants of server selection.
 const (
-	// avoidedServerCost is added to the cost of a server that is avoided since it failed recently,
+	// avoidedServerCost is added to the cost of a server that is avoided because it failed recently,
 	// and to that of one whose retry time has not come.
 	avoidedServerCost = 2 * time.Second
 	// sameZoneShare and otherZoneShare are the parts of a server's connections that the nodes of
@@ -60,8 +60,8 @@
 	// Busy means that each server that could be used has reached its limit of requests of this
 	// node, or is not to be tried again yet.
 	Busy
-	// Absent means that the service has no server that can be reached and has not been tried
-	// before.
+	// Absent means that the service has no usable server left: each one could not be reached, has
+	// ended, is in an evacuated zone or outside the allowed regions, or has already been tried.
 	Absent
 )
 
@@ -136,7 +136,7 @@
 	availability := Absent
 	for _, each := range f.services[choice.Service] {
 		if choice.AsOwner {
-			each.askedAsOwnerAt = now
+			each.requestedAsOwnerAt = now
 		}
 		if !f.isEligible(choice, each) || f.isWithdrawn(each, now) {
 			continue
@@ -220,7 +220,7 @@
 // isOwner reports whether this node sends requests to a server's service on behalf of others. The
 // mutex is held.
 func (f *Fleet) isOwner(server *member, now time.Time) bool {
-	return !server.askedAsOwnerAt.IsZero() && now.Sub(server.askedAsOwnerAt) < ownerSpan
+	return !server.requestedAsOwnerAt.IsZero() && now.Sub(server.requestedAsOwnerAt) < ownerSpan
 }
 
 // cost estimates the time until a server would answer. The mutex is held.
--- a/pkg/fleet/cold.go
+++ b/pkg/fleet/cold.go
@@ -32,7 +32,7 @@
 	// when a server is chosen but sent only once a connection is open, and nodes that have just
 	// started are not yet known to all others.
 	coldShare = 0.8
-	// ownerShare is the part of that for the owners, where a service has owners. The rest is for
+	// ownerShare is the owners' part of coldShare, where a service has owners. The rest is for
 	// all nodes, which send requests to the servers directly when an owner does not answer.
 	ownerShare = 0.75
 	// OwnersPerRegion is how many nodes of a region may consider themselves the owner of a service
--- a/pkg/fleet/lease.go
+++ b/pkg/fleet/lease.go
@@ -119,8 +119,8 @@
 	f.wakeWaiters(server, now)
 }
 
-// minServiceTime is the minimum that a service time is taken for. The round trip that is subtracted
-// is an estimate for the zone, and single answers may take less than it.
+// minServiceTime is the lower bound of a measured service time. The round trip that is subtracted
+// from the time of an answer is an average over the zone, and single answers may take less than it.
 const minServiceTime = 100 * time.Microsecond
 
 // observeTime adds the time of one request to the profile of its kind and to the ratio of its
--- a/pkg/fleet/server.go
+++ b/pkg/fleet/server.go
@@ -139,9 +139,9 @@
 	adaptiveLimit float64
 	decreasedAt   time.Time
 	filledAt      time.Time
-	// askedAsOwnerAt is when this node last requested a lease for the server's service as its
+	// requestedAsOwnerAt is when this node last requested a lease for the server's service as its
 	// owner; zero for never.
-	askedAsOwnerAt time.Time
+	requestedAsOwnerAt time.Time
 	// listed says that the platform lists the server.
 	listed bool
 	// leavesAt is the time from which the server is used only if its service has no other, endsAt
--- a/pkg/fleet/serving.go
+++ b/pkg/fleet/serving.go
@@ -73,10 +73,10 @@
 }
 
 // CountReachable returns how many servers of a service may be used in the regions (all), and how
-// many of them seem to be reachable (reachable): those that are not among the ended processes and
-// whose last connection attempt did not fail.
+// many of them seem to be reachable (reachable): those whose process is not in crashed and whose
+// last connection attempt did not fail.
 func (f *Fleet) CountReachable(
-	service string, regions route.Regions, ended []Incarnation, now time.Time,
+	service string, regions route.Regions, crashed []Incarnation, now time.Time,
 ) (reachable, all int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -85,7 +85,7 @@
 			continue
 		}
 		all++
-		if !each.unreachable && !slices.Contains(ended, each.Incarnation()) {
+		if !each.unreachable && !slices.Contains(crashed, each.Incarnation()) {
 			reachable++
 		}
 	}
--- a/pkg/fleet/waiting.go
+++ b/pkg/fleet/waiting.go
@@ -13,7 +13,7 @@
 	Needed bool
 	// Target is the time until which an answer has its full value; zero for no limit.
 	Target time.Time
-	// QueueOrder orders requests that are otherwise equal: the greatest value goes first. It is the
+	// QueueOrder orders requests that are otherwise equal: the highest value goes first. It is the
 	// same for all sub-requests of a request.
 	QueueOrder uint64
 	// Deadline is when the request ends.
