--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -80,7 +80,7 @@
 	// KeyHash is the short hash of a refused key.
 	KeyHash string `json:"key_hash"`
 	// Fingerprint is the same for all attempts of a client's request. ServersEnded are the servers
-	// that ended while they had the request.
+	// that crashed while they had the request.
 	Fingerprint  string   `json:"fingerprint"`
 	ServersEnded []string `json:"servers_ended"`
 	// QuotaShare is the admitted share by which a request over its tenant's limit was refused,
