--- a/internal/edge/room_log.go
+++ b/internal/edge/admission_log.go
@@ -14,31 +14,31 @@
 // which this node, as an owner, sends requests on their behalf.
 func (n *Node) openAnnouncer() {
 	n.announcer = owner.NewAnnouncer(owner.AnnouncerOptions{
-		Admission: n.admission, Roster: n.state.roster, Transport: n.transport, OnPublish: newRoomLog(n.logger).write,
+		Admission: n.admission, Roster: n.state.roster, Transport: n.transport, OnPublish: newAdmissionLog(n.logger).write,
 	})
 	n.metrics.gauge("services_short_of_room", "Services of which this node lets in only a part of the requests.", func() float64 {
 		return float64(n.admission.Admitter.LimitedServices())
 	})
 }
 
-// roomLogInterval is the minimum time between two log lines that a service is short of room, because
-// its shares change several times a second.
-const roomLogInterval = time.Second
+// admissionLogInterval is the minimum time between two log lines that a service is short of
+// capacity, because its shares change several times a second.
+const admissionLogInterval = time.Second
 
-// roomLog logs the admission shares that this node, as an owner, announces for services that are
-// short of room or have room again. It is not safe for concurrent use.
-type roomLog struct {
+// admissionLog logs the admission shares that this node, as an owner, announces for services that
+// have too little capacity or have enough again. It is not safe for concurrent use.
+type admissionLog struct {
 	logger  hclog.Logger
 	limiter *stateLogLimiter[loadshed.Key]
 }
 
-// newRoomLog returns a log that has written no line yet.
-func newRoomLog(logger hclog.Logger) *roomLog {
-	return &roomLog{logger: logger, limiter: newStateLogLimiter[loadshed.Key](roomLogInterval)}
+// newAdmissionLog returns a log that has written no line yet.
+func newAdmissionLog(logger hclog.Logger) *admissionLog {
+	return &admissionLog{logger: logger, limiter: newStateLogLimiter[loadshed.Key](admissionLogInterval)}
 }
 
-// write logs the shares of each service, at most once per roomLogInterval.
-func (l *roomLog) write(message []loadshed.Measurement) {
+// write logs the shares of each service, at most once per admissionLogInterval.
+func (l *admissionLog) write(message []loadshed.Measurement) {
 	for _, each := range message {
 		if each.Shares.IsFull() {
 			if l.limiter.shouldLogEnd(each.Key, each.MeasuredAt) {
@@ -54,7 +54,7 @@
 }
 
 // appendAdmission adds the share by which a request was admitted or refused if a service that it
-// needs is short of room.
+// needs is short of capacity.
 func appendAdmission(list []any, result fanout.Result) []any {
 	admission := result.Admission
 	if admission.Share >= 1 || admission.LimitingService == "" {
--- a/internal/edge/budgets.go
+++ b/internal/edge/budgets.go
@@ -35,7 +35,8 @@
 	return created
 }
 
-// setBounds sets the bounds of the deployment. If the span of the windows changes, they start empty.
+// setBounds sets the bounds of the deployment. If the span of the windows changes, all windows
+// restart empty.
 func (b *budgets) setBounds(bounds BoundSettings) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -32,7 +32,8 @@
 	maxPeerFrame = 16 << 20
 	// maxPeerConnections is the maximum number of connections to other nodes; the least recently
 	// used one is closed to open another. A gathered request needs one per group of its shards: 15
-	// for 220 shards, and those of two sets while the shards are being repartitioned.
+	// for 220 shards, and one per group of both the old and the new groups while the shards are
+	// being repartitioned.
 	maxPeerConnections = 48
 	// quotaPeerConnections is added to maxPeerConnections if tenant limits are enforced, because
 	// their coordinators notify all nodes when a tenant reaches its limit. The total, 256, is the
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -246,7 +246,7 @@
 }
 
 // revocationReserve is subtracted from the time after which a removed key must be refused: nodes
-// tell each other how old their copies are, and a busy process uses that late.
+// notify each other of the age of their copies, and a busy process handles the notifications late.
 const revocationReserve = 500 * time.Millisecond
 
 // revocationAge returns how old the node's copy of the keys may be if removed keys must be refused
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -172,7 +172,7 @@
 	return list
 }
 
-// errStartMissing is the problem of an entry without a start time whose server had one before.
+// errStartMissing is the error for an entry without a start time whose server gave one before.
 var errStartMissing = errors.New("entry lacks the start that the server reported before")
 
 // refuse handles an entry that could not be decoded. It identifies no server, so the server known
--- a/internal/edge/state_log_limiter_test.go
+++ b/internal/edge/state_log_limiter_test.go
@@ -22,13 +22,13 @@
 	sink := &countingSink{}
 	logger := hclog.NewInterceptLogger(&hclog.LoggerOptions{Level: hclog.Off})
 	logger.RegisterSink(sink)
-	log, began := newRoomLog(logger), time.Unix(100, 0)
+	log, began := newAdmissionLog(logger), time.Unix(100, 0)
 	short := loadshed.Shares{Ranks: []loadshed.RankShare{{Share: 0.5}}}
 	for step := range 20 {
-		at := began.Add(time.Duration(step) * roomLogInterval / 10)
+		at := began.Add(time.Duration(step) * admissionLogInterval / 10)
 		key := loadshed.Key{Service: "a"}
 		log.write([]loadshed.Measurement{{Key: key, Shares: short, MeasuredAt: at}})
-		log.write([]loadshed.Measurement{{Key: key, MeasuredAt: at.Add(roomLogInterval / 20)}})
+		log.write([]loadshed.Measurement{{Key: key, MeasuredAt: at.Add(admissionLogInterval / 20)}})
 	}
 	g.Expect(sink.lines).To(And(BeNumerically(">=", 2), BeNumerically("<=", 6)))
 }
--- a/internal/edge/write_back.go
+++ b/internal/edge/write_back.go
@@ -88,8 +88,9 @@
 }
 
 // writeDue writes the lost entries for which it is this node's turn, given the time since the store
-// has settled. An entry that was written over a revision of the store is not written again over the
-// same one, because the node sees its own write only at the next reading of the store.
+// has settled. An entry that was written over the key's state at one revision of the store is not
+// written again over the same one, because the node sees its own write only at the next reading of
+// the store.
 func (w *writeBack) writeDue(ctx context.Context, lost []directory.LostEntry, sinceSettled time.Duration, written map[string]uint64) {
 	names := w.nodeNames()
 	for _, each := range lost {
