--- a/internal/edge/admission_log.go
+++ b/internal/edge/admission_log.go
@@ -42,14 +42,14 @@
 	for _, each := range message {
 		if each.Shares.IsFull() {
 			if l.limiter.shouldLogEnd(each.Key, each.MeasuredAt) {
-				l.logger.Info("service has room again", "service", each.Service)
+				l.logger.Info("room again", "service", each.Service)
 			}
 			continue
 		}
 		if !l.limiter.shouldLogBegin(each.Key, each.MeasuredAt) {
 			continue
 		}
-		l.logger.Warn("service short of room", "service", each.Service, "shares", each.Shares.Ranks, "tenants", each.Shares.Tenants)
+		l.logger.Warn("short of room", "service", each.Service, "shares", each.Shares.Ranks, "tenants", each.Shares.Tenants)
 	}
 }
 
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -236,7 +236,7 @@
 	switch {
 	case entry.Gone && s.fleet.EndEvacuation(entry.EvacuatedZone, now):
 		s.metrics.evacuated.WithLabelValues(entry.EvacuatedZone).Set(0)
-		s.logger.Info("zone evacuation ended", "zone", entry.EvacuatedZone, "revision", entry.Revision)
+		s.logger.Info("zone open again", "zone", entry.EvacuatedZone, "revision", entry.Revision)
 	case !entry.Gone && s.fleet.Evacuate(entry.EvacuatedZone, span, now):
 		s.metrics.evacuated.WithLabelValues(entry.EvacuatedZone).Set(1)
 		s.logger.Info("zone evacuated", "zone", entry.EvacuatedZone, "revision", entry.Revision, "within_ms", span.Milliseconds())
