--- a/pkg/catalog/probeloop.go
+++ b/pkg/catalog/probeloop.go
@@ -223,8 +223,8 @@
 	return 1, max(l.options.Interval, minInterval)
 }
 
-// start starts a probe, and reports false if MaxConcurrentProbes or a probe of the same server is
-// in flight. The caller retries.
+// start starts a probe. It returns false if MaxConcurrentProbes probes, or one of the same server,
+// are already in flight. The caller then retries.
 func (l *ProbeLoop) start(ctx context.Context, server target.ServerID, entry *scheduled, announceContents bool) bool {
 	if !entry.busy.CompareAndSwap(false, true) {
 		return false
