--- a/pkg/membership/member.go
+++ b/pkg/membership/member.go
@@ -43,8 +43,7 @@
 	ID target.NodeID
 	// Address receives messages from peers.
 	Address peer.Address
-	// CallerAddress and OperatorAddress are the host:port of the node's HTTP
-	// interfaces.
+	// CallerAddress and OperatorAddress are the host:port of the node's HTTP interfaces.
 	CallerAddress   string
 	OperatorAddress string
 	Zone            target.Zone
--- a/pkg/membership/pause.go
+++ b/pkg/membership/pause.go
@@ -35,7 +35,7 @@
 	m.queue.addEntry(entryOf(m.table.self))
 }
 
-// recover replaces this node's list by that of another member. It fetches only the buckets that
+// recover replaces this node's list with that of another member. It fetches only the buckets that
 // differ, so that the return of many paused nodes is cheap.
 func (m *Membership) recover(ctx context.Context) {
 	address, ok := m.recoverySource()
--- a/pkg/membership/stats.go
+++ b/pkg/membership/stats.go
@@ -4,8 +4,8 @@
 
 // Stats counts events since the start of a node's membership.
 type Stats struct {
-	// Probes counts direct probes. FailedProbes counts those for which the member was not reached,
-	// through other members either.
+	// Probes counts direct probes. FailedProbes counts those that failed and whose member could not
+	// be reached through other members either.
 	Probes       uint64
 	FailedProbes uint64
 	// Suspicions counts members that this node suspected before any other node accused them.
