--- a/pkg/configsync/members.go
+++ b/pkg/configsync/members.go
@@ -21,8 +21,8 @@
 	return rendezvous.ScoreHashed(subject, string(id))
 }
 
-// zoneOrder returns the alive members of this node's zone, itself included, in
-// the order for a subject.
+// zoneOrder returns the alive members of this node's zone, itself included, in the order for a
+// subject.
 func (r *Replica) zoneOrder(subject uint64) []member {
 	members := []member{{Peer: r.options.Self, hash: memberHash(subject, r.options.Self.ID)}}
 	for _, known := range r.alivePeers() {
@@ -34,8 +34,7 @@
 	return members
 }
 
-// otherZones returns the known alive members of each other zone in the order
-// for a subject.
+// otherZones returns the known alive members of each other zone in the order for a subject.
 func (r *Replica) otherZones(subject uint64) map[target.Zone][]member {
 	zones := map[target.Zone][]member{}
 	for _, known := range r.alivePeers() {
--- a/pkg/configsync/stats.go
+++ b/pkg/configsync/stats.go
@@ -15,8 +15,8 @@
 
 	// Applied counts the documents that were accepted as new or newer, by source.
 	Applied map[Source]uint64
-	// Duplicates counts the offered documents that were held already, Refused those that were older
-	// than the held one.
+	// Duplicates counts the offered documents that were held already. Refused counts the offered
+	// documents that were older than the held one.
 	Duplicates uint64
 	Refused    uint64
 	// Malformed counts documents that could not be decoded.
--- a/pkg/configsync/table.go
+++ b/pkg/configsync/table.go
@@ -65,8 +65,8 @@
 // decreases. It is safe for concurrent use.
 type table struct {
 	onAccept func(template.Published)
-	// inForce maps template.Key to *template.Compiled, for readers without a lock. It is
-	// written under mutex.
+	// inForce maps template.Key to *template.Compiled, for readers without a lock. It is written
+	// under mutex.
 	inForce sync.Map
 
 	// mutex guards the fields below.
