--- a/internal/edge/request_recorder.go
+++ b/internal/edge/request_recorder.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// mayWrite reports whether a line about a request may be written. It logs and counts the lines that
-// were left out before.
+// mayWrite reports whether a line about a request may be written. If lines were left out
+// in the previous second, it logs and counts how many.
 func (e *requestRecorder) mayWrite() bool {
 	leftOut, ok := e.admit(time.Now())
 	if leftOut > 0 {
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -175,8 +175,8 @@
 // errStartMissing is the error for an entry without a start time whose server gave one before.
 var errStartMissing = errors.New("entry lacks the start that the server reported before")
 
-// refuse handles an entry that could not be decoded. It identifies no server, so the server known
-// under its key is treated as if the key had been deleted. For other kinds of entries the last valid
+// refuse handles an entry that could not be decoded. Its value describes no server, so the server
+// known under its key is treated as if the key had been deleted. For other kinds of entries the last valid
 // state stays in force.
 func (s *state) refuse(entry directory.Entry) {
 	isKnown := entry.ServerID != "" && s.fleet.RejectEntry(entry.ServerID, time.Now())
