--- a/pkg/catalog/probe.go
+++ b/pkg/catalog/probe.go
@@ -36,7 +36,8 @@
 }
 
 // probeFailed counts a failed probe. After Options.ProbeFailures consecutive failures this node
-// suspects the server, and announces it as dead unless it still answers sub-requests.
+// suspects the server, and announces it as dead unless it still answers sub-requests or
+// probeRecord.announceAfter has not been reached.
 func (c *Catalog) probeFailed(m *mutation, r *record, cause error) {
 	r.probe.failures++
 	if r.probe.failures < c.options.ProbeFailures {
--- a/pkg/catalog/staleness.go
+++ b/pkg/catalog/staleness.go
@@ -40,7 +40,7 @@
 }
 
 // suspectContents requests a probe immediately, unless one is requested already. After a recent
-// probe the new one waits for staleProbeInterval.
+// probe caused by such a suspicion, the new one waits until staleness.notBefore.
 func (c *Catalog) suspectContents(r *record) {
 	if r.results.suspectedStale.Load() {
 		return
@@ -105,7 +105,8 @@
 	r.results.suspectedStale.Store(false)
 }
 
-// staleProbeStarted sets the earliest time of the next probe when one is sent.
+// staleProbeStarted is called when a probe for suspected contents is due. It sets the earliest time
+// of the next one.
 func (r *record) staleProbeStarted(now time.Time) {
 	r.staleness.notBefore = now.Add(staleProbeInterval << r.staleness.unchangedProbes)
 }
