--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -254,8 +254,8 @@
 	return r.member.ID > other.member.ID
 }
 
-// isBridge reports whether this node is alive and among the bridges highest-ranked alive members of
-// its zone.
+// isBridge reports whether this node is alive and one of its zone's highest-ranked alive members, of
+// which the given number are bridges.
 func (t *table) isBridge(bridges int) bool {
 	above := 0
 	for _, other := range t.others {
