--- a/pkg/configsync/relay.go
+++ b/pkg/configsync/relay.go
@@ -102,7 +102,8 @@
 	}
 }
 
-// split divides ordered members into at most count parts of nearly equal size.
+// split divides ordered members into at most count parts of nearly equal size. The range of the last
+// part ends at lastHash.
 func split(members []member, count int, lastHash uint64) []pushTask {
 	count = min(count, len(members))
 	parts := make([]pushTask, 0, count)
--- a/pkg/configsync/watch.go
+++ b/pkg/configsync/watch.go
@@ -35,7 +35,7 @@
 // watchManager runs the watches of the store that are assigned to this node. Each prefix is watched
 // by the first WatchersPerZone members of the zone in the order for that prefix. Watching is
 // idempotent, so no lease is needed: while nodes disagree on which members are alive, or on the
-// number of prefixes, a prefix has one watcher too many or too few for a moment.
+// number of prefixes, a prefix briefly has one watcher too many or too few.
 type watchManager struct {
 	replica *Replica
 
