--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -32,7 +32,8 @@
 	maxPeerFrame = 16 << 20
 	// maxPeerConnections is the maximum number of connections to other nodes; the least recently
 	// used one is closed to open another. A gathered request needs one per group of its shards: 15
-	// for 220 shards, and those of two sets while the shards are being repartitioned.
+	// for 220 shards, and one per group of both the old and the new groups while the shards are
+	// being repartitioned.
 	maxPeerConnections = 48
 	// quotaPeerConnections is added to maxPeerConnections if tenant limits are enforced, because
 	// their coordinators notify all nodes when a tenant reaches its limit. The total, 256, is the
@@ -237,9 +238,9 @@
 	n.peers = directory.NewPeers(directory.PeersOptions{
 		Follower: n.follower, Transport: n.transport, Local: *local, Nodes: n.state.knownNodes,
 		Seeds: settings.Peers, Regions: settings.Zones,
-		RoleChanged: func(role directory.Role) { n.logger.Info("store reader role changed", "role", role.String()) },
+		RoleChanged: func(role directory.Role) { n.logger.Info("reading of the store divided", "role", role.String()) },
 		ReaderEjected: func(name string, cause error) {
-			n.logger.Warn("store reader ejected", "reader", name, "error", cause.Error())
+			n.logger.Warn("reader of the store left out", "reader", name, "error", cause.Error())
 		},
 	})
 	n.state.roster = owner.NewRoster(*local, settings.Zones, n.state.fleet)
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -172,11 +172,11 @@
 	return list
 }
 
-// errStartMissing is the problem of an entry without a start time whose server had one before.
+// errStartMissing is the error for an entry without a start time whose server gave one before.
 var errStartMissing = errors.New("entry lacks the start that the server reported before")
 
-// refuse handles an entry that could not be decoded. It identifies no server, so the server known
-// under its key is treated as if the key had been deleted. For other kinds of entries the last valid
+// refuse handles an entry that could not be decoded. Its value describes no server, so the server
+// known under its key is treated as if the key had been deleted. For other kinds of entries the last valid
 // state stays in force.
 func (s *state) refuse(entry directory.Entry) {
 	isKnown := entry.ServerID != "" && s.fleet.RejectEntry(entry.ServerID, time.Now())
@@ -236,7 +236,7 @@
 	switch {
 	case entry.Gone && s.fleet.EndEvacuation(entry.EvacuatedZone, now):
 		s.metrics.evacuated.WithLabelValues(entry.EvacuatedZone).Set(0)
-		s.logger.Info("zone evacuation ended", "zone", entry.EvacuatedZone, "revision", entry.Revision)
+		s.logger.Info("zone open again", "zone", entry.EvacuatedZone, "revision", entry.Revision)
 	case !entry.Gone && s.fleet.Evacuate(entry.EvacuatedZone, span, now):
 		s.metrics.evacuated.WithLabelValues(entry.EvacuatedZone).Set(1)
 		s.logger.Info("zone evacuated", "zone", entry.EvacuatedZone, "revision", entry.Revision, "within_ms", span.Milliseconds())
