--- a/pkg/query/query.go
+++ b/pkg/query/query.go
@@ -61,8 +61,9 @@
 // Coverage is how much of the requested range an answer covers.
 type Coverage struct {
 	// Requested is the range of the request: the whole key space, or the one part that contains
-	// the request's key.
-	Requested keyspace.Range
+	// the request's key. The stored answers of claims carry it under its older name, Asked, and
+	// nodes of several builds read them.
+	Requested keyspace.Range `json:"Asked"`
 	// CoveredWidth counts the covered positions, each once.
 	CoveredWidth uint32
 	// Missing lists the uncovered ranges in ascending order.
