--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -247,7 +247,7 @@
 	n.owners = owner.NewClient(n.state.roster, n.transport, n.admission.Admitter, ownerEvents{node: n})
 	n.openAnnouncer()
 	n.openGossiper()
-	if settings.Bounds.QuotaWindowSeconds > 0 {
+	if settings.Bounds.LimitWindowSeconds > 0 {
 		n.limits = newLimits(n, settings, n.transport)
 		n.state.limits = n.limits
 	}
@@ -256,7 +256,7 @@
 
 // peerConnections returns the maximum number of connections to other nodes.
 func peerConnections(settings *Settings) int {
-	if settings.Bounds.QuotaWindowSeconds > 0 {
+	if settings.Bounds.LimitWindowSeconds > 0 {
 		return maxPeerConnections + quotaPeerConnections
 	}
 	return maxPeerConnections
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -94,12 +94,12 @@
 	// the keys that it knows.
 	RefuseUnconfirmedKeys bool `json:"strict_revoke"`
 	RevokeMillis          int  `json:"revoke_ms"`
-	// QuotaWindowSeconds is the window in which a tenant's requests over all nodes are counted; zero
+	// LimitWindowSeconds is the window in which a tenant's requests over all nodes are counted; zero
 	// if tenant limits are not enforced. In each window the requests may exceed the tenant's limit
-	// by the factor QuotaOvershoot and by QuotaSlack further requests.
-	QuotaWindowSeconds float64 `json:"quota_window_s"`
-	QuotaOvershoot     float64 `json:"quota_overshoot"`
-	QuotaSlack         float64 `json:"quota_slack"`
+	// by the factor LimitOvershoot and by LimitSlack further requests.
+	LimitWindowSeconds float64 `json:"quota_window_s"`
+	LimitOvershoot     float64 `json:"quota_overshoot"`
+	LimitSlack         float64 `json:"quota_slack"`
 }
 
 // LoadSettings reads and checks a settings file.
@@ -186,10 +186,10 @@
 	if problem := s.revocationProblem(); problem != "" {
 		problems = append(problems, problem)
 	}
-	rejectNegative("bounds.quota_window_s", s.Bounds.QuotaWindowSeconds)
-	rejectNegative("bounds.quota_overshoot", s.Bounds.QuotaOvershoot)
-	rejectNegative("bounds.quota_slack", s.Bounds.QuotaSlack)
-	if s.Bounds.QuotaWindowSeconds > 0 && s.Listen.Peers == "" {
+	rejectNegative("bounds.quota_window_s", s.Bounds.LimitWindowSeconds)
+	rejectNegative("bounds.quota_overshoot", s.Bounds.LimitOvershoot)
+	rejectNegative("bounds.quota_slack", s.Bounds.LimitSlack)
+	if s.Bounds.LimitWindowSeconds > 0 && s.Listen.Peers == "" {
 		problems = append(problems, "bounds.quota_window_s needs listen.peers")
 	}
 	if s.Bounds.GraceSeconds <= 0 {
@@ -279,8 +279,8 @@
 // quotaBounds returns by how much the requests of a tenant may exceed its limit.
 func (s *Settings) quotaBounds() quota.Bounds {
 	return quota.Bounds{
-		Window:    time.Duration(s.Bounds.QuotaWindowSeconds * float64(time.Second)),
-		Overshoot: s.Bounds.QuotaOvershoot, Slack: s.Bounds.QuotaSlack,
+		Window:    time.Duration(s.Bounds.LimitWindowSeconds * float64(time.Second)),
+		Overshoot: s.Bounds.LimitOvershoot, Slack: s.Bounds.LimitSlack,
 	}
 }
 
--- a/test/soak/node_test.go
+++ b/test/soak/node_test.go
@@ -98,7 +98,7 @@
 			DrainMillis: int(shaped.drainBound.Milliseconds()), ApplyMillis: int(shaped.configBound.Milliseconds()), ContactMillis: int(contactBound.Milliseconds()),
 			EvacuateMillis:        int(shaped.drainBound.Milliseconds()),
 			RefuseUnconfirmedKeys: shaped.revokeBound > 0, RevokeMillis: int(shaped.revokeBound.Milliseconds()),
-			QuotaWindowSeconds: limitWindow.Seconds(), QuotaOvershoot: limitOvershoot, QuotaSlack: limitSlack,
+			LimitWindowSeconds: limitWindow.Seconds(), LimitOvershoot: limitOvershoot, LimitSlack: limitSlack,
 			GraceSeconds: graceBound.Seconds(), ExtraRatio: extraRatio, Extra: extraBound, ExtraWindowSeconds: extraWindow.Seconds(),
 		},
 		Peers: peers,
